--- a/admission/admission.go
+++ b/admission/admission.go
@@ -21,11 +21,11 @@
 
 // Ticket is one waiting request.
 type Ticket struct {
-	Weight   int       // higher goes first
-	Deadline time.Time // after this the answer is of no use
-	Expiry   time.Time // after this the request may not wait any longer
-	Useful   time.Time // after this a place would be of no use; zero: until the deadline
-	FirstTry time.Time // when its caller first asked; zero: unknown
+	Weight      int       // higher goes first
+	Deadline    time.Time // after this the answer is of no use
+	Expiry      time.Time // after this the request may not wait any longer
+	UsefulUntil time.Time // after this a place would be of no use; zero: until the deadline
+	FirstTry    time.Time // when its caller first asked; zero: unknown
 	// Payload belongs to the owner of the queue.
 	Payload any
 
@@ -38,13 +38,13 @@
 
 // The verdicts.
 const (
-	// Waiting: the ticket is in the queue.
-	Waiting Verdict = iota
+	// Queued: the ticket is in the queue.
+	Queued Verdict = iota
 	// Full: the queue is full of requests that matter as much or more.
 	Full
-	// Late: it is unlikely to get a place in time behind the requests already waiting
+	// TooLate: it is unlikely to get a place in time behind the requests already waiting
 	// and those that will go before it.
-	Late
+	TooLate
 )
 
 // Queue holds the waiting requests of one service.
@@ -74,9 +74,9 @@
 	return len(q.tickets)
 }
 
-// Arrived notes a request that wants a place, whether it will wait or not. The queue
+// RecordArrival notes a request that wants a place, whether it will wait or not. The queue
 // learns from it how many others a waiting request competes with.
-func (q *Queue) Arrived(now time.Time, weight int) {
+func (q *Queue) RecordArrival(now time.Time, weight int) {
 	arrived, known := q.arrived[weight]
 	if !known {
 		arrived = new(rate)
@@ -114,15 +114,15 @@
 
 // useful returns until when a place is of use to the ticket.
 func (t *Ticket) useful() time.Time {
-	if t.Useful.IsZero() {
+	if t.UsefulUntil.IsZero() {
 		return t.Deadline
 	}
-	return t.Useful
+	return t.UsefulUntil
 }
 
-// Hopeless takes out and returns the tickets that are not likely any more to get a place
+// Shed takes out and returns the tickets that are not likely any more to get a place
 // while it is of use to them.
-func (q *Queue) Hopeless(now time.Time, pace time.Duration) []*Ticket {
+func (q *Queue) Shed(now time.Time, pace time.Duration) []*Ticket {
 	q.sorted = append(q.sorted[:0], q.tickets...)
 	slices.SortFunc(q.sorted, order)
 	var hopeless []*Ticket
@@ -174,7 +174,7 @@
 	ticket.sequence = q.sequence
 	competing := q.trafficOf(now, ticket.Weight, pace)
 	if !competing.hopeful(q.before(ticket), ticket.useful().Sub(now)) {
-		return Late, nil
+		return TooLate, nil
 	}
 	if len(q.tickets) >= q.limit {
 		if q.leastWeight() >= ticket.Weight {
@@ -186,11 +186,11 @@
 	q.full.waiting(now)
 	heap.Push(&q.tickets, ticket)
 	q.counts[ticket.Weight]++
-	return Waiting, displaced
+	return Queued, displaced
 }
 
-// Next takes out the ticket that goes first, or returns nil.
-func (q *Queue) Next() *Ticket {
+// Pop takes out the ticket that goes first, or returns nil.
+func (q *Queue) Pop() *Ticket {
 	if len(q.tickets) == 0 {
 		return nil
 	}
@@ -214,8 +214,8 @@
 	return q.tickets[0]
 }
 
-// Foremost returns the tickets that go first, in order, at most so many, without taking them out.
-func (q *Queue) Foremost(most int) []*Ticket {
+// PeekN returns the tickets that go first, in order, at most so many, without taking them out.
+func (q *Queue) PeekN(most int) []*Ticket {
 	var foremost []*Ticket
 	var next []*Ticket // may come next: the children of those that were returned, which go before all others
 	if len(q.tickets) > 0 {
@@ -242,9 +242,9 @@
 	return true
 }
 
-// Served notes that a place was given back. The queue learns from it how fast it
+// RecordRelease notes that a place was given back. The queue learns from it how fast it
 // empties.
-func (q *Queue) Served(now time.Time) {
+func (q *Queue) RecordRelease(now time.Time) {
 	q.served.add(now)
 	if len(q.tickets) > 0 {
 		q.full.waiting(now)
@@ -252,11 +252,11 @@
 	q.full.place(now)
 }
 
-// Wait estimates how long a ticket of this weight would wait now: until all that
+// EstimateWait estimates how long a ticket of this weight would wait now: until all that
 // matter as much or more have gone. It takes the shorter of two estimates: the
 // requests finished in the last second, which is low after a quiet time, and the
 // pace, which counts the queues at busy back ends twice.
-func (q *Queue) Wait(now time.Time, weight int, pace time.Duration) time.Duration {
+func (q *Queue) EstimateWait(now time.Time, weight int, pace time.Duration) time.Duration {
 	ahead := 0
 	for waiting, count := range q.counts {
 		if waiting >= weight {
--- a/admission/chance_test.go
+++ b/admission/chance_test.go
@@ -113,18 +113,18 @@
 	queue := NewQueue(1000)
 	for number := range 400 {
 		now := start.Add(time.Duration(number) * 2500 * time.Microsecond)
-		queue.Arrived(now, 1)
+		queue.RecordArrival(now, 1)
 		if number%4 == 0 {
-			queue.Served(now)
+			queue.RecordRelease(now)
 		}
 	}
 	now := start.Add(time.Second - time.Millisecond)
 	for number := range 20 {
 		ticket := &Ticket{Weight: 1, Deadline: now.Add(time.Second), FirstTry: now.Add(time.Duration(number) * time.Microsecond)}
 		verdict, _ := queue.Offer(now, ticket, 0)
-		require.Equal(t, Waiting, verdict, "each goes before those that came earlier")
+		require.Equal(t, Queued, verdict, "each goes before those that came earlier")
 	}
-	hopeless := queue.Hopeless(now, 0)
+	hopeless := queue.Shed(now, 0)
 	require.NotEmpty(t, hopeless)
 	require.Less(t, queue.Len(), 5, "with four times as many as are served, a third in line has a chance of 1 in 64")
 	require.Greater(t, queue.Len(), 0)
@@ -138,12 +138,12 @@
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	queue := NewQueue(1000)
 	for range 100 {
-		queue.Arrived(start, 1)
+		queue.RecordArrival(start, 1)
 		ticket := &Ticket{Weight: 1, Deadline: start.Add(time.Second), FirstTry: start}
 		verdict, _ := queue.Offer(start, ticket, time.Millisecond)
-		require.Equal(t, Waiting, verdict)
+		require.Equal(t, Queued, verdict)
 	}
-	require.Empty(t, queue.Hopeless(start, time.Millisecond))
-	queue.Hopeless(start.Add(990*time.Millisecond), time.Millisecond)
+	require.Empty(t, queue.Shed(start, time.Millisecond))
+	queue.Shed(start.Add(990*time.Millisecond), time.Millisecond)
 	require.InDelta(t, 15, queue.Len(), 4, "10 ms reach 10 of them, and with 1 chance in 20 half as many more")
 }
--- a/admission/foremost_test.go
+++ b/admission/foremost_test.go
@@ -20,10 +20,10 @@
 			queue.Offer(now, ticket, time.Millisecond)
 		}
 		most := rapid.IntRange(0, 50).Draw(t, "most")
-		foremost := queue.Foremost(most)
+		foremost := queue.PeekN(most)
 		var next []*Ticket
 		for len(next) < most && queue.Len() > 0 {
-			next = append(next, queue.Next())
+			next = append(next, queue.Pop())
 		}
 		require.True(t, slices.Equal(next, foremost))
 	})
--- a/admission/saturation_test.go
+++ b/admission/saturation_test.go
@@ -18,7 +18,7 @@
 	queue.Offer(start, waiting, pace)
 	require.InDelta(t, 200, served(start), 1)
 	for number := range 100 {
-		queue.Served(start.Add(time.Duration(number+1) * 10 * time.Millisecond))
+		queue.RecordRelease(start.Add(time.Duration(number+1) * 10 * time.Millisecond))
 		if number == 49 {
 			require.InDelta(t, 150, served(start.Add(500*time.Millisecond)), 5)
 		}
@@ -35,9 +35,9 @@
 	queue := NewQueue(1000)
 	for number := range 100 {
 		now := start.Add(time.Duration(number) * 10 * time.Millisecond)
-		queue.Arrived(now, 1)
+		queue.RecordArrival(now, 1)
 		verdict, _ := queue.Offer(now, &Ticket{Weight: 1, Deadline: now.Add(10 * time.Second), FirstTry: now}, time.Millisecond)
-		require.Equal(t, Waiting, verdict)
-		require.Empty(t, queue.Hopeless(now, time.Millisecond))
+		require.Equal(t, Queued, verdict)
+		require.Empty(t, queue.Shed(now, time.Millisecond))
 	}
 }
--- a/backendlimit/table.go
+++ b/backendlimit/table.go
@@ -56,8 +56,8 @@
 	return &Table{entries: make(map[backend.Key]*entry)}
 }
 
-// Answer is an answer of a back end, and what it said.
-type Answer struct {
+// Response is an answer of a back end, and what it said.
+type Response struct {
 	backend.Key
 	Limit
 	Started int64     // of the run that answered; 0: not known
@@ -73,43 +73,43 @@
 
 // The changes.
 const (
-	Nothing Change = iota
-	// Slight: the limit is hardly another one, and not worth telling others of.
-	Slight
-	// News: the others are to be told.
-	News
+	NoChange Change = iota
+	// MinorChange: the limit is hardly another one, and not worth telling others of.
+	MinorChange
+	// MajorChange: the others are to be told.
+	MajorChange
 )
 
-// Hear takes in what an answer said.
-func (t *Table) Hear(now time.Time, answer Answer) Change {
+// Observe takes in what an answer said.
+func (t *Table) Observe(now time.Time, answer Response) Change {
 	known := t.current(answer.Key, answer.Started)
 	if known != nil && known.Started > answer.Started && answer.Started != 0 {
-		return Nothing // an earlier run said it
+		return NoChange // an earlier run said it
 	}
 	if answer.Limited {
 		return t.hearLimit(now, known, answer)
 	}
 	if known == nil || !known.Limited || !answer.Sent.After(known.heard) || answer.Failed || answer.Probe && !known.byProbe {
-		return Nothing
+		return NoChange
 	}
 	t.set(now, Record{Key: answer.Key, Started: known.Started, At: after(now, known)})
-	return News
+	return MajorChange
 }
 
 // hearLimit takes in a limit that an answer named.
-func (t *Table) hearLimit(now time.Time, known *entry, answer Answer) Change {
+func (t *Table) hearLimit(now time.Time, known *entry, answer Response) Change {
 	if known == nil && len(t.entries) >= maxRecords {
-		return Nothing
+		return NoChange
 	}
-	change := News
+	change := MajorChange
 	if known != nil && known.Limited && math.Abs(known.told-answer.PerSecond) <= notable*known.told {
-		change = Slight
+		change = MinorChange
 		if known.PerSecond == answer.PerSecond {
-			change = Nothing
+			change = NoChange
 		}
 	}
 	at, told := after(now, known), answer.PerSecond
-	if change != News {
+	if change != MajorChange {
 		at, told = known.At, known.told
 	}
 	byProbe := answer.Probe || known != nil && known.byProbe
@@ -127,8 +127,8 @@
 	return at
 }
 
-// Take takes in a word that another daemon told, and says whether it is news.
-func (t *Table) Take(now time.Time, record Record) bool {
+// Merge takes in a word that another daemon told, and says whether it is news.
+func (t *Table) Merge(now time.Time, record Record) bool {
 	known := t.current(record.Key, record.Started)
 	switch {
 	case known == nil:
@@ -184,9 +184,9 @@
 	delete(t.entries, known.Key)
 }
 
-// OfRun returns what is known on the run of a back end that started at a time, and false where there is
+// Lookup returns what is known on the run of a back end that started at a time, and false where there is
 // none. 0: whichever run.
-func (t *Table) OfRun(key backend.Key, started int64) (Record, bool) {
+func (t *Table) Lookup(key backend.Key, started int64) (Record, bool) {
 	known := t.entries[key]
 	if known == nil || started != 0 && known.Started != 0 && known.Started != started {
 		return Record{}, false
@@ -194,8 +194,8 @@
 	return known.Record, true
 }
 
-// Limited returns how many back ends are limited.
-func (t *Table) Limited() int {
+// LimitedCount returns how many back ends are limited.
+func (t *Table) LimitedCount() int {
 	return t.limited
 }
 
--- a/backendlimit/table_test.go
+++ b/backendlimit/table_test.go
@@ -22,17 +22,17 @@
 }
 
 // limited is an answer that names a limit.
-func limited(perSecond float64, sent int) backendlimit.Answer {
-	return backendlimit.Answer{Key: key, Limit: backendlimit.Limit{Limited: true, PerSecond: perSecond}, Started: 1, Sent: at(sent)}
+func limited(perSecond float64, sent int) backendlimit.Response {
+	return backendlimit.Response{Key: key, Limit: backendlimit.Limit{Limited: true, PerSecond: perSecond}, Started: 1, Sent: at(sent)}
 }
 
 // unlimited is an answer that names none.
-func unlimited(sent int) backendlimit.Answer {
-	return backendlimit.Answer{Key: key, Started: 1, Sent: at(sent)}
+func unlimited(sent int) backendlimit.Response {
+	return backendlimit.Response{Key: key, Started: 1, Sent: at(sent)}
 }
 
 func requireLimit(t require.TestingT, table *backendlimit.Table, want backendlimit.Limit) {
-	record, _ := table.OfRun(key, 1)
+	record, _ := table.Lookup(key, 1)
 	require.Equal(t, want, record.Limit)
 }
 
@@ -40,89 +40,89 @@
 // no other.
 func TestAnswersInAnyOrder(t *testing.T) {
 	table := backendlimit.NewTable()
-	require.Equal(t, backendlimit.Nothing, table.Hear(at(10), unlimited(0)))
-	require.Equal(t, backendlimit.News, table.Hear(at(100), limited(3.2, 20)))
-	require.Equal(t, backendlimit.Nothing, table.Hear(at(110), unlimited(90)), "it was under way before")
+	require.Equal(t, backendlimit.NoChange, table.Observe(at(10), unlimited(0)))
+	require.Equal(t, backendlimit.MajorChange, table.Observe(at(100), limited(3.2, 20)))
+	require.Equal(t, backendlimit.NoChange, table.Observe(at(110), unlimited(90)), "it was under way before")
 	requireLimit(t, table, backendlimit.Limit{Limited: true, PerSecond: 3.2})
-	require.Equal(t, backendlimit.Nothing, table.Hear(at(120), limited(3.2, 105)))
-	require.Equal(t, backendlimit.Slight, table.Hear(at(130), limited(3.3, 125)))
-	require.Equal(t, backendlimit.News, table.Hear(at(140), limited(1, 135)))
+	require.Equal(t, backendlimit.NoChange, table.Observe(at(120), limited(3.2, 105)))
+	require.Equal(t, backendlimit.MinorChange, table.Observe(at(130), limited(3.3, 125)))
+	require.Equal(t, backendlimit.MajorChange, table.Observe(at(140), limited(1, 135)))
 	requireLimit(t, table, backendlimit.Limit{Limited: true, PerSecond: 1})
 	failed := unlimited(150)
 	failed.Failed = true
-	require.Equal(t, backendlimit.Nothing, table.Hear(at(160), failed), "a failure says nothing")
-	require.Equal(t, backendlimit.News, table.Hear(at(170), unlimited(150)))
-	require.Zero(t, table.Limited())
+	require.Equal(t, backendlimit.NoChange, table.Observe(at(160), failed), "a failure says nothing")
+	require.Equal(t, backendlimit.MajorChange, table.Observe(at(170), unlimited(150)))
+	require.Zero(t, table.LimitedCount())
 }
 
 // TestProbesThatDoNotName keeps a limit that was named with answers to requests only, and ends one that
 // probes have named before.
 func TestProbesThatDoNotName(t *testing.T) {
-	probe := func(answer backendlimit.Answer) backendlimit.Answer {
+	probe := func(answer backendlimit.Response) backendlimit.Response {
 		answer.Probe = true
 		return answer
 	}
 	table := backendlimit.NewTable()
-	table.Hear(at(10), limited(3.2, 0))
-	require.Equal(t, backendlimit.Nothing, table.Hear(at(30), probe(unlimited(20))))
-	table.Hear(at(50), probe(limited(3.2, 40)))
-	require.Equal(t, backendlimit.News, table.Hear(at(70), probe(unlimited(60))))
+	table.Observe(at(10), limited(3.2, 0))
+	require.Equal(t, backendlimit.NoChange, table.Observe(at(30), probe(unlimited(20))))
+	table.Observe(at(50), probe(limited(3.2, 40)))
+	require.Equal(t, backendlimit.MajorChange, table.Observe(at(70), probe(unlimited(60))))
 }
 
 // TestRestartedBackendHasSaidNothing drops the word of an earlier run, and does not take it in again.
 func TestRestartedBackendHasSaidNothing(t *testing.T) {
 	table := backendlimit.NewTable()
-	table.Hear(at(10), limited(3.2, 0))
-	earlier, _ := table.OfRun(key, 0)
-	_, known := table.OfRun(key, 2)
+	table.Observe(at(10), limited(3.2, 0))
+	earlier, _ := table.Lookup(key, 0)
+	_, known := table.Lookup(key, 2)
 	require.False(t, known)
 	again := limited(5, 20)
 	again.Started = 2
-	table.Hear(at(30), again)
-	require.Equal(t, backendlimit.Nothing, table.Hear(at(40), limited(3.2, 35)), "the earlier run")
+	table.Observe(at(30), again)
+	require.Equal(t, backendlimit.NoChange, table.Observe(at(40), limited(3.2, 35)), "the earlier run")
 	earlier.At = at(1000)
-	require.False(t, table.Take(at(50), earlier))
-	record, _ := table.OfRun(key, 2)
+	require.False(t, table.Merge(at(50), earlier))
+	record, _ := table.Lookup(key, 2)
 	require.InDelta(t, 5.0, record.PerSecond, 0)
-	require.Equal(t, 1, table.Limited())
+	require.Equal(t, 1, table.LimitedCount())
 }
 
 // TestWordsOfOthers takes the newest word, whatever the order in which words come, also when the
 // clocks of daemons differ by seconds.
 func TestWordsOfOthers(t *testing.T) {
 	here, there := backendlimit.NewTable(), backendlimit.NewTable()
-	here.Hear(at(2000), limited(3.2, 1990)) // its clock is 2 s ahead
-	named, _ := here.OfRun(key, 1)
-	require.True(t, there.Take(at(10), named))
-	require.False(t, there.Take(at(20), named), "known")
-	require.Equal(t, backendlimit.News, there.Hear(at(50), unlimited(40)))
-	ended, known := there.OfRun(key, 1)
+	here.Observe(at(2000), limited(3.2, 1990)) // its clock is 2 s ahead
+	named, _ := here.Lookup(key, 1)
+	require.True(t, there.Merge(at(10), named))
+	require.False(t, there.Merge(at(20), named), "known")
+	require.Equal(t, backendlimit.MajorChange, there.Observe(at(50), unlimited(40)))
+	ended, known := there.Lookup(key, 1)
 	require.True(t, known)
-	require.True(t, here.Take(at(2060), ended), "it is newer, whatever the clocks say")
-	require.False(t, here.Take(at(2070), named), "an older record does not bring it back")
-	require.Zero(t, here.Limited())
+	require.True(t, here.Merge(at(2060), ended), "it is newer, whatever the clocks say")
+	require.False(t, here.Merge(at(2070), named), "an older record does not bring it back")
+	require.Zero(t, here.LimitedCount())
 }
 
 // TestForget drops what is not needed any more.
 func TestForget(t *testing.T) {
 	table := backendlimit.NewTable()
-	table.Hear(at(0), limited(3.2, 0))
+	table.Observe(at(0), limited(3.2, 0))
 	all := func(backend.Key) bool { return true }
 	none := func(backend.Key) bool { return false }
 	table.Forget(at(3600_000), all)
-	require.Equal(t, 1, table.Limited(), "for as long as it says so")
-	table.Hear(at(3600_010), unlimited(3600_005))
+	require.Equal(t, 1, table.LimitedCount(), "for as long as it says so")
+	table.Observe(at(3600_010), unlimited(3600_005))
 	table.Forget(at(3600_020), all)
-	_, known := table.OfRun(key, 1)
+	_, known := table.Lookup(key, 1)
 	require.True(t, known, "others may still tell of the limit")
 	table.Forget(at(3700_000), all)
-	_, known = table.OfRun(key, 1)
+	_, known = table.Lookup(key, 1)
 	require.False(t, known)
-	table.Hear(at(3700_010), limited(1, 3700_005))
+	table.Observe(at(3700_010), limited(1, 3700_005))
 	table.Forget(at(3700_020), none)
-	require.Equal(t, 1, table.Limited(), "a daemon that starts does not know the back ends yet")
+	require.Equal(t, 1, table.LimitedCount(), "a daemon that starts does not know the back ends yet")
 	table.Forget(at(3720_000), none)
-	require.Zero(t, table.Limited())
+	require.Zero(t, table.LimitedCount())
 }
 
 // TestTablesAgree lets daemons hear answers in any order, tell each other, and hear of what others told
@@ -139,34 +139,34 @@
 			now := at(step * 100)
 			table := tables[rapid.IntRange(0, daemons-1).Draw(t, "daemon")]
 			if len(told) > 0 && rapid.Bool().Draw(t, "told") {
-				table.Take(now, told[rapid.IntRange(0, len(told)-1).Draw(t, "record")])
+				table.Merge(now, told[rapid.IntRange(0, len(told)-1).Draw(t, "record")])
 				continue
 			}
 			answer := unlimited(step*100 - 50)
 			if rapid.Bool().Draw(t, "limited") {
 				answer = limited(float64(rapid.IntRange(0, 5).Draw(t, "limit")), step*100-50)
 			}
-			if table.Hear(now, answer) == backendlimit.News {
-				record, _ := table.OfRun(key, 1)
+			if table.Observe(now, answer) == backendlimit.MajorChange {
+				record, _ := table.Lookup(key, 1)
 				told = append(told, record)
 			}
 		}
 		for _, table := range tables {
 			for range 2 {
 				for _, record := range told {
-					table.Take(at(10_000), record)
+					table.Merge(at(10_000), record)
 				}
 			}
 		}
-		first, _ := tables[0].OfRun(key, 1)
+		first, _ := tables[0].Lookup(key, 1)
 		for _, table := range tables {
-			record, _ := table.OfRun(key, 1)
+			record, _ := table.Lookup(key, 1)
 			require.Equal(t, first.Limit, record.Limit)
 			count := 0
 			if record.Limited {
 				count = 1
 			}
-			require.Equal(t, count, table.Limited())
+			require.Equal(t, count, table.LimitedCount())
 		}
 	})
 }
@@ -180,11 +180,11 @@
 	for step := range 40 {
 		now := step * 100
 		limit *= 0.97
-		if here.Hear(at(now), limited(limit, now-50)) == backendlimit.News {
-			record, _ := here.OfRun(key, 1)
-			there.Take(at(now), record)
+		if here.Observe(at(now), limited(limit, now-50)) == backendlimit.MajorChange {
+			record, _ := here.Lookup(key, 1)
+			there.Merge(at(now), record)
 		}
-		told, _ := there.OfRun(key, 1)
+		told, _ := there.Lookup(key, 1)
 		require.InDelta(t, limit, told.PerSecond, 0.12*limit, "step %d", step)
 	}
 }
--- a/command/show.go
+++ b/command/show.go
@@ -202,7 +202,7 @@
 		if leaving.Source != drain.FromBackend.String() {
 			by = "by the " + leaving.Source
 		}
-		if leaving.Told {
+		if leaving.ReportedByPeer {
 			by += ", told by another daemon"
 		}
 		says = append(says, "leaving for "+leaving.Since.Round(100*time.Millisecond).String()+", "+by)
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -90,18 +90,18 @@
 	services   *service.Registry
 	node       *peer.Node
 	follower   *dissemination.Follower
-	operations *operation.Executor
+	operations *operation.Claimer
 	slots      *slots.Client
 	handler    *frontend.Handler
 	callers    *pipelining.Server
 	prober     *measure.Prober
-	quarantine *quarantine.Keeper
-	rates      *ratelimit.Keeper
-	limits     *backendlimit.Keeper
-	drains     *drain.Keeper
-	pauses     *pushback.Keeper
+	quarantine *quarantine.Tracker
+	rates      *ratelimit.FleetLimiter
+	limits     *backendlimit.Tracker
+	drains     *drain.Tracker
+	pauses     *pushback.Tracker
 	signals    *signals.Reader
-	rollouts   *rollout.Keeper
+	rollouts   *rollout.Runner
 	recorder   rollout.Recorder
 	editor     *config.Editor
 
@@ -242,16 +242,16 @@
 // build makes the parts and joins them.
 func (d *Daemon) build(scope tally.Scope) {
 	seed := rand.Uint64()
-	d.quarantine = quarantine.NewKeeper(quarantine.Options{
-		Policy: d.settings.Quarantine.Policy(), Store: d.store, Timeout: time.Duration(d.settings.Platform.Timeout),
-		Reads: d.readsQuarantine, Tell: d.tellCrashingRequest, Log: d.logger, Metrics: scope,
+	d.quarantine = quarantine.NewTracker(quarantine.Options{
+		Policy: d.settings.Quarantine.Policy(), Store: d.store, StoreTimeout: time.Duration(d.settings.Platform.Timeout),
+		ReadsStore: d.readsQuarantine, Broadcast: d.tellCrashingRequest, Log: d.logger, Metrics: scope,
 	})
-	d.limits = backendlimit.NewKeeper(backendlimit.Options{Header: d.dialect.RequestLimit, Declared: d.isDeclared, Apply: d.applyLimit, Tell: d.tellLimit, Log: d.logger, Metrics: scope})
-	d.drains = drain.NewKeeper(drain.Options{Declared: d.isDeclared, Apply: d.applyDrain, Tell: d.tellDrain, Log: d.logger, Metrics: scope})
-	d.pauses = pushback.NewKeeper(pushback.Options{Apply: d.applyPause, Log: d.logger, Metrics: scope})
+	d.limits = backendlimit.NewTracker(backendlimit.Options{Header: d.dialect.RequestLimit, Declared: d.isDeclared, Apply: d.applyLimit, Broadcast: d.tellLimit, Log: d.logger, Metrics: scope})
+	d.drains = drain.NewTracker(drain.Options{Declared: d.isDeclared, Apply: d.applyDrain, Broadcast: d.tellDrain, Log: d.logger, Metrics: scope})
+	d.pauses = pushback.NewTracker(pushback.Options{Apply: d.applyPause, Log: d.logger, Metrics: scope})
 	d.signals = signals.NewReader(signals.Options{Dialect: d.dialect, Limits: d.limits, Drains: d.drains, Pauses: d.pauses, Log: d.logger, Metrics: scope})
-	d.rates = ratelimit.NewKeeper(ratelimit.Options{Name: d.settings.Name, Limits: d.limitOf, Now: d.now, Random: rand.New(rand.NewPCG(seed, 3)), Log: d.logger, Metrics: scope})
-	d.services = service.NewRegistry(service.Options{Network: d.meter.For("backends"), Seed: seed, Echo: d.echo(), Quarantine: d.quarantine, Rates: d.rates, Limits: &serviceLimits{Keeper: d.limits, daemon: d}, Drains: d.drains, Pauses: d.pauses, Elsewhere: d.elsewhere, Log: d.logger})
+	d.rates = ratelimit.NewFleetLimiter(ratelimit.Options{Name: d.settings.Name, Limits: d.limitOf, Now: d.now, Random: rand.New(rand.NewPCG(seed, 3)), Log: d.logger, Metrics: scope})
+	d.services = service.NewRegistry(service.Options{Network: d.meter.For("backends"), Seed: seed, EchoHeader: d.echo(), Quarantine: d.quarantine, Rates: d.rates, Limits: &serviceLimits{Tracker: d.limits, daemon: d}, Drains: d.drains, Pauses: d.pauses, InOtherRegion: d.elsewhere, Log: d.logger})
 	d.editor = config.NewEditor(d.store, time.Now, func() config.Document { return d.follower.Document() })
 	d.follower = dissemination.NewFollower(dissemination.Options{
 		Sources: d.sources, Services: d.services, Timeout: time.Duration(d.settings.Platform.Timeout),
@@ -270,11 +270,11 @@
 		Quarantine: d.quarantine, Limits: d.limits, Drains: d.drains, OnNoAnswer: d.follower.Doubt,
 	})
 	d.follower.SetPeers(d.node)
-	d.operations = operation.NewExecutor(operation.Options{
-		Store: d.store, Writes: rate.NewLimiter(rate.Limit(d.settings.Platform.WritesPerSecond), 1), Now: d.now, Log: d.logger,
+	d.operations = operation.NewClaimer(operation.Options{
+		Store: d.store, WriteLimiter: rate.NewLimiter(rate.Limit(d.settings.Platform.WritesPerSecond), 1), Now: d.now, Log: d.logger,
 	})
 	d.slots = slots.NewClient(d.meter.For("places"), d.logger)
-	d.rollouts = rollout.NewKeeper(rollout.Options{Services: d.rolloutServices, Recorder: d.recorder, Log: d.logger})
+	d.rollouts = rollout.NewRunner(rollout.Options{Services: d.rolloutServices, Recorder: d.recorder, Log: d.logger})
 	d.rates.SetFleet(&rateFleet{daemon: d})
 	d.handler = frontend.NewHandler(frontend.Options{
 		Name: d.settings.Name, Zone: d.settings.Zone, Network: d.meter.For("forward"), Services: d.services, Peers: d, Slots: d.slots, Operations: d.operations,
@@ -310,7 +310,7 @@
 // run starts a goroutine for each duty.
 func (d *Daemon) run(ctx context.Context, listeners opened, scope tally.Scope, metrics http.Handler) {
 	d.serveCallers(listeners.caller, scope)
-	d.serveHTTP(listeners.forward, d.handler.Forwarded())
+	d.serveHTTP(listeners.forward, d.handler.ForwardedHandler())
 	d.serveHTTP(listeners.admin, admin.NewHandler(d, metrics))
 	if listeners.metrics != nil {
 		d.serveHTTP(listeners.metrics, admin.MetricsHandler(metrics))
@@ -363,7 +363,7 @@
 func (d *Daemon) serveCallers(listener net.Listener, scope tally.Scope) {
 	chosen := d.settings.Pipelining
 	d.callers = pipelining.New(pipelining.Options{
-		Handler: d.handler, Repeatable: d.handler.Repeatable, Refuse: d.handler.Refuse, Closing: d.stopping.Load, IDHeader: d.dialect.RequestID, Metrics: scope,
+		Handler: d.handler, Repeatable: d.handler.Repeatable, Refuse: d.handler.RefuseAmbiguous, Closing: d.stopping.Load, IDHeader: d.dialect.RequestID, Metrics: scope,
 		PerConnection: max(chosen.Requests, 0), Total: chosen.Total, RequestBytes: chosen.RequestBytes, AnswerBytes: chosen.AnswerBytes,
 	})
 	server := d.newServer(d.callers)
--- a/daemon/duties.go
+++ b/daemon/duties.go
@@ -85,7 +85,7 @@
 		for _, one := range running.Target().Backends {
 			// A back end that is not on the list is not known to leave.
 			key := drain.SignalKey{Key: backend.Key{Service: name, Backend: one.ID}, Source: drain.FromMachineList}
-			d.drains.Hear(drain.Signal{SignalKey: key, Draining: leaving[one.Address], Started: one.Started, Sent: time.Now()})
+			d.drains.Observe(drain.Signal{SignalKey: key, Draining: leaving[one.Address], Started: one.Started, Sent: time.Now()})
 		}
 	}
 }
@@ -154,8 +154,8 @@
 func (d *Daemon) Status(ctx context.Context) admin.Status {
 	status := admin.Status{
 		Daemon: d.settings.Name, Version: Version, Head: d.follower.Head(), Stored: d.follower.Position().Stored.String(), Era: d.store.Era(), Uptime: time.Since(d.started), Watching: d.follower.Watching(),
-		Evacuated: d.evacuated(), Quarantined: d.quarantine.Held(), Limited: d.limits.Limited(),
-		Leaving: d.drains.Draining(), Paused: d.pauses.Kept(),
+		Evacuated: d.evacuated(), Quarantined: d.quarantine.QuarantinedCount(), Limited: d.limits.LimitedCount(),
+		Leaving: d.drains.DrainingCount(), Paused: d.pauses.PauseCount(),
 	}
 	var waiting sync.WaitGroup
 	members := d.node.Members()
--- a/daemon/limits.go
+++ b/daemon/limits.go
@@ -11,7 +11,7 @@
 // isDeclared says whether a back end is declared.
 func (d *Daemon) isDeclared(key backend.Key) bool {
 	running, ok := d.services.Find(key.Service)
-	return ok && running.Declares(key.Backend)
+	return ok && running.HasBackend(key.Backend)
 }
 
 // applyLimit puts a back end's limit in force.
@@ -32,18 +32,18 @@
 
 // serviceLimits is what the daemon's services ask of limits. It implements service.Limits.
 type serviceLimits struct {
-	*backendlimit.Keeper
+	*backendlimit.Tracker
 	daemon *Daemon
 
 	mutex    sync.Mutex
-	parts    backendlimit.Parts
+	parts    backendlimit.Shares
 	reckoned time.Time
 }
 
-// Parts implements service.Limits.
-func (l *serviceLimits) Parts() backendlimit.Parts {
-	if l.Limited() == 0 {
-		return backendlimit.Whole
+// Shares implements service.Limits.
+func (l *serviceLimits) Shares() backendlimit.Shares {
+	if l.LimitedCount() == 0 {
+		return backendlimit.FullShares
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -21,10 +21,10 @@
 // CrashingRequests implements admin.QuarantineBackend.
 func (d *Daemon) CrashingRequests() []admin.CrashingRequest {
 	rows := []admin.CrashingRequest{}
-	for _, noted := range d.quarantine.Noted() {
+	for _, noted := range d.quarantine.Entries() {
 		rows = append(rows, admin.CrashingRequest{
-			Fingerprint: noted.Fingerprint.String(), Service: noted.Service, Request: noted.Request, Endings: len(noted.Endings),
-			Held: noted.Held, Ordered: noted.Ordered > 0, Until: noted.Until,
+			Fingerprint: noted.Fingerprint.String(), Service: noted.Service, Request: noted.Description, Endings: len(noted.Crashes),
+			Held: noted.Quarantined, Ordered: noted.ManualAt > 0, Until: noted.Until,
 		})
 	}
 	return rows
@@ -33,7 +33,7 @@
 // Quarantine implements admin.QuarantineBackend.
 func (d *Daemon) Quarantine(fingerprint quarantine.Fingerprint, release bool) error {
 	if !release {
-		d.quarantine.Hold(quarantine.Record{Fingerprint: fingerprint})
+		d.quarantine.Quarantine(quarantine.Record{Fingerprint: fingerprint})
 		return nil
 	}
 	if !d.quarantine.Release(fingerprint) {
--- a/dispatch/comeback.go
+++ b/dispatch/comeback.go
@@ -19,22 +19,22 @@
 // after as long as it has waited since its first try. Callers come back the later the
 // longer places are short, and not all at once, as they came at different times.
 func (c *Core) retryAfter(now time.Time, request Request, pace time.Duration) time.Duration {
-	wait := max(c.Queue.Wait(now, request.Weight, pace), comeBack(now, request))
+	wait := max(c.Queue.EstimateWait(now, request.Weight, pace), comeBack(now, request))
 	if until, all := c.Group.AllExcluded(now, request.Routing); all && !until.IsZero() {
 		return max(wait, min(until.Sub(now), maxComeBack))
 	}
-	if at, bound := c.Group.BoundUntil(now, request.Routing); bound {
+	if at, bound := c.Group.SessionBlockedUntil(now, request.Routing); bound {
 		return max(wait, min(at.Sub(now), maxComeBack))
 	}
 	return wait
 }
 
-// RetryAfterBackend is after how long a caller is told to come back whose request a back
+// RetryAfterRefusal is after how long a caller is told to come back whose request a back
 // end refused, at a place that it had waited for: after as long, as it would for another
 // one. A back end that refuses requests while places are free does so at random, or is left
 // out soon: with back ends that refuse half of all requests 0.943 instead of 0.916 of the
 // callers are served in time, compared with 100 ms (TestPatterns, shed).
-func RetryAfterBackend(waited time.Duration) time.Duration {
+func RetryAfterRefusal(waited time.Duration) time.Duration {
 	return min(max(waited, leastPause), maxComeBack)
 }
 
--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -26,8 +26,8 @@
 	Tenant string
 	// Objective is within which time of the first try an answer is worth most; 0: none.
 	Objective time.Duration
-	// Spare: the request wants a place only if one is free now.
-	Spare bool
+	// NoWait: the request wants a place only if one is free now.
+	NoWait bool
 	// Fingerprints are what the request shares with its repeats; 0: that is not known.
 	Fingerprints quarantine.Fingerprints
 	Routing      routing.Request
@@ -37,9 +37,9 @@
 // they go on waiting in milliseconds, so that a first try may look a few of them old.
 const returnedAge = 10 * time.Millisecond
 
-// Returned says whether the caller was refused before and has come back. One whose first
+// IsCallerRetry says whether the caller was refused before and has come back. One whose first
 // attempt failed after a while counts as well: it has as little time left.
-func (r Request) Returned(now time.Time) bool {
+func (r Request) IsCallerRetry(now time.Time) bool {
 	return !r.FirstTry.IsZero() && now.Sub(r.FirstTry) >= returnedAge
 }
 
@@ -56,16 +56,16 @@
 	Queue *admission.Queue
 	work  work
 	// rollout is this daemon's part in the rollout of the service; nil: there is none.
-	rollout *rollout.Plan
+	rollout *rollout.Controller
 
 	followed followed
 }
 
-// Place is a place at a back end.
-type Place struct {
+// Permit is a place at a back end.
+type Permit struct {
 	routing.PickResult
-	Since time.Time // when the request came
-	Sent  time.Time // when the place was given
+	ArrivedAt time.Time // when the request came
+	GrantedAt time.Time // when the place was given
 	// HedgeAfter is how long after Sent a second attempt is worth making; 0: not known.
 	HedgeAfter time.Duration
 	// Followed: it is told if the request met a disturbed back end, when a second attempt
@@ -80,7 +80,7 @@
 // Decision is what becomes of an offered request: exactly one of Place, Ticket
 // and Refused is set.
 type Decision struct {
-	Place   *Place
+	Place   *Permit
 	Ticket  *admission.Ticket // the request waits
 	Refused resultcode.Code
 	// Displaced is the payload of a waiting request that was refused instead,
@@ -114,22 +114,22 @@
 			return Decision{Refused: refused}
 		}
 	}
-	if !request.Spare {
-		c.Queue.Arrived(now, request.Weight)
+	if !request.NoWait {
+		c.Queue.RecordArrival(now, request.Weight)
 	}
 	if first := c.Queue.Peek(); first == nil || first.Weight < request.Weight || restricted(first) {
 		if result, ok := c.pick(now, request); ok {
 			return Decision{Place: c.place(now, now, request, result)}
 		}
 	}
-	if request.Spare {
+	if request.NoWait {
 		return Decision{Refused: resultcode.WaitExpired}
 	}
 	ticket := c.ticket(now, request, payload)
-	if at, bound := c.Group.BoundUntil(now, request.Routing); bound && at.After(ticket.Expiry) {
+	if at, bound := c.Group.SessionBlockedUntil(now, request.Routing); bound && at.After(ticket.Expiry) {
 		return Decision{Refused: resultcode.DeadlineTooShort} // no other back end has its session
 	}
-	verdict, displaced := c.Queue.Offer(now, ticket, c.Group.Pace(now))
+	verdict, displaced := c.Queue.Offer(now, ticket, c.Group.ServiceInterval(now))
 	var decision Decision
 	if displaced != nil {
 		decision.Displaced = displaced.Payload.(*waiting).payload
@@ -137,7 +137,7 @@
 	switch verdict {
 	case admission.Full:
 		decision.Refused = resultcode.QueueFull
-	case admission.Late:
+	case admission.TooLate:
 		decision.Refused = resultcode.DeadlineTooShort
 	default:
 		decision.Ticket = ticket
@@ -146,18 +146,18 @@
 }
 
 // place returns the place that was picked for a request which came at a time.
-func (c *Core) place(now, since time.Time, request Request, result routing.PickResult) *Place {
+func (c *Core) place(now, since time.Time, request Request, result routing.PickResult) *Permit {
 	known := c.work.of(request.Class)
 	if c.rollout != nil {
 		c.rollout.Granted(now, result.Backend.Version)
 	}
-	place := &Place{
-		PickResult: result, Since: since, Sent: now, class: request.Class,
-		HedgeAfter: known.hedgeAfter(now, request, result.MostFull), Followed: known.follows(now, request),
+	place := &Permit{
+		PickResult: result, ArrivedAt: since, GrantedAt: now, class: request.Class,
+		HedgeAfter: known.hedgeAfter(now, request, result.MostlyFull), Followed: known.follows(now, request),
 	}
 	if place.Followed {
 		c.followed.add(place)
-		c.Group.Follow(now, place.Backend)
+		c.Group.ScheduleArrivalProbe(now, place.Backend)
 	}
 	return place
 }
@@ -169,19 +169,19 @@
 	}
 	return &admission.Ticket{
 		Weight: request.Weight, Deadline: request.Deadline, Expiry: expiry, FirstTry: request.FirstTry,
-		Useful:  c.work.of(request.Class).useful(request),
-		Payload: &waiting{request: request, since: now, payload: payload},
+		UsefulUntil: c.work.of(request.Class).useful(request),
+		Payload:     &waiting{request: request, since: now, payload: payload},
 	}
 }
 
 // Done gives a place back. latency counts only for a success.
-func (c *Core) Done(now time.Time, place *Place, outcome routing.Outcome, latency time.Duration) {
+func (c *Core) Done(now time.Time, place *Permit, outcome routing.Outcome, latency time.Duration) {
 	if place.Followed {
 		c.followed.remove(place)
 	}
 	c.judge(now, place, outcome, latency)
-	c.Group.Finished(place.PickResult, now, outcome, latency)
-	c.Queue.Served(now)
+	c.Group.Done(place.PickResult, now, outcome, latency)
+	c.Queue.RecordRelease(now)
 	if outcome == routing.Success {
 		c.work.learn(place.class, latency)
 	}
@@ -190,7 +190,7 @@
 // Next gives a free place to the waiting request that goes first, and returns
 // it with the request's payload; nil when nothing waits or no place is free. It
 // is called until it returns nil after every change.
-func (c *Core) Next(now time.Time) (*Place, any) {
+func (c *Core) Next(now time.Time) (*Permit, any) {
 	first := c.Queue.Peek()
 	if first == nil {
 		return nil, nil
@@ -200,7 +200,7 @@
 		return place, payload
 	}
 	// What is left out for the first may be free for those behind it.
-	for _, ticket := range c.Queue.Foremost(mostPassing)[1:] {
+	for _, ticket := range c.Queue.PeekN(mostPassing)[1:] {
 		if place, payload := c.give(now, ticket); place != nil || !restricted(ticket) {
 			return place, payload
 		}
@@ -218,7 +218,7 @@
 
 // give gives a free place to a waiting request, and returns it with the request's payload; nil where there is none
 // that it may use.
-func (c *Core) give(now time.Time, ticket *admission.Ticket) (*Place, any) {
+func (c *Core) give(now time.Time, ticket *admission.Ticket) (*Permit, any) {
 	waiter := ticket.Payload.(*waiting)
 	result, ok := c.Group.Pick(now, waiter.request.Routing)
 	if !ok {
@@ -235,40 +235,40 @@
 		return resultcode.NoBackend
 	}
 	ticket := c.ticket(now, request, nil)
-	if until.After(ticket.Expiry) || !ticket.Useful.IsZero() && until.After(ticket.Useful) {
+	if until.After(ticket.Expiry) || !ticket.UsefulUntil.IsZero() && until.After(ticket.UsefulUntil) {
 		return resultcode.BackendsPaused
 	}
 	return 0
 }
 
 // Report takes in a load report of a back end.
-func (c *Core) Report(now time.Time, state *routing.State, report routing.Report) {
-	c.Group.Report(state, report, c.Queue.Len() > 0, now)
+func (c *Core) Report(now time.Time, state *routing.BackendState, report routing.Report) {
+	c.Group.RecordReport(state, report, c.Queue.Len() > 0, now)
 }
 
-// Hopeless takes out the waiting requests that are not likely any more to get a place in
+// Shed takes out the waiting requests that are not likely any more to get a place in
 // time, and returns them with their payloads.
-func (c *Core) Hopeless(now time.Time) []Hopeless {
+func (c *Core) Shed(now time.Time) []ShedRequest {
 	if c.Queue.Len() == 0 {
 		return nil
 	}
-	var found []Hopeless
-	for _, ticket := range c.Queue.Hopeless(now, c.Group.Pace(now)) {
+	var found []ShedRequest
+	for _, ticket := range c.Queue.Shed(now, c.Group.ServiceInterval(now)) {
 		waiter := ticket.Payload.(*waiting)
-		found = append(found, Hopeless{Request: waiter.request, Payload: waiter.payload})
+		found = append(found, ShedRequest{Request: waiter.request, Payload: waiter.payload})
 	}
 	return found
 }
 
-// Hopeless is a request that waited and is refused.
-type Hopeless struct {
+// ShedRequest is a request that waited and is refused.
+type ShedRequest struct {
 	Request Request
 	Payload any
 }
 
-// Refuse returns what a request is told that is refused a place.
-func (c *Core) Refuse(now time.Time, request Request, code resultcode.Code) *resultcode.Failure {
-	pace := c.Group.Pace(now) // a walk over all back ends
+// Refusal returns what a request is told that is refused a place.
+func (c *Core) Refusal(now time.Time, request Request, code resultcode.Code) *resultcode.Failure {
+	pace := c.Group.ServiceInterval(now) // a walk over all back ends
 	return &resultcode.Failure{Code: code, Detail: c.explain(now, request, code, pace), RetryAfter: c.retryAfter(now, request, pace)}
 }
 
@@ -276,7 +276,7 @@
 func (c *Core) explain(now time.Time, request Request, code resultcode.Code, pace time.Duration) string {
 	switch {
 	case code == resultcode.NoBackend:
-		return c.Group.Unavailable()
+		return c.Group.UnavailableReason()
 	case code == resultcode.BackendsPaused:
 		return fmt.Sprintf("%d of %d %s", len(request.Routing.Excluded), len(c.Group.States()), routing.PhrasePaused)
 	case !c.work.of(request.Class).servable(now, request):
@@ -284,7 +284,7 @@
 			request.Deadline.Sub(now).Round(time.Millisecond), c.work.of(request.Class).fastest.Round(time.Millisecond))
 	}
 	why := "no place in time: " + c.Queue.Describe(now, request.Weight, pace)
-	if leftOut := c.Group.LeftOut(now); leftOut != "" {
+	if leftOut := c.Group.RestrictionSummary(now); leftOut != "" {
 		why += "; " + leftOut
 	}
 	return why
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -48,15 +48,15 @@
 	d.onEjection = told
 }
 
-// OnLearned sets what is told when the number of requests in flight that back ends with
+// OnConcurrencyHint sets what is told when the number of requests in flight that back ends with
 // so many slots do best with is found to be another one. It must be called before the
 // first request; told must not block.
-func (d *Dispatcher) OnLearned(told func(slots, before, after int)) {
+func (d *Dispatcher) OnConcurrencyHint(told func(slots, before, after int)) {
 	d.onLearned = told
 }
 
 // changeHealth is change for what may eject a back end or let it back in.
-func (d *Dispatcher) changeHealth(state *routing.State, apply func(now time.Time)) {
+func (d *Dispatcher) changeHealth(state *routing.BackendState, apply func(now time.Time)) {
 	var before, after bool
 	var bestBefore, bestAfter int
 	d.change(func() {
@@ -95,14 +95,14 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.build(time.Now())
-	return d.core.Group.ProbeTarget(time.Now(), silence)
+	return d.core.Group.HealthProbeTarget(time.Now(), silence)
 }
 
-// Probing notes that a back end is being probed.
-func (d *Dispatcher) Probing(id string) {
+// RecordHealthProbeStart notes that a back end is being probed.
+func (d *Dispatcher) RecordHealthProbeStart(id string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.core.Group.Probing(time.Now(), id)
+	d.core.Group.RecordHealthProbeStart(time.Now(), id)
 }
 
 // StaleTarget returns a back end that a probe should bring a fresher report of, and
@@ -111,14 +111,14 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.build(time.Now())
-	return d.core.Group.StaleTarget(time.Now(), freshness, interval)
+	return d.core.Group.LoadProbeTarget(time.Now(), freshness, interval)
 }
 
-// Refreshed takes in the report that a probe brought.
-func (d *Dispatcher) Refreshed(id string, report routing.Report) {
+// RecordLoadProbe takes in the report that a probe brought.
+func (d *Dispatcher) RecordLoadProbe(id string, report routing.Report) {
 	var met []func()
 	d.change(func() {
-		for _, place := range d.core.Refreshed(time.Now(), id, report) {
+		for _, place := range d.core.RecordLoadProbe(time.Now(), id, report) {
 			place.disturbed = true
 			if place.told != nil {
 				met = append(met, place.told)
@@ -130,21 +130,21 @@
 	}
 }
 
-// Unprobed notes that a probe told nothing.
-func (d *Dispatcher) Unprobed(id string) {
+// RecordLoadProbeFailure notes that a probe told nothing.
+func (d *Dispatcher) RecordLoadProbeFailure(id string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.core.Group.Unprobed(id)
+	d.core.Group.RecordLoadProbeFailure(id)
 }
 
-// Probed takes in the outcome of a probe; report is nil where the back end did
+// RecordHealthProbe takes in the outcome of a probe; report is nil where the back end did
 // not report its load.
-func (d *Dispatcher) Probed(id string, well bool, report *routing.Report) {
+func (d *Dispatcher) RecordHealthProbe(id string, well bool, report *routing.Report) {
 	d.mutex.Lock()
 	state := d.core.Group.State(id)
 	d.mutex.Unlock()
 	if state != nil {
-		d.changeHealth(state, func(now time.Time) { d.core.Group.Probed(now, id, well, report) })
+		d.changeHealth(state, func(now time.Time) { d.core.Group.RecordHealthProbe(now, id, well, report) })
 	}
 }
 
@@ -158,7 +158,7 @@
 
 // Grant is a place at a back end. Its owner calls Done exactly once.
 type Grant struct {
-	*Place
+	*Permit
 	dispatcher *Dispatcher
 }
 
@@ -177,7 +177,7 @@
 
 // Waited returns how long the request waited for its place.
 func (g *Grant) Waited() time.Duration {
-	return g.Sent.Sub(g.Since)
+	return g.GrantedAt.Sub(g.ArrivedAt)
 }
 
 // answer is what a waiting request is told: a grant, or a refusal.
@@ -198,7 +198,7 @@
 		return nil, refused
 	}
 	if decision.Place != nil {
-		return &Grant{Place: decision.Place, dispatcher: d}, nil
+		return &Grant{Permit: decision.Place, dispatcher: d}, nil
 	}
 	return d.await(ctx, request, decision.Ticket, told)
 }
@@ -210,10 +210,10 @@
 	d.build(now)
 	decision := d.core.Offer(now, request, told)
 	if decision.Displaced != nil {
-		decision.Displaced.(answers) <- answer{refused: d.core.Refuse(now, request, resultcode.QueueFull)}
+		decision.Displaced.(answers) <- answer{refused: d.core.Refusal(now, request, resultcode.QueueFull)}
 	}
 	if decision.Refused != 0 {
-		return Decision{}, d.core.Refuse(now, request, decision.Refused)
+		return Decision{}, d.core.Refusal(now, request, decision.Refused)
 	}
 	if decision.Ticket != nil {
 		d.recheckSoon()
@@ -244,8 +244,8 @@
 	d.rechecking = false
 	now := time.Now()
 	d.serve(now)
-	for _, one := range d.core.Hopeless(now) {
-		one.Payload.(answers) <- answer{refused: d.core.Refuse(now, one.Request, resultcode.DeadlineTooShort)}
+	for _, one := range d.core.Shed(now) {
+		one.Payload.(answers) <- answer{refused: d.core.Refusal(now, one.Request, resultcode.DeadlineTooShort)}
 	}
 	if d.core.Queue.Len() > 0 {
 		d.recheckSoon()
@@ -296,7 +296,7 @@
 		if place == nil {
 			return
 		}
-		payload.(answers) <- answer{grant: &Grant{Place: place, dispatcher: d}}
+		payload.(answers) <- answer{grant: &Grant{Permit: place, dispatcher: d}}
 	}
 }
 
@@ -308,7 +308,7 @@
 		if report != nil {
 			d.core.Report(now, g.Backend, *report)
 		}
-		d.core.Done(now, g.Place, outcome, latency)
+		d.core.Done(now, g.Permit, outcome, latency)
 	})
 }
 
@@ -320,7 +320,7 @@
 	InFlight int    `json:"in_flight"`
 	// BestInFlight is with how many it does best, as learned; 0: nothing bounds it.
 	BestInFlight int     `json:"best_in_flight"`
-	Others       float64 `json:"others"`
+	PeerInFlight float64 `json:"others"`
 	Draining     bool    `json:"draining"`
 	Evacuated    bool    `json:"evacuated"` // its zone is, which is why it is draining
 	Cold         bool    `json:"cold"`
@@ -336,17 +336,17 @@
 
 // LeavingStatus is what the asked daemon knows of a back end that is leaving.
 type LeavingStatus struct {
-	Source string        `json:"source"`
-	Told   bool          `json:"told"` // by another daemon
-	Since  time.Duration `json:"since_ns"`
+	Source         string        `json:"source"`
+	ReportedByPeer bool          `json:"told"` // by another daemon
+	Since          time.Duration `json:"since_ns"`
 }
 
-// Looks returns how often all back ends were looked at for a request, which is most of
+// ScanCount returns how often all back ends were looked at for a request, which is most of
 // what dispatching costs.
-func (d *Dispatcher) Looks() int {
+func (d *Dispatcher) ScanCount() int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.core.Group.Looks()
+	return d.core.Group.ScanCount()
 }
 
 // Status returns the back ends' states and the number of waiting requests.
@@ -358,7 +358,7 @@
 	for _, state := range group.States() {
 		backends = append(backends, BackendStatus{
 			ID: state.ID, Zone: state.Zone, Slots: state.Slots, InFlight: state.InFlight, BestInFlight: group.BestInFlight(state.ID),
-			Others: state.Others(now), Draining: state.Draining, Evacuated: state.Evacuated, Cold: state.Cold(now), Limit: state.Limit(now), Ejected: state.Ejected(now), Latency: state.Latency(),
+			PeerInFlight: state.PeerInFlight(now), Draining: state.Draining, Evacuated: state.Evacuated, Cold: state.Cold(now), Limit: state.Limit(now), Ejected: state.Ejected(now), Latency: state.Latency(),
 		})
 	}
 	return backends, d.core.Queue.Len()
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -250,10 +250,10 @@
 		d := newDispatcher(2, 10)
 		busy, disturbed := fill(t, d), fill(t, d)
 		for range 50 {
-			d.Refreshed(busy.Backend.ID, routing.Report{Slowdown: 1})
+			d.RecordLoadProbe(busy.Backend.ID, routing.Report{Slowdown: 1})
 		}
 		disturbed.Done(routing.Canceled, 0, nil)
-		d.Refreshed(disturbed.Backend.ID, routing.Report{Slowdown: 5})
+		d.RecordLoadProbe(disturbed.Backend.ID, routing.Report{Slowdown: 5})
 		begun := time.Now()
 		grant, err := d.Acquire(t.Context(), request(1, time.Second))
 		require.NoError(t, err)
@@ -276,9 +276,9 @@
 			waiting.Go(func() { _, _ = d.Acquire(ctx, request(1, 0)) })
 		}
 		synctest.Wait()
-		before := d.Looks()
+		before := d.ScanCount()
 		waiting.Wait()
-		require.LessOrEqual(t, d.Looks()-before, 50, "in a second, every 20 ms")
+		require.LessOrEqual(t, d.ScanCount()-before, 50, "in a second, every 20 ms")
 	})
 }
 
--- a/dispatch/follow.go
+++ b/dispatch/follow.go
@@ -15,18 +15,18 @@
 // followed are the places of which it is to be learned whether their requests met a
 // disturbed back end. The zero value holds none.
 type followed struct {
-	byBackend map[*routing.State][]*Place
+	byBackend map[*routing.BackendState][]*Permit
 }
 
-func (f *followed) add(place *Place) {
+func (f *followed) add(place *Permit) {
 	if f.byBackend == nil {
-		f.byBackend = make(map[*routing.State][]*Place)
+		f.byBackend = make(map[*routing.BackendState][]*Permit)
 	}
 	f.byBackend[place.Backend] = append(f.byBackend[place.Backend], place)
 }
 
-func (f *followed) remove(place *Place) {
-	left := slices.DeleteFunc(f.byBackend[place.Backend], func(one *Place) bool { return one == place })
+func (f *followed) remove(place *Permit) {
+	left := slices.DeleteFunc(f.byBackend[place.Backend], func(one *Permit) bool { return one == place })
 	if len(left) == 0 {
 		delete(f.byBackend, place.Backend)
 		return
@@ -36,13 +36,13 @@
 
 // met takes out the places whose requests met a disturbance, after a back end has told how
 // it is.
-func (f *followed) met(now time.Time, state *routing.State) []*Place {
+func (f *followed) met(now time.Time, state *routing.BackendState) []*Permit {
 	if !state.Disturbed() {
 		return nil
 	}
-	var met []*Place
+	var met []*Permit
 	for _, place := range slices.Clone(f.byBackend[state]) {
-		if now.Sub(place.Sent) <= metWithin {
+		if now.Sub(place.GrantedAt) <= metWithin {
 			f.remove(place)
 			met = append(met, place)
 		}
@@ -50,10 +50,10 @@
 	return met
 }
 
-// Refreshed takes in the report that a probe brought, and returns the places whose requests
+// RecordLoadProbe takes in the report that a probe brought, and returns the places whose requests
 // have just met a disturbance at the back end: a second attempt is worth making at once.
-func (c *Core) Refreshed(now time.Time, id string, report routing.Report) []*Place {
-	c.Group.Refreshed(now, id, report)
+func (c *Core) RecordLoadProbe(now time.Time, id string, report routing.Report) []*Permit {
+	c.Group.RecordLoadProbe(now, id, report)
 	state := c.Group.State(id)
 	if state == nil {
 		return nil
--- a/dispatch/follow_test.go
+++ b/dispatch/follow_test.go
@@ -17,7 +17,7 @@
 }
 
 // offered returns the place that a request gets.
-func offered(t *testing.T, core *Core, now time.Time, request Request) *Place {
+func offered(t *testing.T, core *Core, now time.Time, request Request) *Permit {
 	t.Helper()
 	decision := core.Offer(now, request, nil)
 	require.NotNil(t, decision.Place)
@@ -27,7 +27,7 @@
 // calm lets a back end tell often that it is undisturbed.
 func calm(core *Core, id string) {
 	for range 100 {
-		core.Refreshed(epoch, id, routing.Report{Slowdown: 1})
+		core.RecordLoadProbe(epoch, id, routing.Report{Slowdown: 1})
 	}
 }
 
@@ -38,14 +38,14 @@
 	calm(core, "a")
 	place := offered(t, core, epoch, followedReading(0))
 	require.True(t, place.Followed)
-	_, wanted := core.Group.StaleTarget(epoch.Add(time.Millisecond), time.Second, 0)
+	_, wanted := core.Group.LoadProbeTarget(epoch.Add(time.Millisecond), time.Second, 0)
 	require.False(t, wanted, "the request is still on its way")
 	reached := epoch.Add(5 * time.Millisecond)
-	id, wanted := core.Group.StaleTarget(reached, time.Second, 0)
+	id, wanted := core.Group.LoadProbeTarget(reached, time.Second, 0)
 	require.True(t, wanted)
 	require.Equal(t, "a", id)
-	require.Equal(t, []*Place{place}, core.Refreshed(reached, id, routing.Report{Slowdown: 5}))
-	require.Empty(t, core.Refreshed(reached, id, routing.Report{Slowdown: 5}), "it is told once")
+	require.Equal(t, []*Permit{place}, core.RecordLoadProbe(reached, id, routing.Report{Slowdown: 5}))
+	require.Empty(t, core.RecordLoadProbe(reached, id, routing.Report{Slowdown: 5}), "it is told once")
 }
 
 // TestOnlyFreshDisturbancesCount says nothing of requests whose back end is well, that ended,
@@ -54,22 +54,22 @@
 	core := learned(1)
 	calm(core, "a")
 	offered(t, core, epoch, followedReading(0))
-	require.Empty(t, core.Refreshed(epoch.Add(5*time.Millisecond), "a", routing.Report{Slowdown: 1.1}), "it is well")
-	require.Empty(t, core.Refreshed(epoch.Add(metWithin+time.Millisecond), "a", routing.Report{Slowdown: 5}), "it may have turned so later")
+	require.Empty(t, core.RecordLoadProbe(epoch.Add(5*time.Millisecond), "a", routing.Report{Slowdown: 1.1}), "it is well")
+	require.Empty(t, core.RecordLoadProbe(epoch.Add(metWithin+time.Millisecond), "a", routing.Report{Slowdown: 5}), "it may have turned so later")
 
 	core = learned(1)
 	calm(core, "a")
 	place := offered(t, core, epoch, followedReading(0))
 	core.Done(epoch.Add(time.Millisecond), place, routing.Success, time.Millisecond)
-	require.Empty(t, core.Refreshed(epoch.Add(5*time.Millisecond), "a", routing.Report{Slowdown: 5}), "it has ended")
+	require.Empty(t, core.RecordLoadProbe(epoch.Add(5*time.Millisecond), "a", routing.Report{Slowdown: 5}), "it has ended")
 }
 
 // TestNobodyAsksWhoTellsNothing asks no back end what a request met where none ever told it.
 func TestNobodyAsksWhoTellsNothing(t *testing.T) {
 	core := learned(1)
-	core.Refreshed(epoch, "a", routing.Report{InFlight: 1})
+	core.RecordLoadProbe(epoch, "a", routing.Report{InFlight: 1})
 	offered(t, core, epoch, followedReading(0))
-	_, wanted := core.Group.StaleTarget(epoch.Add(5*time.Millisecond), time.Second, 0)
+	_, wanted := core.Group.LoadProbeTarget(epoch.Add(5*time.Millisecond), time.Second, 0)
 	require.False(t, wanted)
 }
 
--- a/dispatch/rollout.go
+++ b/dispatch/rollout.go
@@ -10,15 +10,15 @@
 
 // SetRollout takes in the record of the service's rollout; nil: there is none.
 func (c *Core) SetRollout(now time.Time, order *config.Rollout, holds bool) {
-	c.Group.HoldVersions(holds)
+	c.Group.SetHoldNewVersions(holds)
 	switch {
 	case order == nil:
 		c.rollout = nil
 		c.Group.SetVersionRule(routing.VersionRule{})
 	case c.rollout == nil:
-		c.rollout = rollout.NewPlan(now, *order)
+		c.rollout = rollout.NewController(now, *order)
 	default:
-		c.rollout.Follow(now, *order)
+		c.rollout.Update(now, *order)
 	}
 	c.applyVersionRule(now)
 }
@@ -45,14 +45,14 @@
 
 // dispatched says whether the request came to this daemon as the one dispatcher of the service.
 func (r Request) dispatched() bool {
-	return r.Routing.Choosers <= 1
+	return r.Routing.IndependentDaemons <= 1
 }
 
 // pick chooses a back end for a new request.
 func (c *Core) pick(now time.Time, request Request) (routing.PickResult, bool) {
 	c.applyVersionRule(now)
-	if c.rollout != nil && request.dispatched() && !request.Spare && c.rollout.Expose(now, request.Class) {
-		if result, ok := c.Group.PickOfVersion(now, request.Routing, c.rollout.Order().Version, c.rollout.Turn()); ok {
+	if c.rollout != nil && request.dispatched() && !request.NoWait && c.rollout.ShouldExpose(now, request.Class) {
+		if result, ok := c.Group.PickCanary(now, request.Routing, c.rollout.Order().Version, c.rollout.Rotation()); ok {
 			c.rollout.Exposed()
 			return result, true
 		}
@@ -63,22 +63,22 @@
 // judge lets a rollout learn from how a request ended. That a back end is tried which has failed before says
 // nothing new: as requests moved to a version of which a quarter of the back ends was gone, the trials of these
 // accused it.
-func (c *Core) judge(now time.Time, place *Place, outcome routing.Outcome, latency time.Duration) {
+func (c *Core) judge(now time.Time, place *Permit, outcome routing.Outcome, latency time.Duration) {
 	if c.rollout == nil {
 		return
 	}
-	if outcome == routing.Refused || place.Reason == routing.ReasonTrial {
-		c.rollout.Untold(place.Sent, place.Backend.Version)
+	if outcome == routing.ConnectionRefused || place.Reason == routing.ReasonTrial {
+		c.rollout.Discarded(place.GrantedAt, place.Backend.Version)
 		return
 	}
-	answer := rollout.Answer{Class: place.class, Backend: place.Backend.ID, Took: latency, Sent: place.Sent, Cold: place.Backend.Cold(now)}
+	answer := rollout.Sample{Class: place.class, Backend: place.Backend.ID, Latency: latency, Sent: place.GrantedAt, Cold: place.Backend.Cold(now)}
 	switch outcome {
-	case routing.Failed:
+	case routing.ErrorResponse:
 		answer.Failed = true
-	case routing.Unserved, routing.PushedBack, routing.Ended:
+	case routing.Unserved, routing.PushedBack, routing.ProcessExited:
 		answer.Unserved = true
 	case routing.Canceled:
-		answer.GivenUp, answer.Took = true, now.Sub(place.Sent)
+		answer.Canceled, answer.Latency = true, now.Sub(place.GrantedAt)
 	}
-	c.rollout.Answered(now, place.Backend.Version, answer)
+	c.rollout.Finished(now, place.Backend.Version, answer)
 }
--- a/dispatch/standby.go
+++ b/dispatch/standby.go
@@ -79,7 +79,7 @@
 func (s *standby) fill(group *routing.Group, now time.Time) {
 	group.SetBackends(now, s.backends(now))
 	if s.advice.id != "" {
-		group.Advise(s.advice.id, s.advice.inFlight)
+		group.SetConcurrencyHint(s.advice.id, s.advice.inFlight)
 	}
 }
 
@@ -113,20 +113,20 @@
 	})
 }
 
-// Excludes says whether a version of the service gets no requests, not even to be judged by.
-func (d *Dispatcher) Excludes(version string) bool {
+// ExcludesVersion says whether a version of the service gets no requests, not even to be judged by.
+func (d *Dispatcher) ExcludesVersion(version string) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.core.Group.ExcludesVersion(version)
 }
 
-// Advise takes in what another daemon that dispatches the service has learned of back
+// SetConcurrencyHint takes in what another daemon that dispatches the service has learned of back
 // ends like this one, so that this one need not learn it anew when it takes over.
-func (d *Dispatcher) Advise(id string, inFlight int) {
+func (d *Dispatcher) SetConcurrencyHint(id string, inFlight int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.standby.backends == nil {
-		d.core.Group.Advise(id, inFlight)
+		d.core.Group.SetConcurrencyHint(id, inFlight)
 	} else if inFlight > 0 {
 		d.standby.advice = advice{id: id, inFlight: inFlight}
 	}
--- a/dispatch/work_test.go
+++ b/dispatch/work_test.go
@@ -61,7 +61,7 @@
 func TestSpareDoesNotWait(t *testing.T) {
 	core := learned(1)
 	spare := reading(0)
-	spare.Spare = true
+	spare.NoWait = true
 	require.NotNil(t, core.Offer(epoch, spare, nil).Place)
 	require.Equal(t, resultcode.WaitExpired, core.Offer(epoch, spare, nil).Refused)
 	require.Zero(t, core.Queue.Len())
@@ -73,12 +73,12 @@
 	core := learned(1)
 	core.Offer(epoch, reading(0), nil)
 	require.NotNil(t, core.Offer(epoch, reading(0), "waits").Ticket)
-	require.Empty(t, core.Hopeless(epoch.Add(290*time.Millisecond)))
+	require.Empty(t, core.Shed(epoch.Add(290*time.Millisecond)))
 	late := epoch.Add(310 * time.Millisecond)
-	hopeless := core.Hopeless(late)
+	hopeless := core.Shed(late)
 	require.Len(t, hopeless, 1)
 	require.Equal(t, "waits", hopeless[0].Payload)
-	require.GreaterOrEqual(t, core.Refuse(late, hopeless[0].Request, resultcode.DeadlineTooShort).RetryAfter, leastComeBack)
+	require.GreaterOrEqual(t, core.Refusal(late, hopeless[0].Request, resultcode.DeadlineTooShort).RetryAfter, leastComeBack)
 }
 
 // TestHedgeAfter makes a second attempt when a request is slower than most of its class,
--- a/drain/keeper.go
+++ b/drain/keeper.go
@@ -23,14 +23,14 @@
 	Declared func(backend.Key) bool
 	// Apply puts what is known of a back end in force where places are given out.
 	Apply func(backend.Key)
-	// Tell tells the other daemons of news that this one has heard.
-	Tell    func(Record)
-	Log     *slog.Logger
-	Metrics tally.Scope
+	// Broadcast tells the other daemons of news that this one has heard.
+	Broadcast func(Record)
+	Log       *slog.Logger
+	Metrics   tally.Scope
 }
 
-// Keeper is a daemon's table of leaving back ends. It is safe for concurrent use; but for Run, no method blocks.
-type Keeper struct {
+// Tracker is a daemon's table of leaving back ends. It is safe for concurrent use; but for Run, no method blocks.
+type Tracker struct {
 	options Options
 	log     *slog.Logger
 	gauge   tally.Gauge
@@ -41,18 +41,18 @@
 	table *Table
 }
 
-// NewKeeper returns a keeper that has heard nothing.
-func NewKeeper(options Options) *Keeper {
-	return &Keeper{options: options, log: logging.Part(options.Log, "drains"), table: NewTable(), gauge: options.Metrics.Gauge("backends_leaving")}
+// NewTracker returns a keeper that has heard nothing.
+func NewTracker(options Options) *Tracker {
+	return &Tracker{options: options, log: logging.Part(options.Log, "drains"), table: NewTable(), gauge: options.Metrics.Gauge("backends_leaving")}
 }
 
-// Hear takes in what this daemon hears. The request path calls it.
-func (k *Keeper) Hear(signal Signal) {
+// Observe takes in what this daemon hears. The request path calls it.
+func (k *Tracker) Observe(signal Signal) {
 	if !signal.Draining && k.draining.Load() == 0 {
 		return
 	}
 	k.mutex.Lock()
-	news := k.table.Hear(time.Now(), signal)
+	news := k.table.Observe(time.Now(), signal)
 	record, _ := k.table.Record(signal.SignalKey)
 	k.count()
 	k.mutex.Unlock()
@@ -60,16 +60,16 @@
 		return
 	}
 	k.options.Apply(signal.Key)
-	k.logChange(record, signal.Source.String(), signal.Request)
-	k.options.Tell(record)
+	k.logChange(record, signal.Source.String(), signal.RequestID)
+	k.options.Broadcast(record)
 }
 
-// Take implements peer.Records.
-func (k *Keeper) Take(told []Record) []Record {
+// Merge implements peer.Records.
+func (k *Tracker) Merge(told []Record) []Record {
 	var news []Record
 	for _, record := range told {
 		k.mutex.Lock()
-		isNews := k.table.Take(time.Now(), record)
+		isNews := k.table.Merge(time.Now(), record)
 		k.count()
 		k.mutex.Unlock()
 		if isNews {
@@ -82,13 +82,13 @@
 }
 
 // count publishes how many signals say that a back end is leaving. The caller holds the mutex.
-func (k *Keeper) count() {
-	k.draining.Store(int64(k.table.Draining()))
-	k.gauge.Update(float64(k.table.Draining()))
+func (k *Tracker) count() {
+	k.draining.Store(int64(k.table.DrainingCount()))
+	k.gauge.Update(float64(k.table.DrainingCount()))
 }
 
 // logChange logs what is known from now on. request is the id of the request whose answer said it; empty: none did.
-func (k *Keeper) logChange(record Record, heardFrom, request string) {
+func (k *Tracker) logChange(record Record, heardFrom, request string) {
 	message := "back end is leaving"
 	if !record.Draining {
 		message = "back end is back"
@@ -99,7 +99,7 @@
 
 // Leaving returns from which source the run of a back end that started at a time is leaving, and false where nobody
 // says so. 0: whichever run. The request path calls it.
-func (k *Keeper) Leaving(key backend.Key, started int64) (Notice, bool) {
+func (k *Tracker) Leaving(key backend.Key, started int64) (Notice, bool) {
 	if k.draining.Load() == 0 {
 		return Notice{}, false
 	}
@@ -108,30 +108,30 @@
 	return k.table.Leaving(key, started)
 }
 
-// Draining returns how many signals say that a back end is leaving.
-func (k *Keeper) Draining() int {
+// DrainingCount returns how many signals say that a back end is leaving.
+func (k *Tracker) DrainingCount() int {
 	return int(k.draining.Load())
 }
 
 // Record implements peer.Records.
-func (k *Keeper) Record(key SignalKey) (Record, bool) {
+func (k *Tracker) Record(key SignalKey) (Record, bool) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	return k.table.Record(key)
 }
 
 // Records implements peer.Records.
-func (k *Keeper) Records(most int) []Record {
+func (k *Tracker) Records(most int) []Record {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	return k.table.Records(most)
 }
 
 // Run drops what is not needed any more until ctx ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Tracker) Run(ctx context.Context) {
 	for wait.Sleep(ctx, forgetInterval) {
 		k.mutex.Lock()
-		k.table.Forget(time.Now(), k.options.Declared)
+		k.table.Prune(time.Now(), k.options.Declared)
 		k.count()
 		k.mutex.Unlock()
 	}
--- a/drain/table.go
+++ b/drain/table.go
@@ -63,16 +63,16 @@
 	Draining bool
 	Started  int64     // of the run that says it; 0: not known
 	Sent     time.Time // when the request was sent whose answer says it
-	// Request is the id of that request; empty: there is none.
-	Request string
+	// RequestID is the id of that request; empty: there is none.
+	RequestID string
 }
 
 // Notice says since when and from whom this daemon knows that a back end is leaving.
 type Notice struct {
 	Record
 	Since time.Time
-	// Told: another daemon told it; otherwise this one heard it.
-	Told bool
+	// ReportedByPeer: another daemon told it; otherwise this one heard it.
+	ReportedByPeer bool
 
 	declared time.Time // when the back end was last seen declared; zero: not since it is known
 }
@@ -88,8 +88,8 @@
 	return &Table{entries: make(map[SignalKey]*Notice)}
 }
 
-// Hear takes in what this daemon hears, and says whether it is news.
-func (t *Table) Hear(now time.Time, signal Signal) bool {
+// Observe takes in what this daemon hears, and says whether it is news.
+func (t *Table) Observe(now time.Time, signal Signal) bool {
 	known := t.current(signal.SignalKey, signal.Started)
 	switch {
 	case known != nil && isEarlier(signal.Started, known.Started):
@@ -107,8 +107,8 @@
 	return true
 }
 
-// Take takes in what another daemon tells, and says whether it is news.
-func (t *Table) Take(now time.Time, record Record) bool {
+// Merge takes in what another daemon tells, and says whether it is news.
+func (t *Table) Merge(now time.Time, record Record) bool {
 	known := t.current(record.SignalKey, record.Started)
 	switch {
 	case known == nil:
@@ -156,7 +156,7 @@
 	if known := t.entries[record.SignalKey]; known != nil {
 		t.drop(known)
 	}
-	t.entries[record.SignalKey] = &Notice{Record: record, Since: now, Told: told}
+	t.entries[record.SignalKey] = &Notice{Record: record, Since: now, ReportedByPeer: told}
 	if record.Draining {
 		t.draining++
 	}
@@ -181,8 +181,8 @@
 	return Notice{}, false
 }
 
-// Draining returns how many signals say that a back end is leaving.
-func (t *Table) Draining() int {
+// DrainingCount returns how many signals say that a back end is leaving.
+func (t *Table) DrainingCount() int {
 	return t.draining
 }
 
@@ -208,9 +208,9 @@
 	return records
 }
 
-// Forget drops what was taken back long ago, and signals on back ends that have not been declared for long.
+// Prune drops what was taken back long ago, and signals on back ends that have not been declared for long.
 // declared must not call the table.
-func (t *Table) Forget(now time.Time, declared func(backend.Key) bool) {
+func (t *Table) Prune(now time.Time, declared func(backend.Key) bool) {
 	for key, known := range t.entries {
 		switch {
 		case !known.Draining:
--- a/explain/late.go
+++ b/explain/late.go
@@ -90,7 +90,7 @@
 		return LateOldReport
 	case outcome.InFlight > 1:
 		return LateBesideAnother
-	case outcome.Slowdown >= routing.HoldFactor:
+	case outcome.Slowdown >= routing.DisturbedFactor:
 		return LateDisturbed
 	case time.Duration(outcome.Latency) >= objective:
 		return LateSlow
--- a/frontend/attempt.go
+++ b/frontend/attempt.go
@@ -50,7 +50,7 @@
 		if chosen == nil || !a.mayRetry(failure, number) {
 			break
 		}
-		kind = retry.After(failure.Code)
+		kind = retry.KindAfter(failure.Code)
 	}
 	a.refuse(last)
 	return last.Code
@@ -74,14 +74,14 @@
 	}
 	// A second attempt beside the first counts, too.
 	sent := max(len(c.tried), number) - c.unsent
-	verdict := retry.Judge(retry.Attempt{
-		Code: failure.Code, Number: sent, Unsent: c.unsent, Most: c.route.Attempts, Repeatable: c.decision.Retry, Upstream: c.attempt > 1,
-		Rewindable: c.buffered, Remaining: time.Until(c.deadline), Expected: time.Millisecond,
-		Backends: len(c.service.Target().Backends) - len(c.tried), Endings: a.handler.options.Quarantine.Endings(c.fingerprints),
+	verdict := retry.Evaluate(retry.Attempt{
+		Code: failure.Code, Number: sent, Unsent: c.unsent, MaxAttempts: c.route.Attempts, Repeatable: c.decision.Retry, UpstreamRetry: c.attempt > 1,
+		Rewindable: c.buffered, Remaining: time.Until(c.deadline), ExpectedDuration: time.Millisecond,
+		UntriedBackends: len(c.service.Target().Backends) - len(c.tried), Endings: a.handler.options.Quarantine.CrashCount(c.fingerprints),
 	})
 	a.handler.log.Info("attempt failed", "request", c.id, "service", c.service.Name(), "attempt", number,
 		"code", int(failure.Code), "cause", failure.Detail, "retry", string(verdict))
-	return verdict == retry.Again
+	return verdict == retry.Allowed
 }
 
 // once makes one attempt at a place. It returns nil once an answer, or a part of one,
@@ -136,9 +136,9 @@
 	client, started := c.service.Client(chosen.backend)
 	if client == nil {
 		chosen.done(routing.Canceled, 0, nil)
-		return nil, &resultcode.Failure{Code: resultcode.NoBackend, Detail: "the back end was taken out of the placement", RetryAfter: dispatch.RetryAfterBackend(chosen.waited)}
+		return nil, &resultcode.Failure{Code: resultcode.NoBackend, Detail: "the back end was taken out of the placement", RetryAfter: dispatch.RetryAfterRefusal(chosen.waited)}
 	}
-	if refused := a.handler.options.Quarantine.Refuse(c.fingerprints); refused != nil {
+	if refused := a.handler.options.Quarantine.Check(c.fingerprints); refused != nil {
 		// The daemon that gave the place had not heard of it.
 		chosen.done(routing.Canceled, 0, nil)
 		return nil, refused
@@ -176,27 +176,27 @@
 	}
 	got := &received{chosen: chosen, response: response, latency: time.Since(chosen.sent), report: a.load(response)}
 	got.refused = a.refused(response)
-	a.handler.options.Signals.Take(signals.Answer{
+	a.handler.options.Signals.Observe(signals.Response{
 		Key: backend.Key{Service: a.call.service.Name(), Backend: chosen.backend}, Started: chosen.started, Sent: chosen.sent,
-		Request: a.call.id, Status: response.StatusCode, Header: response.Header, Refused: got.refused,
+		RequestID: a.call.id, Status: response.StatusCode, Header: response.Header, Refused: got.refused,
 	})
 	if !got.refused {
 		return got, nil
 	}
 	response.Body.Close()
 	chosen.done(got.outcome(), 0, got.report)
-	return nil, &resultcode.Failure{Code: resultcode.BackendRefused, Detail: "back end " + chosen.backend, RetryAfter: dispatch.RetryAfterBackend(chosen.waited)}
+	return nil, &resultcode.Failure{Code: resultcode.BackendRefused, Detail: "back end " + chosen.backend, RetryAfter: dispatch.RetryAfterRefusal(chosen.waited)}
 }
 
 // outcome says what the answer tells of the back end.
 func (r *received) outcome() routing.Outcome {
 	switch {
-	case signals.AsksForPause(r.response):
+	case signals.RequestsPause(r.response):
 		return routing.PushedBack
 	case r.refused:
 		return routing.Unserved
 	case r.response.StatusCode >= http.StatusInternalServerError:
-		return routing.Failed
+		return routing.ErrorResponse
 	}
 	return routing.Success
 }
@@ -220,11 +220,11 @@
 	if err := a.pass(got.response, got.chosen.backend, resultcode.Answered); err != nil {
 		outcome = err.outcome()
 		if err.side == backendSide && a.endedUnder(got.chosen) {
-			outcome = routing.Ended
+			outcome = routing.ProcessExited
 		}
 		a.abort(err)
 	} else if got.response.StatusCode < http.StatusInternalServerError {
-		a.handler.options.Quarantine.Survived(a.call.fingerprints)
+		a.handler.options.Quarantine.RecordSuccess(a.call.fingerprints)
 	}
 }
 
@@ -252,9 +252,9 @@
 	}
 	switch {
 	case failed.Code == resultcode.ConnectFailed && backend.IsRefused(failed.Cause):
-		outcome = routing.Refused
+		outcome = routing.ConnectionRefused
 	case failed.Code == resultcode.ConnectionBroken && a.endedUnder(chosen):
-		outcome = routing.Ended
+		outcome = routing.ProcessExited
 	}
 	chosen.done(outcome, 0, nil)
 	return &resultcode.Failure{Code: failed.Code, Detail: "back end " + chosen.backend + ": " + failed.Cause.Error()}
--- a/frontend/call.go
+++ b/frontend/call.go
@@ -185,7 +185,7 @@
 
 func checkKey(key string) *resultcode.Failure {
 	if key == "" {
-		return &resultcode.Failure{Code: resultcode.KeyMissing, Detail: "send the header " + policy.HeaderKey}
+		return &resultcode.Failure{Code: resultcode.KeyMissing, Detail: "send the header " + policy.HeaderIdempotencyKey}
 	}
 	if len(key) > maxKeyLength || !printable(key) {
 		return &resultcode.Failure{Code: resultcode.BadRequest, Detail: fmt.Sprintf("operation key: allowed: 1 to %d printable characters without spaces", maxKeyLength)}
--- a/frontend/ending.go
+++ b/frontend/ending.go
@@ -11,23 +11,23 @@
 
 // Quarantine notes requests under which back ends end, and holds them back. No method blocks.
 type Quarantine interface {
-	// Refuse returns why a request must not reach a back end; nil: it may.
-	Refuse(fingerprints quarantine.Fingerprints) *resultcode.Failure
-	// Endings returns under how many endings of back ends a request was.
-	Endings(fingerprints quarantine.Fingerprints) int
-	// Ended notes that a back end ended while it ran a request.
-	Ended(identity quarantine.Identity, service string, backend quarantine.BackendRun)
-	// Survived notes that a back end answered a request.
-	Survived(fingerprints quarantine.Fingerprints)
+	// Check returns why a request must not reach a back end; nil: it may.
+	Check(fingerprints quarantine.Fingerprints) *resultcode.Failure
+	// CrashCount returns under how many endings of back ends a request was.
+	CrashCount(fingerprints quarantine.Fingerprints) int
+	// RecordCrash notes that a back end ended while it ran a request.
+	RecordCrash(identity quarantine.Identity, service string, backend quarantine.BackendRun)
+	// RecordSuccess notes that a back end answered a request.
+	RecordSuccess(fingerprints quarantine.Fingerprints)
 }
 
 // noQuarantine notes nothing.
 type noQuarantine struct{}
 
-func (noQuarantine) Refuse(quarantine.Fingerprints) *resultcode.Failure       { return nil }
-func (noQuarantine) Endings(quarantine.Fingerprints) int                      { return 0 }
-func (noQuarantine) Ended(quarantine.Identity, string, quarantine.BackendRun) {}
-func (noQuarantine) Survived(quarantine.Fingerprints)                         {}
+func (noQuarantine) Check(quarantine.Fingerprints) *resultcode.Failure              { return nil }
+func (noQuarantine) CrashCount(quarantine.Fingerprints) int                         { return 0 }
+func (noQuarantine) RecordCrash(quarantine.Identity, string, quarantine.BackendRun) {}
+func (noQuarantine) RecordSuccess(quarantine.Fingerprints)                          {}
 
 const (
 	// livenessWait is how long a request whose connection broke waits to learn whether its
@@ -95,8 +95,8 @@
 func (a *attempter) connectionBroke(chosen *place, liveness backend.Liveness) {
 	c := a.call
 	a.handler.metrics.broken[liveness].Inc(1)
-	if liveness == backend.Ended && c.service.Takes(chosen.backend) {
-		a.handler.options.Quarantine.Ended(c.identity(), c.service.Name(), quarantine.RunOf(chosen.backend, chosen.started))
+	if liveness == backend.Ended && c.service.IsEligible(chosen.backend) {
+		a.handler.options.Quarantine.RecordCrash(c.identity(), c.service.Name(), quarantine.RunOf(chosen.backend, chosen.started))
 	}
 	a.handler.log.Info("connection broke", "request", c.id, "service", c.service.Name(), "backend", chosen.backend, "liveness", string(liveness),
 		"fingerprint", c.fingerprints.Exact.String(), "broad", c.fingerprints.Broad.String(), "attempt_kind", chosen.kind.String(), "method", c.request.Method, "target", shortened(c.request.RequestURI),
--- a/frontend/handler.go
+++ b/frontend/handler.go
@@ -49,7 +49,7 @@
 	// and the back ends where they are listed elsewhere. It must not block. nil: yes.
 	Configured func() bool
 	Slots      *slots.Client // asks other daemons for places
-	Operations *operation.Executor
+	Operations *operation.Claimer
 	// Quarantine holds back requests under which back ends end; nil: none is held back.
 	Quarantine Quarantine
 	// Signals takes in what back ends say of themselves with their answers; nil: nobody does.
@@ -87,7 +87,7 @@
 		options.Quarantine = noQuarantine{}
 	}
 	if options.Signals == nil {
-		options.Signals = signals.Deaf{}
+		options.Signals = signals.NopListener{}
 	}
 	if options.LogDecisions == nil {
 		options.LogDecisions = func() bool { return false }
@@ -139,13 +139,13 @@
 	return err == nil && decision.Retry && !decision.Once
 }
 
-// Refuse answers a request whose head must not be served, as it could be read in two ways.
-func (h *Handler) Refuse(w http.ResponseWriter, r *http.Request, cause error) {
+// RefuseAmbiguous answers a request whose head must not be served, as it could be read in two ways.
+func (h *Handler) RefuseAmbiguous(w http.ResponseWriter, r *http.Request, cause error) {
 	h.refuse(w, h.requestID(r.Header), &resultcode.Failure{Code: resultcode.AmbiguousRequest, Detail: cause.Error()})
 }
 
-// Forwarded serves requests that other daemons forward.
-func (h *Handler) Forwarded() http.Handler {
+// ForwardedHandler serves requests that other daemons forward.
+func (h *Handler) ForwardedHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		h.serve(w, r, true)
 	})
@@ -169,7 +169,7 @@
 	a := &attempter{handler: h, call: c, writer: w, deadline: timer}
 	// A request under which back ends end reaches no more of them, whichever daemon it comes to:
 	// without this one request ended 81 back ends in 20 s (TestCrashingRequestIsStopped).
-	if refused := h.options.Quarantine.Refuse(c.fingerprints); refused != nil {
+	if refused := h.options.Quarantine.Check(c.fingerprints); refused != nil {
 		a.refuse(refused)
 		return
 	}
--- a/frontend/hedge.go
+++ b/frontend/hedge.go
@@ -90,7 +90,7 @@
 	switch {
 	case !c.buffered || !c.decision.Retry:
 		return time.Time{}, false
-	case a.handler.options.Quarantine.Endings(c.fingerprints) > 0:
+	case a.handler.options.Quarantine.CrashCount(c.fingerprints) > 0:
 		return time.Time{}, false // it might end another back end beside the first
 	case c.decision.Hedge > 0:
 		return c.received.Add(c.decision.Hedge), true
--- a/frontend/operation.go
+++ b/frontend/operation.go
@@ -21,7 +21,7 @@
 		return
 	}
 	fingerprint := operation.Fingerprint(c.request.Method, c.request.URL.RequestURI(), c.body)
-	claim, result, failure := a.handler.options.Operations.Begin(ctx, c.service.Name(), c.decision.Key, fingerprint)
+	claim, result, failure := a.handler.options.Operations.Claim(ctx, c.service.Name(), c.decision.Key, fingerprint)
 	switch {
 	case failure != nil:
 		a.refuse(failure)
@@ -75,7 +75,7 @@
 }
 
 func (r *operationRecord) usable() bool {
-	return r.claim.Usable()
+	return r.claim.Valid()
 }
 
 func (r *operationRecord) begin(response *http.Response) {
--- a/frontend/place.go
+++ b/frontend/place.go
@@ -66,12 +66,12 @@
 	var unusable []routing.Exclusion
 	paidAs := kind
 	for asked := 0; ; asked++ {
-		request.Routing.Excluded = append(a.call.service.Excluded(), unusable...)
+		request.Routing.Excluded = append(a.call.service.Exclusions(), unusable...)
 		chosen, err := a.placeFor(ctx, paidAs, request, asked < mostAsked)
 		if err != nil {
 			return nil, err
 		}
-		barred := a.call.service.Bars(chosen.backend)
+		barred := a.call.service.IneligibleReason(chosen.backend)
 		if barred == "" {
 			chosen.kind = kind
 			return chosen, nil
@@ -81,7 +81,7 @@
 			"backend", chosen.backend, "reason", barred)
 		if asked == mostAsked || kind == retry.Hedge {
 			return nil, &resultcode.Failure{
-				Code: resultcode.NoBackend, Detail: "back end " + chosen.backend + ": " + barred, RetryAfter: dispatch.RetryAfterBackend(chosen.waited),
+				Code: resultcode.NoBackend, Detail: "back end " + chosen.backend + ": " + barred, RetryAfter: dispatch.RetryAfterRefusal(chosen.waited),
 			}
 		}
 		unusable = append(unusable, routing.Exclusion{Backend: chosen.backend})
@@ -92,7 +92,7 @@
 // placeFor gets a place for an attempt, from this daemon's own picture of the back ends unless others are asked.
 func (a *attempter) placeFor(ctx context.Context, kind retry.Kind, request dispatch.Request, askOthers bool) (*place, error) {
 	if !askOthers {
-		return a.acquireHere(ctx, service.Substitute(a.handler.options.Peers.Daemons()), kind, request)
+		return a.acquireHere(ctx, service.AsFallback(a.handler.options.Peers.Daemons()), kind, request)
 	}
 	return a.askForPlace(ctx, kind, request)
 }
@@ -105,7 +105,7 @@
 	c := a.call
 	peers := a.handler.options.Peers
 	if c.service.Target().Service.Direct {
-		return a.acquireHere(ctx, service.Alone(peers.Daemons()), kind, request)
+		return a.acquireHere(ctx, service.AsIndependent(peers.Daemons()), kind, request)
 	}
 	dispatcher, other := peers.DispatcherOf(c.service.Name())
 	for asked := 0; other && !c.forwarded; asked++ {
@@ -118,10 +118,10 @@
 		before := dispatcher.Name
 		dispatcher, other = peers.DispatcherOf(c.service.Name())
 		if !c.caller.Limited() || asked == furtherDispatchers || other && dispatcher.Name == before {
-			return a.acquireHere(ctx, service.Substitute(peers.Daemons()), kind, request)
+			return a.acquireHere(ctx, service.AsFallback(peers.Daemons()), kind, request)
 		}
 	}
-	return a.acquireHere(ctx, service.Dispatching(), kind, request)
+	return a.acquireHere(ctx, service.AsDispatcher(), kind, request)
 }
 
 // furtherDispatchers is how many dispatchers are asked after one that could not be reached.
@@ -148,14 +148,14 @@
 		a.handler.options.Peers.Suspect(dispatcher.Name)
 		a.logAsked(slog.LevelWarn, "dispatcher unreachable", dispatcher, slog.Any("error", err))
 		return nil, nil
-	case errors.Is(err, slots.ErrBehind):
+	case errors.Is(err, slots.ErrStaleDispatcher):
 		a.logAsked(slog.LevelInfo, "dispatcher behind", dispatcher, slog.Any("error", err))
 		return nil, nil
 	case err != nil:
 		a.noteRefusal(kind, dispatcher.Name)
 		return nil, err
 	}
-	c.service.Dispatcher.Advise(granted.Backend, granted.BestInFlight)
+	c.service.Dispatcher.SetConcurrencyHint(granted.Backend, granted.BestInFlight)
 	return placeOf(granted, kind, dispatcher.Name), nil
 }
 
@@ -183,7 +183,7 @@
 	return &place{
 		disturbed: disturbed,
 		backend:   grant.Backend.ID, dispatcher: a.handler.options.Name, kind: kind, reason: grant.Reason, candidates: grant.Candidates, reportAge: grant.ReportAge,
-		waited: grant.Waited(), hedgeAfter: grant.HedgeAfter, sent: grant.Sent, done: grant.Done,
+		waited: grant.Waited(), hedgeAfter: grant.HedgeAfter, sent: grant.GrantedAt, done: grant.Done,
 	}
 }
 
--- a/frontend/place_test.go
+++ b/frontend/place_test.go
@@ -73,7 +73,7 @@
 		cancel()
 		<-ended
 	})
-	forwarded := httptest.NewServer(startHandler(t, services, fixedPeers{}).Forwarded())
+	forwarded := httptest.NewServer(startHandler(t, services, fixedPeers{}).ForwardedHandler())
 	t.Cleanup(forwarded.Close)
 	return &membership.Member{Name: "dispatcher", PeerAddress: listener.Addr().String(), ForwardAddress: forwarded.Listener.Addr().String()}
 }
--- a/lab/backendstub/stub.go
+++ b/lab/backendstub/stub.go
@@ -269,7 +269,7 @@
 	if name := r.Header.Get(HeaderRunCount); name != "" {
 		s.runs[name]++
 	}
-	if key := r.Header.Get(policy.HeaderKey); key != "" {
+	if key := r.Header.Get(policy.HeaderIdempotencyKey); key != "" {
 		s.keys[key]++
 	}
 }
--- a/lab/baseline/baseline.go
+++ b/lab/baseline/baseline.go
@@ -29,7 +29,7 @@
 
 // Pick implements routing.Picker.
 func (LeastInFlight) Pick(info routing.PickInfo) int {
-	return routing.Least(info, func(candidate *routing.State, _ float64) float64 { return float64(candidate.InFlight) })
+	return routing.LowestScore(info, func(candidate *routing.BackendState, _ float64) float64 { return float64(candidate.InFlight) })
 }
 
 // PowerOfTwo picks the better of two random candidates by own requests.
--- a/lab/claims/claims.go
+++ b/lab/claims/claims.go
@@ -48,8 +48,8 @@
 // Measure lets callers claim and finish operations one after another.
 func Measure(writes float64, callers int, length time.Duration) Row {
 	store := &slowStore{Memory: objectstore.NewMemory()}
-	executor := operation.NewExecutor(operation.Options{
-		Store: store, Writes: rate.NewLimiter(rate.Limit(writes), 1), Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
+	executor := operation.NewClaimer(operation.Options{
+		Store: store, WriteLimiter: rate.NewLimiter(rate.Limit(writes), 1), Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), length)
 	defer cancel()
@@ -60,7 +60,7 @@
 		running.Go(func() {
 			for number := 0; ctx.Err() == nil; number++ {
 				called := time.Now()
-				claim, _, _ := executor.Begin(ctx, "swaps", fmt.Sprintf("%d-%d", caller, number), 1)
+				claim, _, _ := executor.Claim(ctx, "swaps", fmt.Sprintf("%d-%d", caller, number), 1)
 				if claim == nil {
 					continue
 				}
--- a/lab/experiment/systems.go
+++ b/lab/experiment/systems.go
@@ -15,7 +15,7 @@
 
 // Pick implements routing.Picker.
 func (j joinShortest) Pick(info routing.PickInfo) int {
-	return routing.Least(info, func(candidate *routing.State, _ float64) float64 { return float64(j.oracle(candidate.ID)) })
+	return routing.LowestScore(info, func(candidate *routing.BackendState, _ float64) float64 { return float64(j.oracle(candidate.ID)) })
 }
 
 func always(picker func() routing.Picker) func(simulation.Oracle) routing.Picker {
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -224,7 +224,7 @@
 	}
 	request.Header.Set(backendstub.HeaderRunCount, name)
 	if kind.Once {
-		request.Header.Set(policy.HeaderKey, key)
+		request.Header.Set(policy.HeaderIdempotencyKey, key)
 	}
 	if kind.Key != "" {
 		request.Header.Set(identity.HeaderKey, identity.Challenge+" "+kind.Key)
--- a/lab/simulation/attempt.go
+++ b/lab/simulation/attempt.go
@@ -8,7 +8,7 @@
 )
 
 // send sends a try to the back end of its place.
-func (r *replay) send(one *try, place *dispatch.Place) {
+func (r *replay) send(one *try, place *dispatch.Permit) {
 	sent := &attempt{place: place, worker: r.byID[place.Backend.ID]}
 	one.attempts++
 	one.tried = append(one.tried, sent.worker.id)
@@ -50,7 +50,7 @@
 			return
 		}
 		sent.over = true
-		latency := r.time().Sub(sent.place.Sent)
+		latency := r.time().Sub(sent.place.GrantedAt)
 		r.core.Report(r.time(), sent.place.Backend, report)
 		r.core.Done(r.time(), sent.place, routing.Success, latency)
 		r.answered(one)
@@ -93,14 +93,14 @@
 		return
 	}
 	verdict := retry.Decide(retry.Attempt{
-		Code: resultcode.BackendRefused, Returned: one.refused > 0, Number: one.attempts, Most: one.class.Attempts, Repeatable: one.class.Repeatable, Rewindable: true,
-		Remaining: one.deadline.Sub(r.time()), Backends: len(r.workers) - len(one.tried),
+		Code: resultcode.BackendRefused, Returned: one.refused > 0, Number: one.attempts, MaxAttempts: one.class.Attempts, Repeatable: one.class.Repeatable, Rewindable: true,
+		Remaining: one.deadline.Sub(r.time()), UntriedBackends: len(r.workers) - len(one.tried),
 	}, &r.budget)
-	if verdict == retry.Again {
+	if verdict == retry.Allowed {
 		r.offer(one)
 		return
 	}
-	r.refuseFor(one, dispatch.RetryAfterBackend(sent.place.Sent.Sub(sent.place.Since)))
+	r.refuseFor(one, dispatch.RetryAfterRefusal(sent.place.GrantedAt.Sub(sent.place.ArrivedAt)))
 }
 
 // busy says whether the try is still at some back end.
--- a/lab/simulation/flow.go
+++ b/lab/simulation/flow.go
@@ -95,7 +95,7 @@
 }
 
 // send sends the request to the back end of its place.
-func (s *simulation) send(r *request, place *dispatch.Place) {
+func (s *simulation) send(r *request, place *dispatch.Permit) {
 	target := s.byID[place.Backend.ID]
 	target.assigned++
 	r.attempts++
@@ -143,9 +143,9 @@
 }
 
 // answered takes in an answer at the node.
-func (s *simulation) answered(r *request, place *dispatch.Place, load int) {
+func (s *simulation) answered(r *request, place *dispatch.Permit, load int) {
 	now := s.time()
-	r.node.core.Done(now, place, routing.Success, now.Sub(place.Sent))
+	r.node.core.Done(now, place, routing.Success, now.Sub(place.GrantedAt))
 	if s.system.Reports {
 		r.node.core.Report(now, place.Backend, routing.Report{InFlight: load})
 	}
@@ -161,14 +161,14 @@
 }
 
 // rejected takes in a refusal at the node and tries another back end.
-func (s *simulation) rejected(r *request, place *dispatch.Place) {
+func (s *simulation) rejected(r *request, place *dispatch.Permit) {
 	now := s.time()
 	r.node.core.Done(now, place, routing.Unserved, 0)
 	s.serve(r.node)
 	verdict := retry.Decide(retry.Attempt{
-		Code: resultcode.BackendRefused, Number: r.attempts, Rewindable: true, Remaining: r.deadline.Sub(now), Backends: len(s.workers) - len(r.tried),
+		Code: resultcode.BackendRefused, Number: r.attempts, Rewindable: true, Remaining: r.deadline.Sub(now), UntriedBackends: len(s.workers) - len(r.tried),
 	}, &r.node.budget)
-	if verdict == retry.Again {
+	if verdict == retry.Allowed {
 		s.offer(r)
 		return
 	}
--- a/lab/simulation/replay.go
+++ b/lab/simulation/replay.go
@@ -59,7 +59,7 @@
 
 // attempt is a try at one back end.
 type attempt struct {
-	place  *dispatch.Place
+	place  *dispatch.Permit
 	worker *worker
 	job    *job
 	over   bool
@@ -128,7 +128,7 @@
 	for _, one := range r.workers {
 		backends = append(backends, routing.Backend{
 			ID: one.id, Slots: one.slots, Window: one.slots, Warm: r.clock.now >= one.coldUntil,
-			WarmUp: routing.WarmUp{Lasts: time.Duration(r.pattern.Backends.WarmUp), PerSecond: r.pattern.Backends.Bears},
+			WarmUp: routing.WarmUp{Duration: time.Duration(r.pattern.Backends.WarmUp), PerSecond: r.pattern.Backends.Bears},
 		})
 	}
 	r.core.Group.SetBackends(r.time(), backends)
@@ -162,7 +162,7 @@
 func (r *replay) request(one *try, spare bool) dispatch.Request {
 	return dispatch.Request{
 		Weight: one.class.Weight, Deadline: one.deadline, FirstTry: one.begun, Class: one.class.Name,
-		Objective: time.Duration(one.class.Objective), Spare: spare,
+		Objective: time.Duration(one.class.Objective), NoWait: spare,
 		Routing: routing.Request{Tried: slices.Clone(one.tried), Repeatable: one.class.Repeatable},
 	}
 }
@@ -194,7 +194,7 @@
 func (r *replay) recheck() {
 	r.after(replayRecheck, func() {
 		r.serve()
-		for _, one := range r.core.Hopeless(r.time()) {
+		for _, one := range r.core.Shed(r.time()) {
 			r.refuse(one.Payload.(*try))
 		}
 		r.recheck()
@@ -216,7 +216,7 @@
 
 // refuse tells a caller that it gets no place, and lets it come back.
 func (r *replay) refuse(one *try) {
-	r.refuseFor(one, r.core.Refuse(r.time(), r.request(one, false), resultcode.DeadlineTooShort).RetryAfter)
+	r.refuseFor(one, r.core.Refusal(r.time(), r.request(one, false), resultcode.DeadlineTooShort).RetryAfter)
 }
 
 // refuseFor tells a caller to come back after a time.
--- a/lab/site/schedule_test.go
+++ b/lab/site/schedule_test.go
@@ -365,7 +365,7 @@
 			for _, backend := range w.site.Backends {
 				if backend.Service == "corrections" {
 					request, _ := http.NewRequest(http.MethodPost, "http://"+backend.Address+"/corrections", nil)
-					request.Header.Set(policy.HeaderKey, "some-operation")
+					request.Header.Set(policy.HeaderIdempotencyKey, "some-operation")
 					client := http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, _, address string) (netConn, error) {
 						return w.net.Host("callers").Dial(ctx, address)
 					}}}
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -63,9 +63,9 @@
 	s.inherited = true
 }
 
-// MayTake says whether the lease is free: it never existed, was seen unchanged for a
+// CanAcquire says whether the lease is free: it never existed, was seen unchanged for a
 // whole lifetime, or is this daemon's from before it restarted.
-func (s *State) MayTake(now time.Time) bool {
+func (s *State) CanAcquire(now time.Time) bool {
 	switch {
 	case now.Before(s.resumeUntil):
 		return true
@@ -75,8 +75,8 @@
 	return s.version == 0 || s.inherited || now.Sub(s.seen) >= Lifetime
 }
 
-// StoreCameBackOlder notes that what the store says of the lease may be older than what daemons act by.
-func (s *State) StoreCameBackOlder(now time.Time) {
+// StoreRolledBack notes that what the store says of the lease may be older than what daemons act by.
+func (s *State) StoreRolledBack(now time.Time) {
 	if s.Valid(now) {
 		s.resumeUntil = s.until // nobody else has a right
 	} else if !now.Before(s.resumeUntil) {
@@ -100,8 +100,8 @@
 	return now.Before(s.until)
 }
 
-// Until returns the end of the daemon's right.
-func (s *State) Until() time.Time {
+// ValidUntil returns the end of the daemon's right.
+func (s *State) ValidUntil() time.Time {
 	return s.until
 }
 
@@ -144,22 +144,22 @@
 func (l *Lease) noteEra() {
 	if era := l.store.Era(); l.asked && era > l.era {
 		l.era = era
-		l.state.StoreCameBackOlder(l.now())
+		l.state.StoreRolledBack(l.now())
 	}
 }
 
-// Left returns for how long the daemon may still act; 0 or less: not now.
-func (l *Lease) Left() time.Duration {
+// Remaining returns for how long the daemon may still act; 0 or less: not now.
+func (l *Lease) Remaining() time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.noteEra()
-	return l.state.Until().Sub(l.now())
+	return l.state.ValidUntil().Sub(l.now())
 }
 
-// Maintain renews the lease if it is held, or takes it if it is free. It makes at
+// AcquireOrRenew renews the lease if it is held, or takes it if it is free. It makes at
 // most one read and one write, and is called every RenewInterval while the duty is
 // wanted.
-func (l *Lease) Maintain(ctx context.Context) error {
+func (l *Lease) AcquireOrRenew(ctx context.Context) error {
 	if !l.Valid() {
 		if err := l.look(ctx); err != nil {
 			return err
@@ -167,7 +167,7 @@
 	}
 	l.mutex.Lock()
 	now := l.now()
-	act := l.state.Valid(now) || l.state.MayTake(now)
+	act := l.state.Valid(now) || l.state.CanAcquire(now)
 	expected := l.state.version
 	era := l.era
 	l.mutex.Unlock()
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -15,7 +15,7 @@
 // maintained renews or takes a lease and says whether it is held then.
 func maintained(t *testing.T, one *lease.Lease) bool {
 	t.Helper()
-	require.NoError(t, one.Maintain(t.Context()))
+	require.NoError(t, one.AcquireOrRenew(t.Context()))
 	return one.Valid()
 }
 
@@ -59,7 +59,7 @@
 			require.True(t, maintained(t, held))
 			machine.slept = slept
 			require.Equal(t, slept < lease.Lifetime-2*time.Second, held.Valid(), slept)
-			require.Equal(t, held.Valid(), held.Left() > 0)
+			require.Equal(t, held.Valid(), held.Remaining() > 0)
 		}
 	})
 }
@@ -146,7 +146,7 @@
 		require.True(t, maintained(t, held))
 		store.ComeBackOlder(copied)
 		require.False(t, held.Valid())
-		require.LessOrEqual(t, held.Left(), time.Duration(0))
+		require.LessOrEqual(t, held.Remaining(), time.Duration(0))
 		require.True(t, maintained(t, held))
 	})
 }
--- a/measure/ask_test.go
+++ b/measure/ask_test.go
@@ -16,10 +16,10 @@
 )
 
 // heard are the answers of back ends that were taken in.
-type heard []signals.Answer
+type heard []signals.Response
 
-// Take implements signals.Listener.
-func (h *heard) Take(answer signals.Answer) {
+// Observe implements signals.Listener.
+func (h *heard) Observe(answer signals.Response) {
 	*h = append(*h, answer)
 }
 
--- a/measure/measure.go
+++ b/measure/measure.go
@@ -102,7 +102,7 @@
 // NewProber returns a prober.
 func NewProber(options Options) *Prober {
 	if options.Signals == nil {
-		options.Signals = signals.Deaf{}
+		options.Signals = signals.NopListener{}
 	}
 	return &Prober{
 		options: options, log: logging.Part(options.Log, "measure"), duties: make(map[string]*duty),
@@ -152,7 +152,7 @@
 	if asked.client == nil || d.outstanding.Load() > 0 || !d.budget.Spend(time.Now(), declared.ProbesPerSecond) {
 		return
 	}
-	running.Dispatcher.Probing(target)
+	running.Dispatcher.RecordHealthProbeStart(target)
 	p.launch(ctx, d, func(ctx context.Context) {
 		ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 		defer cancel()
@@ -160,7 +160,7 @@
 		if err != nil {
 			p.log.Debug("probe failed", "service", name, "backend", target, "error", err)
 		}
-		running.Dispatcher.Probed(target, err == nil && well, report)
+		running.Dispatcher.RecordHealthProbe(target, err == nil && well, report)
 	})
 }
 
@@ -179,7 +179,7 @@
 	}
 	asked := p.target(name, target, running)
 	if asked.client == nil || !d.budget.Spend(time.Now(), declared.ProbesPerSecond) {
-		running.Dispatcher.Unprobed(target)
+		running.Dispatcher.RecordLoadProbeFailure(target)
 		return
 	}
 	p.launch(ctx, d, func(ctx context.Context) {
@@ -188,10 +188,10 @@
 		report, _, err := p.ask(ctx, asked)
 		if err != nil || report == nil {
 			p.log.Debug("no fresher report", "service", name, "backend", target, "error", err)
-			running.Dispatcher.Unprobed(target)
+			running.Dispatcher.RecordLoadProbeFailure(target)
 			return
 		}
-		running.Dispatcher.Refreshed(target, *report)
+		running.Dispatcher.RecordLoadProbe(target, *report)
 	})
 }
 
@@ -213,7 +213,7 @@
 	d.outstanding.Add(1)
 	// The lease ends the probe too: a daemon paused between the check and the
 	// sending sends nothing when it wakes.
-	probeCtx, cancel := context.WithTimeout(ctx, d.lease.Left())
+	probeCtx, cancel := context.WithTimeout(ctx, d.lease.Remaining())
 	go func() {
 		defer d.outstanding.Add(-1)
 		defer cancel()
@@ -239,7 +239,7 @@
 	d.maintained = now
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	if err := d.lease.Maintain(ctx); err != nil {
+	if err := d.lease.AcquireOrRenew(ctx); err != nil {
 		p.log.Warn("lease not maintained", "error", err)
 	}
 	if !d.held && d.lease.Valid() {
@@ -287,7 +287,7 @@
 		}
 	}
 	failed := response.StatusCode >= http.StatusInternalServerError
-	p.options.Signals.Take(signals.Answer{Key: asked.backend, Started: asked.started, Sent: sent, Status: response.StatusCode, Header: response.Header})
+	p.options.Signals.Observe(signals.Response{Key: asked.backend, Started: asked.started, Sent: sent, Status: response.StatusCode, Header: response.Header})
 	if told, ok := p.options.Dialect.ParseReport(response.Header.Get(p.options.Dialect.Report)); ok {
 		told.WarmUpLeft = p.warmUpLeft(response.Header)
 		report = new(routing.Report(told))
--- a/measure/measure_test.go
+++ b/measure/measure_test.go
@@ -40,7 +40,7 @@
 	for step := 0; ctx.Err() == nil; step++ {
 		if step%30 == 0 {
 			// A store in memory fails only by conflict, which is no error here.
-			_ = held.Maintain(ctx)
+			_ = held.AcquireOrRenew(ctx)
 		}
 		valid := held.Valid()
 		if valid && !had {
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -146,9 +146,9 @@
 	return serving
 }
 
-// Lost returns how many members died within a time, without a word: they may go on out of
+// RecentDeaths returns how many members died within a time, without a word: they may go on out of
 // this daemon's sight.
-func (s *State) Lost(now time.Time, within time.Duration) int {
+func (s *State) RecentDeaths(now time.Time, within time.Duration) int {
 	lost := 0
 	for _, one := range s.members {
 		if one.Status == Dead && now.Sub(one.changed) <= within {
@@ -166,9 +166,9 @@
 	s.version++
 }
 
-// Next returns the member to exchange news with in this period, and false when
+// NextPeer returns the member to exchange news with in this period, and false when
 // there is none. Every few periods it is a dead one.
-func (s *State) Next() (Member, bool) {
+func (s *State) NextPeer() (Member, bool) {
 	s.periods++
 	if s.periods%deadTryPeriods == 0 {
 		if member, ok := s.randomDead(); ok {
@@ -302,10 +302,10 @@
 	s.stale = true
 }
 
-// Heard notes a message that came straight from a member. A member that is held
+// ReceivedFrom notes a message that came straight from a member. A member that is held
 // to be suspect or dead is told so with the next message, so that it can refute
 // that for everybody with a higher incarnation.
-func (s *State) Heard(now time.Time, sender Member) {
+func (s *State) ReceivedFrom(now time.Time, sender Member) {
 	s.merge(now, sender)
 	present, known := s.members[sender.Name]
 	if known && present.Status != Alive && present.Status != Left && present.Incarnation >= sender.Incarnation {
@@ -349,8 +349,8 @@
 	return true
 }
 
-// Unreachable notes that a member answered neither directly nor through others.
-func (s *State) Unreachable(now time.Time, name string) {
+// MarkUnreachable notes that a member answered neither directly nor through others.
+func (s *State) MarkUnreachable(now time.Time, name string) {
 	present, known := s.members[name]
 	if !known || present.Status != Alive {
 		return
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -42,7 +42,7 @@
 	for other := range number {
 		if !c.down[other] {
 			state.MergeList(c.now, append(c.states[other].Members(), c.states[other].Self()))
-			c.states[other].Heard(c.now, self)
+			c.states[other].ReceivedFrom(c.now, self)
 			return
 		}
 	}
@@ -61,13 +61,13 @@
 			continue
 		}
 		state.Tick(c.now)
-		target, found := state.Next()
+		target, found := state.NextPeer()
 		if !found {
 			continue
 		}
 		other := c.byName[target.Name]
 		if !c.reaches(number, other) {
-			state.Unreachable(c.now, target.Name)
+			state.MarkUnreachable(c.now, target.Name)
 			continue
 		}
 		c.exchange(number, other)
@@ -79,7 +79,7 @@
 func (c *cluster) exchange(from, to int) {
 	sender, receiver := c.states[from], c.states[to]
 	receiver.Merge(c.now, sender.Updates())
-	receiver.Heard(c.now, sender.Self())
+	receiver.ReceivedFrom(c.now, sender.Self())
 	if receiver.SyncDue(c.now, sender.Digest()) {
 		receiver.MergeList(c.now, append(sender.Members(), sender.Self()))
 	}
@@ -155,7 +155,7 @@
 func TestFalseSuspicionIsRefuted(t *testing.T) {
 	c := newCluster(10)
 	c.periodsUntil(t, 30, c.allKnow)
-	c.states[0].Unreachable(c.now, "daemon-005")
+	c.states[0].MarkUnreachable(c.now, "daemon-005")
 	for range 20 {
 		c.period()
 	}
@@ -178,11 +178,11 @@
 	}
 	state.Merge(now, []membership.Member{{Name: "other", Incarnation: 1}})
 	changed("joined")
-	state.Unreachable(now, "other")
+	state.MarkUnreachable(now, "other")
 	changed("suspected")
 	state.Merge(now, []membership.Member{{Name: "other", Incarnation: 2}})
 	changed("refuted")
-	state.Unreachable(now, "other")
+	state.MarkUnreachable(now, "other")
 	changed("suspected again")
 	state.Tick(now.Add(time.Hour))
 	changed("dead")
--- a/membership/room.go
+++ b/membership/room.go
@@ -15,12 +15,12 @@
 	leastRoomy = 4
 )
 
-// Roomy returns the members whose machines have the most processor time: at least half of
+// HighCapacity returns the members whose machines have the most processor time: at least half of
 // what the fourth of them has. Where machines differ little, or tell nothing, these are
 // all. What one daemon does for a whole fleet is done by one of these: the busiest daemon
 // of 473, a dispatcher, uses 0.13 of a core over a day with overload, and the smallest
 // machines have 0.16.
-func Roomy(members []Member) []Member {
+func HighCapacity(members []Member) []Member {
 	if len(members) <= smallFleet {
 		return members
 	}
--- a/membership/room_test.go
+++ b/membership/room_test.go
@@ -21,9 +21,9 @@
 // TestRoomyAreTheLargeMachines leaves small machines out where there are enough large ones.
 func TestRoomyAreTheLargeMachines(t *testing.T) {
 	large := withCores(18, 0.8, 0)
-	require.Equal(t, large, membership.Roomy(append(large, withCores(455, 0.16, 18)...)))
+	require.Equal(t, large, membership.HighCapacity(append(large, withCores(455, 0.16, 18)...)))
 	few := withCores(6, 0.8, 0)
-	require.Equal(t, few, membership.Roomy(append(few, withCores(103, 0.16, 6)...)))
+	require.Equal(t, few, membership.HighCapacity(append(few, withCores(103, 0.16, 6)...)))
 }
 
 // TestRoomyAreAll keeps all where machines differ little, tell nothing, or few are large.
@@ -35,6 +35,6 @@
 		"one large":      append(withCores(1, 64, 0), withCores(40, 0.5, 1)...),
 		"some told less": append(withCores(10, 0.32, 0), withCores(10, 0.16, 10)...),
 	} {
-		require.Len(t, membership.Roomy(members), len(members), name)
+		require.Len(t, membership.HighCapacity(members), len(members), name)
 	}
 }
--- a/operation/executor.go
+++ b/operation/executor.go
@@ -38,19 +38,19 @@
 
 // Options are an Executor's collaborators.
 type Options struct {
-	Store     objectstore.Store
-	Writes    *rate.Limiter // of this daemon's calls that write
-	Retention time.Duration // 0: DefaultRetention
+	Store        objectstore.Store
+	WriteLimiter *rate.Limiter // of this daemon's calls that write
+	Retention    time.Duration // 0: DefaultRetention
 	// Now is the clock of claims; nil: clock.Steady. It must count the time that the machine
 	// sleeps: others may have settled the key meanwhile.
 	Now clock.Clock
 	Log *slog.Logger
 }
 
-// Executor claims operations for all services of a daemon. It is safe for
+// Claimer claims operations for all services of a daemon. It is safe for
 // concurrent use. One goroutine for each service owns its journal; requests
 // reach it through a bounded queue that refuses when full.
-type Executor struct {
+type Claimer struct {
 	options Options
 	log     *slog.Logger
 	ctx     context.Context
@@ -64,14 +64,14 @@
 	settled time.Time
 }
 
-// NewExecutor returns an executor. Close ends its goroutines.
-func NewExecutor(options Options) *Executor {
+// NewClaimer returns an executor. Close ends its goroutines.
+func NewClaimer(options Options) *Claimer {
 	if options.Retention == 0 {
 		options.Retention = DefaultRetention
 	}
 	options.Now = clock.OrSteady(options.Now)
 	ctx, cancel := context.WithCancel(context.Background())
-	e := &Executor{
+	e := &Claimer{
 		options: options, log: logging.Part(options.Log, "operation"),
 		ctx: ctx, cancel: cancel, writers: make(map[string]*writer),
 	}
@@ -80,7 +80,7 @@
 }
 
 // followEra looks until the executor is closed whether the store has come back older.
-func (e *Executor) followEra() {
+func (e *Claimer) followEra() {
 	ticker := time.NewTicker(outcomeInterval)
 	defer ticker.Stop()
 	for {
@@ -95,7 +95,7 @@
 
 // unsettledFor returns for how long no claim may be granted, as other daemons may not have written again yet what the store lost.
 // A daemon that has just started does not know when the store came back.
-func (e *Executor) unsettledFor(now time.Time) time.Duration {
+func (e *Claimer) unsettledFor(now time.Time) time.Duration {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if era := e.options.Store.Era(); era > e.era {
@@ -107,7 +107,7 @@
 
 // Close waits until outcomes that were handed over are written, or ctx ends,
 // and ends the goroutines.
-func (e *Executor) Close(ctx context.Context) {
+func (e *Claimer) Close(ctx context.Context) {
 	e.mutex.Lock()
 	writers := make([]*writer, 0, len(e.writers))
 	for _, w := range e.writers {
@@ -121,7 +121,7 @@
 	e.running.Wait()
 }
 
-func (e *Executor) writer(service string) *writer {
+func (e *Claimer) writer(service string) *writer {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	w, ok := e.writers[service]
@@ -152,9 +152,9 @@
 	lifetime time.Duration
 }
 
-// Begin claims the key. It returns either a claim, or the recorded answer of an
+// Claim claims the key. It returns either a claim, or the recorded answer of an
 // earlier run, or a failure. It blocks until the store has answered or ctx ends.
-func (e *Executor) Begin(ctx context.Context, service, key string, fingerprint uint64) (*Claim, *Result, *resultcode.Failure) {
+func (e *Claimer) Claim(ctx context.Context, service, key string, fingerprint uint64) (*Claim, *Result, *resultcode.Failure) {
 	command := &command{
 		entry:  Entry{Kind: Claimed, Key: key, Token: rand.Text(), Fingerprint: fingerprint},
 		begun:  e.options.Now(),
@@ -176,7 +176,7 @@
 	}
 }
 
-func (e *Executor) releaseWhenAnswered(c *command) {
+func (e *Claimer) releaseWhenAnswered(c *command) {
 	select {
 	case answer := <-c.answer:
 		if answer.claim != nil {
@@ -186,9 +186,9 @@
 	}
 }
 
-// Usable says whether the request may still be sent now. A claim that was held
+// Valid says whether the request may still be sent now. A claim that was held
 // for too long, because its daemon was paused or the request waited, is not.
-func (c *Claim) Usable() bool {
+func (c *Claim) Valid() bool {
 	return c.writer.executor.options.Now().Sub(c.begun) < c.lifetime
 }
 
--- a/operation/ledger.go
+++ b/operation/ledger.go
@@ -71,37 +71,37 @@
 	}
 }
 
-// Verdict says whether a key may be claimed.
-type Verdict int
+// KeyState says whether a key may be claimed.
+type KeyState int
 
 // The verdicts.
 const (
-	// Free: the key may be claimed.
-	Free Verdict = iota
-	// Known: the operation has run; its answer is recorded.
-	Known
-	// Unsettled: the key is claimed and no outcome is recorded.
-	Unsettled
+	// Unclaimed: the key may be claimed.
+	Unclaimed KeyState = iota
+	// Completed: the operation has run; its answer is recorded.
+	Completed
+	// Pending: the key is claimed and no outcome is recorded.
+	Pending
 	// Reused: the key belongs to a different request.
 	Reused
 )
 
-// Look says whether a key may be claimed at this time.
-func (l *Ledger) Look(now time.Time, key string, fingerprint uint64) (Verdict, record) {
+// Lookup says whether a key may be claimed at this time.
+func (l *Ledger) Lookup(now time.Time, key string, fingerprint uint64) (KeyState, record) {
 	present, known := l.records[key]
 	switch {
 	case !known || l.expired(now, present.at):
-		return Free, record{}
+		return Unclaimed, record{}
 	case present.fingerprint != fingerprint:
 		return Reused, present
 	case present.kind == Finished:
-		return Known, present
+		return Completed, present
 	}
-	return Unsettled, present
+	return Pending, present
 }
 
-// Holds says whether a claim's token is the key's present one.
-func (l *Ledger) Holds(key, token string) bool {
+// HasClaim says whether a claim's token is the key's present one.
+func (l *Ledger) HasClaim(key, token string) bool {
 	present, known := l.records[key]
 	return known && present.token == token
 }
--- a/operation/older_test.go
+++ b/operation/older_test.go
@@ -55,10 +55,10 @@
 						store.ComeBackOlder(copied)
 					}
 				}
-				_, result, failure := other.Begin(t.Context(), "swaps", "done", 1)
+				_, result, failure := other.Claim(t.Context(), "swaps", "done", 1)
 				require.Nil(t, failure)
 				require.Equal(t, "done", string(result.Body))
-				_, _, failure = other.Begin(t.Context(), "swaps", "running", 1)
+				_, _, failure = other.Claim(t.Context(), "swaps", "running", 1)
 				require.Equal(t, resultcode.OperationUnknown, failure.Code)
 				require.NotNil(t, claimed(t, other, "new"), "others are claimed as before")
 			})
@@ -67,8 +67,8 @@
 }
 
 // claimed claims a key, and returns nil where that is refused.
-func claimed(t *testing.T, executor *operation.Executor, key string) *operation.Claim {
-	claim, _, _ := executor.Begin(t.Context(), "swaps", key, 1)
+func claimed(t *testing.T, executor *operation.Claimer, key string) *operation.Claim {
+	claim, _, _ := executor.Claim(t.Context(), "swaps", key, 1)
 	return claim
 }
 
@@ -82,7 +82,7 @@
 		require.NotNil(t, claimed(t, executor, "early"))
 		store.ComeBackOlder(store.Copy())
 		begun := time.Now()
-		_, _, failure := executor.Begin(t.Context(), "swaps", "new", 1)
+		_, _, failure := executor.Claim(t.Context(), "swaps", "new", 1)
 		require.Equal(t, resultcode.StoreUnavailable, failure.Code)
 		require.Less(t, time.Since(begun), 100*time.Millisecond)
 		require.Positive(t, failure.RetryAfter)
--- a/operation/operation_test.go
+++ b/operation/operation_test.go
@@ -59,9 +59,9 @@
 	return s.writes
 }
 
-func newExecutor(store objectstore.Store) *operation.Executor {
-	return operation.NewExecutor(operation.Options{
-		Store: store, Writes: rate.NewLimiter(100, 1), Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
+func newExecutor(store objectstore.Store) *operation.Claimer {
+	return operation.NewClaimer(operation.Options{
+		Store: store, WriteLimiter: rate.NewLimiter(100, 1), Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 	})
 }
 
@@ -133,7 +133,7 @@
 				for range 15 {
 					key := fmt.Sprint("key-", random.IntN(12))
 					called := time.Now()
-					claim, _, _ := executor.Begin(t.Context(), "swaps", key, 1)
+					claim, _, _ := executor.Claim(t.Context(), "swaps", key, 1)
 					note(client, called, begin{key: key}, begin{claimed: claim != nil})
 					if claim == nil {
 						continue
@@ -172,18 +172,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := &faultyStore{Memory: objectstore.NewMemory(), random: rand.New(rand.NewPCG(1, 1))}
 		first, second := newExecutor(store), newExecutor(store)
-		claim, _, failure := first.Begin(t.Context(), "swaps", "key", 1)
+		claim, _, failure := first.Claim(t.Context(), "swaps", "key", 1)
 		require.Nil(t, failure)
-		_, _, failure = first.Begin(t.Context(), "swaps", "key", 1)
+		_, _, failure = first.Claim(t.Context(), "swaps", "key", 1)
 		require.Equal(t, resultcode.OperationInProgress, failure.Code)
-		_, _, failure = second.Begin(t.Context(), "swaps", "key", 1)
+		_, _, failure = second.Claim(t.Context(), "swaps", "key", 1)
 		require.Equal(t, resultcode.OperationUnknown, failure.Code)
 		claim.Finish(operation.Result{Status: 201, Body: []byte("done"), Complete: true})
 		first.Close(t.Context())
-		_, result, failure := second.Begin(t.Context(), "swaps", "key", 1)
+		_, result, failure := second.Claim(t.Context(), "swaps", "key", 1)
 		require.Nil(t, failure)
 		require.Equal(t, "done", string(result.Body))
-		_, _, failure = second.Begin(t.Context(), "swaps", "key", 2)
+		_, _, failure = second.Claim(t.Context(), "swaps", "key", 2)
 		require.Equal(t, resultcode.KeyReused, failure.Code)
 		second.Close(t.Context())
 	})
@@ -199,7 +199,7 @@
 		var callers sync.WaitGroup
 		for number := range keys {
 			callers.Go(func() {
-				claim, _, failure := first.Begin(t.Context(), "swaps", fmt.Sprint(number), 1)
+				claim, _, failure := first.Claim(t.Context(), "swaps", fmt.Sprint(number), 1)
 				require.Nil(t, failure)
 				claim.Finish(operation.Result{Status: 200, Complete: true})
 			})
@@ -209,7 +209,7 @@
 		require.Less(t, store.written(), keys/20, "claims were not grouped")
 		second := newExecutor(store)
 		for number := range keys {
-			claim, _, _ := second.Begin(t.Context(), "swaps", fmt.Sprint(number), 1)
+			claim, _, _ := second.Claim(t.Context(), "swaps", fmt.Sprint(number), 1)
 			require.Nil(t, claim, "key %d was claimed twice", number)
 		}
 		segments, err := store.List(t.Context(), "operations-swaps")
@@ -220,7 +220,7 @@
 		segments, err = store.List(t.Context(), "operations-swaps")
 		require.NoError(t, err)
 		require.Len(t, segments, 1)
-		claim, _, _ := second.Begin(t.Context(), "swaps", "1", 1)
+		claim, _, _ := second.Claim(t.Context(), "swaps", "1", 1)
 		require.NotNil(t, claim)
 		first.Close(t.Context())
 		second.Close(t.Context())
@@ -231,11 +231,11 @@
 func TestOldClaimIsNotUsable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		executor := newExecutor(objectstore.NewMemory())
-		claim, _, failure := executor.Begin(t.Context(), "swaps", "key", 1)
+		claim, _, failure := executor.Claim(t.Context(), "swaps", "key", 1)
 		require.Nil(t, failure)
-		require.True(t, claim.Usable())
+		require.True(t, claim.Valid())
 		time.Sleep(operation.ClaimLifetime)
-		require.False(t, claim.Usable())
+		require.False(t, claim.Valid())
 		executor.Close(t.Context())
 	})
 }
@@ -247,14 +247,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		for _, slept := range []time.Duration{time.Second, 5 * time.Second, 30 * time.Second} {
 			var offset time.Duration
-			executor := operation.NewExecutor(operation.Options{
-				Store: objectstore.NewMemory(), Writes: rate.NewLimiter(100, 1), Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
+			executor := operation.NewClaimer(operation.Options{
+				Store: objectstore.NewMemory(), WriteLimiter: rate.NewLimiter(100, 1), Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 				Now: func() time.Time { return time.Now().Add(offset) },
 			})
-			claim, _, failure := executor.Begin(t.Context(), "swaps", "key", 1)
+			claim, _, failure := executor.Claim(t.Context(), "swaps", "key", 1)
 			require.Nil(t, failure)
 			offset = slept
-			require.Equal(t, slept < operation.ClaimLifetime, claim.Usable(), slept)
+			require.Equal(t, slept < operation.ClaimLifetime, claim.Valid(), slept)
 			executor.Close(t.Context())
 		}
 	})
--- a/operation/writer.go
+++ b/operation/writer.go
@@ -29,7 +29,7 @@
 
 // writer owns the journal of one service.
 type writer struct {
-	executor *Executor
+	executor *Claimer
 	service  string
 	queue    chan *command
 	journal  *journal
@@ -48,10 +48,10 @@
 // given up: their keys stay claimed, which is safe.
 const maxBacklog = 20000
 
-func newWriter(e *Executor, service string) *writer {
+func newWriter(e *Claimer, service string) *writer {
 	return &writer{
 		executor: e, service: service, queue: make(chan *command, queueLength),
-		journal: newJournal(e.options.Store, e.options.Writes, service, e.options.Retention),
+		journal: newJournal(e.options.Store, e.options.WriteLimiter, service, e.options.Retention),
 		pending: make(map[string]bool), expired: time.Now(),
 	}
 }
@@ -250,8 +250,8 @@
 		if c.answer == nil {
 			continue
 		}
-		seen, known := w.journal.ledger.Look(time.Now(), c.entry.Key, c.entry.Fingerprint)
-		if seen == Unsettled && !w.runsHere(known.token) {
+		seen, known := w.journal.ledger.Lookup(time.Now(), c.entry.Key, c.entry.Fingerprint)
+		if seen == Pending && !w.runsHere(known.token) {
 			return true
 		}
 	}
@@ -269,7 +269,7 @@
 		if c.answer == nil {
 			continue
 		}
-		if w.journal.ledger.Holds(c.entry.Key, c.entry.Token) {
+		if w.journal.ledger.HasClaim(c.entry.Key, c.entry.Token) {
 			// An earlier try took effect though its answer was lost.
 			answers[index] = verdict{claim: w.claim(c)}
 			continue
@@ -278,8 +278,8 @@
 			answers[index] = verdict{failure: inProgress()}
 			continue
 		}
-		seen, known := w.journal.ledger.Look(now, c.entry.Key, c.entry.Fingerprint)
-		if seen != Free {
+		seen, known := w.journal.ledger.Lookup(now, c.entry.Key, c.entry.Fingerprint)
+		if seen != Unclaimed {
 			answers[index] = w.seen(seen, known)
 			continue
 		}
@@ -319,13 +319,13 @@
 }
 
 // seen answers a claim of a key that was seen before.
-func (w *writer) seen(seen Verdict, known record) verdict {
+func (w *writer) seen(seen KeyState, known record) verdict {
 	switch {
 	case seen == Reused:
 		return verdict{failure: &resultcode.Failure{Code: resultcode.KeyReused, Detail: "the key was used with another method, path or body"}}
-	case seen == Known && known.result.Complete:
+	case seen == Completed && known.result.Complete:
 		return verdict{result: known.result}
-	case seen == Known:
+	case seen == Completed:
 		return verdict{failure: &resultcode.Failure{Code: resultcode.OperationUnknown, Detail: "the operation ran, but its answer could not be kept"}}
 	case w.runsHere(known.token):
 		return verdict{failure: inProgress()}
--- a/outlier/outlier.go
+++ b/outlier/outlier.go
@@ -49,8 +49,8 @@
 	trialAt     time.Time // when the pending trial began; zero: none pending
 }
 
-// Success notes an answer.
-func (d *Detector) Success() {
+// RecordSuccess notes an answer.
+func (d *Detector) RecordSuccess() {
 	d.consecutive, d.refusals = 0, 0
 	d.rate -= d.rate * rateWeight
 	if d.ejected {
@@ -58,8 +58,8 @@
 	}
 }
 
-// Failure notes a failed request.
-func (d *Detector) Failure(now time.Time) {
+// RecordFailure notes a failed request.
+func (d *Detector) RecordFailure(now time.Time) {
 	d.consecutive++
 	d.rate += (1 - d.rate) * rateWeight
 	if d.ejected && d.trialAt.IsZero() {
@@ -70,27 +70,27 @@
 	}
 }
 
-// Ended notes that the process of the back end has ended, on the word of somebody whose request it
+// RecordExit notes that the process of the back end has ended, on the word of somebody whose request it
 // was running. It is ejected at once, and stays out however many others are, until it answers.
-func (d *Detector) Ended(now time.Time) {
+func (d *Detector) RecordExit(now time.Time) {
 	d.consecutive++
 	d.rate += (1 - d.rate) * rateWeight
 	d.eject(now)
 	d.ended, d.until = true, clock.Later(d.until, now.Add(endedEjection))
 }
 
-// Refused notes that a connection was refused: nothing listens there. A few in a row mean that
+// RecordConnectionRefused notes that a connection was refused: nothing listens there. A few in a row mean that
 // the back end has ended.
-func (d *Detector) Refused(now time.Time) {
+func (d *Detector) RecordConnectionRefused(now time.Time) {
 	if d.refusals++; d.ended || d.refusals >= refusalLimit {
-		d.Ended(now)
+		d.RecordExit(now)
 		return
 	}
-	d.Failure(now)
+	d.RecordFailure(now)
 }
 
-// HasEnded says whether the back end is out as its process has ended.
-func (d *Detector) HasEnded() bool {
+// HasExited says whether the back end is out as its process has ended.
+func (d *Detector) HasExited() bool {
 	return d.ended
 }
 
@@ -115,8 +115,8 @@
 	return d.trialAt.IsZero() || now.Sub(d.trialAt) > trialTimeout
 }
 
-// Trial notes that a trial request was sent.
-func (d *Detector) Trial(now time.Time) {
+// RecordTrial notes that a trial request was sent.
+func (d *Detector) RecordTrial(now time.Time) {
 	d.trialAt = now
 }
 
--- a/outlier/outlier_test.go
+++ b/outlier/outlier_test.go
@@ -13,28 +13,28 @@
 // as a start takes, or an answer.
 func TestEndedIsOutAtOnce(t *testing.T) {
 	var d Detector
-	d.Ended(start)
+	d.RecordExit(start)
 	require.True(t, d.Ejected(start))
-	require.True(t, d.HasEnded())
+	require.True(t, d.HasExited())
 	require.False(t, d.TrialDue(start.Add(endedEjection-time.Millisecond)))
 	require.True(t, d.TrialDue(start.Add(endedEjection)))
-	d.Trial(start.Add(endedEjection))
-	d.Refused(start.Add(endedEjection))
-	require.True(t, d.HasEnded())
+	d.RecordTrial(start.Add(endedEjection))
+	d.RecordConnectionRefused(start.Add(endedEjection))
+	require.True(t, d.HasExited())
 	require.False(t, d.TrialDue(start.Add(2*endedEjection-time.Millisecond)))
-	d.Success()
+	d.RecordSuccess()
 	require.Equal(t, Detector{}, d)
 }
 
 // TestRefusalsInARow take a back end for ended after the second, unless it answered in between.
 func TestRefusalsInARow(t *testing.T) {
 	var d Detector
-	d.Refused(start)
-	d.Success()
-	d.Refused(start)
+	d.RecordConnectionRefused(start)
+	d.RecordSuccess()
+	d.RecordConnectionRefused(start)
 	require.False(t, d.Ejected(start))
-	d.Refused(start)
-	require.True(t, d.HasEnded())
+	d.RecordConnectionRefused(start)
+	require.True(t, d.HasExited())
 }
 
 // TestFailuresAreNoEnding: a back end that fails is ejected and not taken for ended.
@@ -42,9 +42,9 @@
 	var d Detector
 	for range consecutiveLimit {
 		require.False(t, d.Ejected(start))
-		d.Failure(start)
+		d.RecordFailure(start)
 	}
 	require.True(t, d.Ejected(start))
-	require.False(t, d.HasEnded())
+	require.False(t, d.HasExited())
 	require.True(t, d.TrialDue(start.Add(baseEjection)))
 }
--- a/peer/exchange.go
+++ b/peer/exchange.go
@@ -15,7 +15,7 @@
 	var found bool
 	n.change(byTime, func(now time.Time) {
 		n.state.Tick(now)
-		target, found = n.state.Next()
+		target, found = n.state.NextPeer()
 	})
 	if !found {
 		n.join(ctx, firstSeeds, 0)
@@ -127,7 +127,7 @@
 	n.change(from.Name, func(now time.Time) {
 		expected = n.expects(now, theirs)
 		n.state.Merge(now, decodeMembers(message.GetUpdates()))
-		n.state.Heard(now, from)
+		n.state.ReceivedFrom(now, from)
 		n.heard.Store(&now)
 		sync = n.state.SyncDue(now, message.GetDigest()^n.options.Quarantine.Digest())
 	})
--- a/peer/gossip.go
+++ b/peer/gossip.go
@@ -4,8 +4,8 @@
 
 // Records is a kind of news, as this daemon knows it: records with keys. No method blocks.
 type Records[K comparable, R any] interface {
-	// Take takes in what others tell, and returns what of it is news.
-	Take(told []R) []R
+	// Merge takes in what others tell, and returns what of it is news.
+	Merge(told []R) []R
 	// Record returns what others are to be told under a key.
 	Record(key K) (R, bool)
 	// Records returns what a daemon that has just started is told, what matters most first, at most so many.
@@ -15,7 +15,7 @@
 // noRecords knows nothing.
 type noRecords[K comparable, R any] struct{}
 
-func (noRecords[K, R]) Take([]R) []R { return nil }
+func (noRecords[K, R]) Merge([]R) []R { return nil }
 func (noRecords[K, R]) Record(K) (R, bool) {
 	var none R
 	return none, false
@@ -68,7 +68,7 @@
 	if len(told) == 0 {
 		return
 	}
-	news := g.known.Take(told)
+	news := g.known.Merge(told)
 	if len(news) == 0 {
 		return
 	}
--- a/peer/node.go
+++ b/peer/node.go
@@ -183,7 +183,7 @@
 // Suspect notes that a member could not be reached.
 func (n *Node) Suspect(name string) {
 	n.options.OnNoAnswer()
-	n.change(byNoAnswer, func(now time.Time) { n.state.Unreachable(now, name) })
+	n.change(byNoAnswer, func(now time.Time) { n.state.MarkUnreachable(now, name) })
 }
 
 // spreadSoon lets a few members be told at once, as there is news.
--- a/peer/quarantine.go
+++ b/peer/quarantine.go
@@ -42,9 +42,9 @@
 	encoded := make([]*peerpb.CrashingRequest, 0, len(records))
 	for _, record := range records {
 		one := &peerpb.CrashingRequest{
-			Fingerprint: uint64(record.Fingerprint), Service: record.Service, Request: record.Request, Cleared: int64(record.Cleared), Ordered: int64(record.Ordered), Broad: record.Broad,
+			Fingerprint: uint64(record.Fingerprint), Service: record.Service, Request: record.Description, Cleared: int64(record.ClearedAt), Ordered: int64(record.ManualAt), Broad: record.Broad,
 		}
-		for _, ending := range record.Endings {
+		for _, ending := range record.Crashes {
 			one.Endings = append(one.Endings, &peerpb.Ending{Backend: uint64(ending.Backend), At: int64(ending.At)})
 		}
 		encoded = append(encoded, one)
@@ -56,11 +56,11 @@
 	records := make([]quarantine.Record, 0, len(encoded))
 	for _, one := range encoded {
 		record := quarantine.Record{
-			Fingerprint: quarantine.Fingerprint(one.Fingerprint), Service: one.Service, Request: one.Request,
-			Cleared: quarantine.Moment(one.Cleared), Ordered: quarantine.Moment(one.Ordered), Broad: one.Broad,
+			Fingerprint: quarantine.Fingerprint(one.Fingerprint), Service: one.Service, Description: one.Request,
+			ClearedAt: quarantine.Timestamp(one.Cleared), ManualAt: quarantine.Timestamp(one.Ordered), Broad: one.Broad,
 		}
 		for _, ending := range one.Endings {
-			record.Endings = append(record.Endings, quarantine.Ending{Backend: quarantine.BackendRun(ending.Backend), At: quarantine.Moment(ending.At)})
+			record.Crashes = append(record.Crashes, quarantine.Crash{Backend: quarantine.BackendRun(ending.Backend), At: quarantine.Timestamp(ending.At)})
 		}
 		records = append(records, record)
 	}
--- a/peer/server.go
+++ b/peer/server.go
@@ -62,7 +62,7 @@
 func (s *server) Members(_ context.Context, request *peerpb.MembersRequest) (*peerpb.MembersReply, error) {
 	n := s.node
 	sender := decodeMember(request.Sender)
-	n.change(sender.Name, func(now time.Time) { n.state.Heard(now, sender) })
+	n.change(sender.Name, func(now time.Time) { n.state.ReceivedFrom(now, sender) })
 	reply, err := encodeList(&peerpb.MemberList{
 		Members: encodeMembers(n.Members()), Drains: encodeDrains(n.options.Drains.Records(maxListedDrains)),
 		CrashingRequests: encodeCrashingRequests(n.options.Quarantine.Records(maxListedCrashingRequests)),
--- a/peer/view.go
+++ b/peer/view.go
@@ -32,7 +32,7 @@
 	}
 	view.dispatchers, view.forming = n.forming.choose(time.Now(), view.region)
 	if !view.forming {
-		view.dispatchers = membership.Roomy(view.region)
+		view.dispatchers = membership.HighCapacity(view.region)
 	}
 	n.view.Store(view)
 }
@@ -77,7 +77,7 @@
 	regions[n.options.Self.Region] = view.dispatchers
 	chosen := make(map[string]bool)
 	for _, members := range regions {
-		members = membership.Roomy(members)
+		members = membership.HighCapacity(members)
 		for _, name := range names {
 			for _, member := range membership.Choose(members, dispatchDuty+name, 1) {
 				if member.Name != view.self && !chosen[member.Name] {
@@ -96,7 +96,7 @@
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	alive = len(n.state.Serving())
-	return alive, alive + n.state.Lost(time.Now(), within)
+	return alive, alive + n.state.RecentDeaths(time.Now(), within)
 }
 
 // LastHeard returns when any other daemon was heard last; when this one was made, if none was.
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -79,9 +79,9 @@
 	Hedge time.Duration
 }
 
-// HeaderKey is the header that carries an operation's key where the policy
+// HeaderIdempotencyKey is the header that carries an operation's key where the policy
 // names no other place.
-const HeaderKey = "Idempotency-Key"
+const HeaderIdempotencyKey = "Idempotency-Key"
 
 // MaxWeight is the largest weight a policy may give.
 const MaxWeight = 1000
@@ -287,7 +287,7 @@
 		decision.Once = true
 	}
 	if decision.Once {
-		decision.Key = request.Header.Get(HeaderKey)
+		decision.Key = request.Header.Get(HeaderIdempotencyKey)
 		note(evaluate(p.key, "key", input, &decision.Key))
 	}
 	if failed != nil {
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -11,7 +11,7 @@
 )
 
 func request(method, path string) policy.Request {
-	return policy.Request{Method: method, Path: path, Header: http.Header{"X-Kind": {"late"}, policy.HeaderKey: {"k1"}}}
+	return policy.Request{Method: method, Path: path, Header: http.Header{"X-Kind": {"late"}, policy.HeaderIdempotencyKey: {"k1"}}}
 }
 
 func TestDecisions(t *testing.T) {
--- a/pushback/keeper.go
+++ b/pushback/keeper.go
@@ -26,8 +26,8 @@
 	Metrics tally.Scope
 }
 
-// Keeper is a daemon's table of pauses. It is safe for concurrent use; but for Run, no method blocks.
-type Keeper struct {
+// Tracker is a daemon's table of pauses. It is safe for concurrent use; but for Run, no method blocks.
+type Tracker struct {
 	options Options
 	log     *slog.Logger
 	asked   tally.Counter
@@ -39,20 +39,20 @@
 	table *Table
 }
 
-// NewKeeper returns a keeper without pauses.
-func NewKeeper(options Options) *Keeper {
-	return &Keeper{
+// NewTracker returns a keeper without pauses.
+func NewTracker(options Options) *Tracker {
+	return &Tracker{
 		options: options, log: logging.Part(options.Log, "pushback"), table: NewTable(),
 		asked: options.Metrics.Counter("backend_pauses_asked"), gauge: options.Metrics.Gauge("backends_paused"),
 	}
 }
 
-// Ask takes in that the run of a back end that started at a time turned a request away and asks for a pause. The
+// RecordPause takes in that the run of a back end that started at a time turned a request away and asks for a pause. The
 // request path calls it.
-func (k *Keeper) Ask(key backend.Key, lasts time.Duration, started int64, request string) {
+func (k *Tracker) RecordPause(key backend.Key, lasts time.Duration, started int64, request string) {
 	k.asked.Inc(1)
 	k.mutex.Lock()
-	begins := k.table.Ask(time.Now(), key, lasts, started, request, rand.Float64())
+	begins := k.table.RecordPause(time.Now(), key, lasts, started, request, rand.Float64())
 	k.publish()
 	k.mutex.Unlock()
 	k.options.Apply(key)
@@ -62,42 +62,42 @@
 }
 
 // publish tells how many pauses there are. The caller holds the mutex.
-func (k *Keeper) publish() {
+func (k *Tracker) publish() {
 	k.kept.Store(int64(k.table.count))
 	k.gauge.Update(float64(k.table.count))
 }
 
-// Of returns the pause that the run of a back end that started at a time is in, and false where it is in none. The
+// ActivePause returns the pause that the run of a back end that started at a time is in, and false where it is in none. The
 // request path calls it.
-func (k *Keeper) Of(key backend.Key, started int64) (Pause, bool) {
+func (k *Tracker) ActivePause(key backend.Key, started int64) (Pause, bool) {
 	if k.kept.Load() == 0 {
 		return Pause{}, false
 	}
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	return k.table.Of(time.Now(), key, started)
+	return k.table.ActivePause(time.Now(), key, started)
 }
 
-// Paused returns the ids of a service's back ends that are in a pause, whichever their run. The request path calls it.
-func (k *Keeper) Paused(service string) []string {
+// PausedBackends returns the ids of a service's back ends that are in a pause, whichever their run. The request path calls it.
+func (k *Tracker) PausedBackends(service string) []string {
 	if k.kept.Load() == 0 {
 		return nil
 	}
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	return k.table.Paused(time.Now(), service)
+	return k.table.PausedBackends(time.Now(), service)
 }
 
-// Kept returns how many back ends are in a pause.
-func (k *Keeper) Kept() int {
+// PauseCount returns how many back ends are in a pause.
+func (k *Tracker) PauseCount() int {
 	return int(k.kept.Load())
 }
 
 // Run drops pauses that are over until ctx ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Tracker) Run(ctx context.Context) {
 	for wait.Sleep(ctx, forgetInterval) {
 		k.mutex.Lock()
-		k.table.Forget(time.Now())
+		k.table.Prune(time.Now())
 		k.publish()
 		k.mutex.Unlock()
 	}
--- a/pushback/pushback_test.go
+++ b/pushback/pushback_test.go
@@ -73,35 +73,35 @@
 }
 
 func isPaused(table *pushback.Table, now time.Time, started int64) bool {
-	_, paused := table.Of(now, key, started)
+	_, paused := table.ActivePause(now, key, started)
 	return paused
 }
 
 // TestPauseLasts keeps to the longest pause that was asked for, and to none once it is over.
 func TestPauseLasts(t *testing.T) {
 	table := pushback.NewTable()
-	require.True(t, table.Ask(at(0), key, 4*time.Second, 1, "r1", 0))
-	require.False(t, table.Ask(at(1), key, time.Second, 1, "r2", 0), "a shorter one after a longer one")
+	require.True(t, table.RecordPause(at(0), key, 4*time.Second, 1, "r1", 0))
+	require.False(t, table.RecordPause(at(1), key, time.Second, 1, "r2", 0), "a shorter one after a longer one")
 	require.True(t, isPaused(table, at(3.9), 1))
 	require.False(t, isPaused(table, at(4), 1))
-	require.False(t, table.Ask(at(3), key, 4*time.Second, 1, "r3", 0), "it goes on")
-	pause, paused := table.Of(at(6.9), key, 1)
+	require.False(t, table.RecordPause(at(3), key, 4*time.Second, 1, "r3", 0), "it goes on")
+	pause, paused := table.ActivePause(at(6.9), key, 1)
 	require.True(t, paused)
 	require.Equal(t, at(0), pause.Since)
-	require.Equal(t, "r3", pause.Request)
-	require.Equal(t, []string{"i-1"}, table.Paused(at(6.9), "board"))
-	require.Empty(t, table.Paused(at(7), "board"))
-	require.Zero(t, table.Forget(at(7)))
-	require.True(t, table.Ask(at(9), key, time.Second, 1, "r4", 0), "another one")
+	require.Equal(t, "r3", pause.RequestID)
+	require.Equal(t, []string{"i-1"}, table.PausedBackends(at(6.9), "board"))
+	require.Empty(t, table.PausedBackends(at(7), "board"))
+	require.Zero(t, table.Prune(at(7)))
+	require.True(t, table.RecordPause(at(9), key, time.Second, 1, "r4", 0), "another one")
 }
 
 // TestPauseIsOfOneRun lets the run that started later take requests, whatever the earlier one asked for.
 func TestPauseIsOfOneRun(t *testing.T) {
 	table := pushback.NewTable()
-	table.Ask(at(0), key, time.Minute, 1, "r1", 0)
+	table.RecordPause(at(0), key, time.Minute, 1, "r1", 0)
 	require.False(t, isPaused(table, at(1), 2))
-	require.True(t, table.Ask(at(2), key, 4*time.Second, 2, "r2", 0))
-	require.False(t, table.Ask(at(3), key, time.Minute, 1, "r3", 0), "a late answer of the earlier run")
+	require.True(t, table.RecordPause(at(2), key, 4*time.Second, 2, "r2", 0))
+	require.False(t, table.RecordPause(at(3), key, time.Minute, 1, "r3", 0), "a late answer of the earlier run")
 	require.True(t, isPaused(table, at(5), 2))
 	require.False(t, isPaused(table, at(6), 2))
 }
@@ -115,8 +115,8 @@
 		t.Run(name, func(t *testing.T) {
 			for _, draw := range []float64{0, 0.5, 0.999} {
 				table := pushback.NewTable()
-				table.Ask(at(0), key, one.lasts, 1, "", draw)
-				pause, paused := table.Of(at(0), key, 1)
+				table.RecordPause(at(0), key, one.lasts, 1, "", draw)
+				pause, paused := table.ActivePause(at(0), key, 1)
 				require.True(t, paused)
 				require.GreaterOrEqual(t, pause.Until.Sub(at(0)), one.lasts)
 				require.LessOrEqual(t, pause.Until.Sub(at(0)), one.longest)
--- a/pushback/table.go
+++ b/pushback/table.go
@@ -17,10 +17,10 @@
 
 // Pause is what a back end has asked this daemon for.
 type Pause struct {
-	Until   time.Time
-	Since   time.Time // when it first asked, of pauses without a gap between
-	Started int64     // of the run that asked, in Unix milliseconds; 0: it does not say
-	Request string    // id of the request that was turned away last; empty: a probe was
+	Until     time.Time
+	Since     time.Time // when it first asked, of pauses without a gap between
+	Started   int64     // of the run that asked, in Unix milliseconds; 0: it does not say
+	RequestID string    // id of the request that was turned away last; empty: a probe was
 }
 
 // Table holds the pauses of a daemon. It is not safe for concurrent use.
@@ -34,11 +34,11 @@
 	return &Table{pauses: make(map[string]map[string]Pause)}
 }
 
-// Ask takes in that a back end asks for a pause from now on, and says whether it is in one only since now. draw is
+// RecordPause takes in that a back end asks for a pause from now on, and says whether it is in one only since now. draw is
 // a random number from 0 to 1.
-func (t *Table) Ask(now time.Time, key backend.Key, lasts time.Duration, started int64, request string, draw float64) (begins bool) {
+func (t *Table) RecordPause(now time.Time, key backend.Key, lasts time.Duration, started int64, request string, draw float64) (begins bool) {
 	spread := min(time.Duration(spreadPart*float64(lasts)), maxSpread)
-	asked := Pause{Until: now.Add(lasts + time.Duration(draw*float64(spread))), Since: now, Started: started, Request: request}
+	asked := Pause{Until: now.Add(lasts + time.Duration(draw*float64(spread))), Since: now, Started: started, RequestID: request}
 	known, kept := t.pauses[key.Service][key.Backend]
 	switch {
 	case !kept && t.count >= maxPauses:
@@ -49,7 +49,7 @@
 		return false // an earlier run asks
 	case known.Started == started && known.Until.After(now):
 		if known.Until.Before(asked.Until) {
-			known.Until, known.Request = asked.Until, request
+			known.Until, known.RequestID = asked.Until, request
 			t.pauses[key.Service][key.Backend] = known
 		}
 		return false
@@ -61,8 +61,8 @@
 	return true
 }
 
-// Of returns the pause that the run of a back end that started at a time is in, and false where it is in none.
-func (t *Table) Of(now time.Time, key backend.Key, started int64) (Pause, bool) {
+// ActivePause returns the pause that the run of a back end that started at a time is in, and false where it is in none.
+func (t *Table) ActivePause(now time.Time, key backend.Key, started int64) (Pause, bool) {
 	known, kept := t.pauses[key.Service][key.Backend]
 	if !kept || known.Started != started || !known.Until.After(now) {
 		return Pause{}, false
@@ -70,8 +70,8 @@
 	return known, true
 }
 
-// Paused returns the ids of a service's back ends that are in a pause, whichever their run.
-func (t *Table) Paused(now time.Time, service string) []string {
+// PausedBackends returns the ids of a service's back ends that are in a pause, whichever their run.
+func (t *Table) PausedBackends(now time.Time, service string) []string {
 	var paused []string
 	for id, known := range t.pauses[service] {
 		if known.Until.After(now) {
@@ -81,8 +81,8 @@
 	return paused
 }
 
-// Forget drops the pauses that are over, and returns how many there are.
-func (t *Table) Forget(now time.Time) int {
+// Prune drops the pauses that are over, and returns how many there are.
+func (t *Table) Prune(now time.Time) int {
 	for service, pauses := range t.pauses {
 		for id, known := range pauses {
 			if !known.Until.After(now) {
--- a/quarantine/keeper.go
+++ b/quarantine/keeper.go
@@ -17,19 +17,19 @@
 type Options struct {
 	Policy Policy
 	Store  objectstore.Store
-	// Reads says whether this daemon reads from the store what is held back: a few daemons do,
+	// ReadsStore says whether this daemon reads from the store what is held back: a few daemons do,
 	// and tell the others. It must not block.
-	Reads func() bool
-	// Tell tells the other daemons of news that this one has seen. It must not block.
-	Tell    func(Record)
-	Timeout time.Duration // of one call to the store
-	Log     *slog.Logger
-	Metrics tally.Scope
+	ReadsStore func() bool
+	// Broadcast tells the other daemons of news that this one has seen. It must not block.
+	Broadcast    func(Record)
+	StoreTimeout time.Duration // of one call to the store
+	Log          *slog.Logger
+	Metrics      tally.Scope
 }
 
-// Keeper is a daemon's table of requests. It is safe for concurrent use; but for Run, no method
+// Tracker is a daemon's table of requests. It is safe for concurrent use; but for Run, no method
 // blocks.
-type Keeper struct {
+type Tracker struct {
 	options Options
 	log     *slog.Logger
 	endings tally.Counter
@@ -45,34 +45,34 @@
 	save      chan struct{} // room for one: there is something unsaved
 }
 
-// NewKeeper returns a keeper that has noted nothing.
-func NewKeeper(options Options) *Keeper {
-	return &Keeper{
+// NewTracker returns a keeper that has noted nothing.
+func NewTracker(options Options) *Tracker {
+	return &Tracker{
 		options: options, log: logging.Part(options.Log, "quarantine"), table: NewTable(options.Policy),
 		endings: options.Metrics.Counter("backends_ended"), held: options.Metrics.Gauge("requests_quarantined"),
 		unsaved: make(map[Fingerprint]bool), witnessed: make(map[Fingerprint]bool), save: make(chan struct{}, 1),
 	}
 }
 
-// HeldUntil returns until when a request is held back, and false when it is not. The request
+// QuarantinedUntil returns until when a request is held back, and false when it is not. The request
 // path calls it.
-func (k *Keeper) HeldUntil(fingerprint Fingerprint) (time.Time, bool) {
+func (k *Tracker) QuarantinedUntil(fingerprint Fingerprint) (time.Time, bool) {
 	k.mutex.RLock()
 	defer k.mutex.RUnlock()
 	if k.table.Len() == 0 {
 		return time.Time{}, false
 	}
-	return k.table.HeldUntil(time.Now(), fingerprint)
+	return k.table.QuarantinedUntil(time.Now(), fingerprint)
 }
 
-// Refuse returns why a request must not reach a back end; nil: it may. The caller is told to come
+// Check returns why a request must not reach a back end; nil: it may. The caller is told to come
 // back when it may again.
-func (k *Keeper) Refuse(fingerprints Fingerprints) *resultcode.Failure {
+func (k *Tracker) Check(fingerprints Fingerprints) *resultcode.Failure {
 	fingerprint := fingerprints.Exact
-	until, held := k.HeldUntil(fingerprint)
+	until, held := k.QuarantinedUntil(fingerprint)
 	if !held {
 		fingerprint = fingerprints.Broad
-		until, held = k.HeldUntil(fingerprint)
+		until, held = k.QuarantinedUntil(fingerprint)
 	}
 	if !held {
 		return nil
@@ -83,49 +83,49 @@
 	}
 }
 
-// Endings returns under how many endings of back ends a request was. The request path calls it.
-func (k *Keeper) Endings(fingerprints Fingerprints) int {
+// CrashCount returns under how many endings of back ends a request was. The request path calls it.
+func (k *Tracker) CrashCount(fingerprints Fingerprints) int {
 	k.mutex.RLock()
 	defer k.mutex.RUnlock()
 	if k.table.Len() == 0 {
 		return 0
 	}
 	now := time.Now()
-	return max(k.table.Endings(now, fingerprints.Exact), k.table.Endings(now, fingerprints.Broad))
+	return max(k.table.CrashCount(now, fingerprints.Exact), k.table.CrashCount(now, fingerprints.Broad))
 }
 
-// Ended notes that a back end ended while it ran a request of a service.
-func (k *Keeper) Ended(identity Identity, service string, backend BackendRun) {
+// RecordCrash notes that a back end ended while it ran a request of a service.
+func (k *Tracker) RecordCrash(identity Identity, service string, backend BackendRun) {
 	k.endings.Inc(1)
-	at := MomentOf(time.Now())
+	at := NewTimestamp(time.Now())
 	fingerprints := identity.Fingerprints()
 	broad := identity
 	broad.Caller = "any"
-	k.note(Record{Fingerprint: fingerprints.Exact, Service: service, Request: identity.Describe(), Endings: []Ending{{Backend: backend, At: at}}})
-	k.note(Record{Fingerprint: fingerprints.Broad, Broad: true, Service: service, Request: broad.Describe(), Endings: []Ending{{Backend: backend, At: at}}})
+	k.note(Record{Fingerprint: fingerprints.Exact, Service: service, Description: identity.Describe(), Crashes: []Crash{{Backend: backend, At: at}}})
+	k.note(Record{Fingerprint: fingerprints.Broad, Broad: true, Service: service, Description: broad.Describe(), Crashes: []Crash{{Backend: backend, At: at}}})
 }
 
 // note takes in what this daemon has seen.
-func (k *Keeper) note(request Record) {
+func (k *Tracker) note(request Record) {
 	k.mutex.Lock()
 	k.witnessed[request.Fingerprint] = true
 	k.mutex.Unlock()
 	k.change(request.Fingerprint, func(now time.Time) (Record, bool) { return k.table.Merge(now, request) })
 }
 
-// Survived notes that a back end answered a request.
-func (k *Keeper) Survived(fingerprints Fingerprints) {
-	if k.Endings(fingerprints) == 0 {
+// RecordSuccess notes that a back end answered a request.
+func (k *Tracker) RecordSuccess(fingerprints Fingerprints) {
+	if k.CrashCount(fingerprints) == 0 {
 		return
 	}
 	for _, fingerprint := range []Fingerprint{fingerprints.Exact, fingerprints.Broad} {
-		k.change(fingerprint, func(now time.Time) (Record, bool) { return k.table.Survived(now, fingerprint) })
+		k.change(fingerprint, func(now time.Time) (Record, bool) { return k.table.RecordSuccess(now, fingerprint) })
 	}
 }
 
-// Hold holds a request back by an operator's order, whatever was noted of it.
-func (k *Keeper) Hold(request Record) {
-	request.Ordered = MomentOf(time.Now())
+// Quarantine holds a request back by an operator's order, whatever was noted of it.
+func (k *Tracker) Quarantine(request Record) {
+	request.ManualAt = NewTimestamp(time.Now())
 	k.mutex.Lock()
 	k.witnessed[request.Fingerprint] = true
 	k.mutex.Unlock()
@@ -134,27 +134,27 @@
 
 // Release lets a request through again by an operator's order. It returns false where nothing
 // was noted of it.
-func (k *Keeper) Release(fingerprint Fingerprint) bool {
+func (k *Tracker) Release(fingerprint Fingerprint) bool {
 	return k.change(fingerprint, func(now time.Time) (Record, bool) { return k.table.Release(now, fingerprint) })
 }
 
 // change makes a change that this daemon has seen or was ordered, and tells others.
-func (k *Keeper) change(fingerprint Fingerprint, apply func(now time.Time) (Record, bool)) bool {
+func (k *Tracker) change(fingerprint Fingerprint, apply func(now time.Time) (Record, bool)) bool {
 	record, news := k.apply(fingerprint, apply)
 	if news {
-		k.options.Tell(record)
+		k.options.Broadcast(record)
 	}
 	return news
 }
 
 // apply makes a change, logs what is new, and lets it be saved where this daemon has to.
-func (k *Keeper) apply(fingerprint Fingerprint, apply func(now time.Time) (Record, bool)) (Record, bool) {
+func (k *Tracker) apply(fingerprint Fingerprint, apply func(now time.Time) (Record, bool)) (Record, bool) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	now := time.Now()
-	_, before := k.table.HeldUntil(now, fingerprint)
+	_, before := k.table.QuarantinedUntil(now, fingerprint)
 	record, news := apply(now)
-	until, held := k.table.HeldUntil(now, fingerprint)
+	until, held := k.table.QuarantinedUntil(now, fingerprint)
 	if held == before {
 		return record, news
 	}
@@ -163,7 +163,7 @@
 	} else {
 		k.log.Info("request let through again", record.attributes()...)
 	}
-	k.held.Update(float64(len(k.table.Held(now))))
+	k.held.Update(float64(len(k.table.Quarantined(now))))
 	if k.witnessed[fingerprint] || !held {
 		k.saveSoon(fingerprint)
 	}
@@ -172,11 +172,11 @@
 
 // attributes are what lines on the request have.
 func (r Record) attributes() []any {
-	return []any{"fingerprint", r.Fingerprint.String(), "service", r.Service, "what", r.Request, "endings", len(r.Endings), "by_order", r.Ordered > 0}
+	return []any{"fingerprint", r.Fingerprint.String(), "service", r.Service, "what", r.Description, "endings", len(r.Crashes), "by_order", r.ManualAt > 0}
 }
 
-// Take takes in what other daemons have noted, and returns what of it is news.
-func (k *Keeper) Take(told []Record) []Record {
+// Merge takes in what other daemons have noted, and returns what of it is news.
+func (k *Tracker) Merge(told []Record) []Record {
 	var news []Record
 	for _, one := range told {
 		if record, isNews := k.apply(one.Fingerprint, func(now time.Time) (Record, bool) { return k.table.Merge(now, one) }); isNews {
@@ -187,52 +187,52 @@
 }
 
 // Record returns what is noted of a request.
-func (k *Keeper) Record(fingerprint Fingerprint) (Record, bool) {
+func (k *Tracker) Record(fingerprint Fingerprint) (Record, bool) {
 	k.mutex.RLock()
 	defer k.mutex.RUnlock()
 	return k.table.Record(fingerprint)
 }
 
 // Records returns what is noted, what matters most first, at most so many.
-func (k *Keeper) Records(most int) []Record {
+func (k *Tracker) Records(most int) []Record {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	records := k.table.Records(time.Now())
 	return records[:min(most, len(records))]
 }
 
-// Noted is a request under which back ends ended, or that an operator holds back.
-type Noted struct {
+// Entry is a request under which back ends ended, or that an operator holds back.
+type Entry struct {
 	Record
-	Held  bool
-	Until time.Time // where it is held back
+	Quarantined bool
+	Until       time.Time // where it is held back
 }
 
-// Noted returns what is noted, what matters most first. What was only refuted is left out.
-func (k *Keeper) Noted() []Noted {
+// Entries returns what is noted, what matters most first. What was only refuted is left out.
+func (k *Tracker) Entries() []Entry {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	now := time.Now()
-	var noted []Noted
+	var noted []Entry
 	for _, record := range k.table.Records(now) {
-		if len(record.Endings) == 0 && record.Ordered == 0 {
+		if len(record.Crashes) == 0 && record.ManualAt == 0 {
 			continue
 		}
 		until, held := k.table.heldUntil(now, record)
-		noted = append(noted, Noted{Record: record, Held: held, Until: until})
+		noted = append(noted, Entry{Record: record, Quarantined: held, Until: until})
 	}
 	return noted
 }
 
-// Held returns how many requests are held back.
-func (k *Keeper) Held() int {
+// QuarantinedCount returns how many requests are held back.
+func (k *Tracker) QuarantinedCount() int {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	return len(k.table.Held(time.Now()))
+	return len(k.table.Quarantined(time.Now()))
 }
 
 // Digest tells daemons apart that hold back other requests.
-func (k *Keeper) Digest() uint64 {
+func (k *Tracker) Digest() uint64 {
 	k.mutex.RLock()
 	defer k.mutex.RUnlock()
 	if k.table.Len() == 0 {
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -18,28 +18,28 @@
 	return BackendRun(xxhash.Sum64String(id + "@" + strconv.FormatInt(started, 10)))
 }
 
-// Ending is a back end that ended while it ran a request.
-type Ending struct {
+// Crash is a back end that ended while it ran a request.
+type Crash struct {
 	Backend BackendRun `json:"backend"`
-	At      Moment     `json:"at"`
+	At      Timestamp  `json:"at"`
 }
 
-// Moment is a time of day in Unix milliseconds; 0: never.
-type Moment int64
+// Timestamp is a time of day in Unix milliseconds; 0: never.
+type Timestamp int64
 
-// MomentOf returns the moment of a time.
-func MomentOf(at time.Time) Moment {
-	return Moment(at.UnixMilli())
+// NewTimestamp returns the moment of a time.
+func NewTimestamp(at time.Time) Timestamp {
+	return Timestamp(at.UnixMilli())
 }
 
 // Time returns the moment as a time.
-func (m Moment) Time() time.Time {
+func (m Timestamp) Time() time.Time {
 	return time.UnixMilli(int64(m))
 }
 
 // after returns the moment so much later.
-func (m Moment) after(length time.Duration) Moment {
-	return m + Moment(length.Milliseconds())
+func (m Timestamp) after(length time.Duration) Timestamp {
+	return m + Timestamp(length.Milliseconds())
 }
 
 // maxEndings is how many endings of a request are remembered, the newest ones: more than it
@@ -56,15 +56,15 @@
 type Record struct {
 	Fingerprint Fingerprint `json:"fingerprint"`
 	Service     string      `json:"service"`
-	// Request says to operators what it is: method, host, target and caller.
-	Request string `json:"request"`
+	// Description says to operators what it is: method, host, target and caller.
+	Description string `json:"request"`
 	// Broad: the fingerprint is one without caller and query.
-	Broad   bool     `json:"broad,omitempty"`
-	Endings []Ending `json:"endings,omitempty"` // after Cleared, oldest first
-	// Cleared is when it was refuted last, by an answer or by an operator.
-	Cleared Moment `json:"cleared,omitempty"`
-	// Ordered is when an operator last ordered to hold it back.
-	Ordered Moment `json:"ordered,omitempty"`
+	Broad   bool    `json:"broad,omitempty"`
+	Crashes []Crash `json:"endings,omitempty"` // after Cleared, oldest first
+	// ClearedAt is when it was refuted last, by an answer or by an operator.
+	ClearedAt Timestamp `json:"cleared,omitempty"`
+	// ManualAt is when an operator last ordered to hold it back.
+	ManualAt Timestamp `json:"ordered,omitempty"`
 }
 
 // merge joins what two daemons know. The outcome does not depend on the order in which news
@@ -73,31 +73,31 @@
 func merge(a, b Record) Record {
 	joined := a
 	joined.Broad = a.Broad || b.Broad
-	if joined.Request == "" {
-		joined.Service, joined.Request = b.Service, b.Request
+	if joined.Description == "" {
+		joined.Service, joined.Description = b.Service, b.Description
 	}
-	joined.Cleared, joined.Ordered = max(a.Cleared, b.Cleared), max(a.Ordered, b.Ordered)
-	if joined.Ordered <= joined.Cleared {
-		joined.Ordered = 0
+	joined.ClearedAt, joined.ManualAt = max(a.ClearedAt, b.ClearedAt), max(a.ManualAt, b.ManualAt)
+	if joined.ManualAt <= joined.ClearedAt {
+		joined.ManualAt = 0
 	}
-	joined.Endings = slices.Concat(a.Endings, b.Endings)
-	joined.Endings = slices.DeleteFunc(joined.Endings, func(one Ending) bool { return one.At <= joined.Cleared })
-	slices.SortFunc(joined.Endings, func(x, y Ending) int { return cmp.Or(cmp.Compare(x.Backend, y.Backend), cmp.Compare(y.At, x.At)) })
-	joined.Endings = slices.CompactFunc(joined.Endings, func(x, y Ending) bool { return x.Backend == y.Backend })
-	slices.SortFunc(joined.Endings, func(x, y Ending) int { return cmp.Or(cmp.Compare(x.At, y.At), cmp.Compare(x.Backend, y.Backend)) })
-	joined.Endings = joined.Endings[max(len(joined.Endings)-maxEndings, 0):]
+	joined.Crashes = slices.Concat(a.Crashes, b.Crashes)
+	joined.Crashes = slices.DeleteFunc(joined.Crashes, func(one Crash) bool { return one.At <= joined.ClearedAt })
+	slices.SortFunc(joined.Crashes, func(x, y Crash) int { return cmp.Or(cmp.Compare(x.Backend, y.Backend), cmp.Compare(y.At, x.At)) })
+	joined.Crashes = slices.CompactFunc(joined.Crashes, func(x, y Crash) bool { return x.Backend == y.Backend })
+	slices.SortFunc(joined.Crashes, func(x, y Crash) int { return cmp.Or(cmp.Compare(x.At, y.At), cmp.Compare(x.Backend, y.Backend)) })
+	joined.Crashes = joined.Crashes[max(len(joined.Crashes)-maxEndings, 0):]
 	return joined
 }
 
 // same says whether two records of a request say the same.
 func same(a, b Record) bool {
-	return a.Cleared == b.Cleared && a.Ordered == b.Ordered && slices.Equal(a.Endings, b.Endings)
+	return a.ClearedAt == b.ClearedAt && a.ManualAt == b.ManualAt && slices.Equal(a.Crashes, b.Crashes)
 }
 
 // moments counts when back ends ended, those in the same moment once, up to the given number,
 // and returns the last one that it counted. It allocates nothing: the request path calls it.
-func (r Record) moments(most int) (count int, last Moment) {
-	for _, one := range r.Endings {
+func (r Record) moments(most int) (count int, last Timestamp) {
+	for _, one := range r.Crashes {
 		if count == most {
 			break
 		}
@@ -110,9 +110,9 @@
 
 // heldSince returns since when the request is held back, given how many endings that takes; 0:
 // it is not.
-func (r Record) heldSince(endings int) Moment {
-	if r.Ordered > 0 {
-		return r.Ordered
+func (r Record) heldSince(endings int) Timestamp {
+	if r.ManualAt > 0 {
+		return r.ManualAt
 	}
 	if count, last := r.moments(endings); count == endings {
 		return last
@@ -121,10 +121,10 @@
 }
 
 // last returns when there was the last news of the request.
-func (r Record) last() Moment {
-	last := max(r.Cleared, r.Ordered)
-	if count := len(r.Endings); count > 0 {
-		last = max(last, r.Endings[count-1].At)
+func (r Record) last() Timestamp {
+	last := max(r.ClearedAt, r.ManualAt)
+	if count := len(r.Crashes); count > 0 {
+		last = max(last, r.Crashes[count-1].At)
 	}
 	return last
 }
--- a/quarantine/save.go
+++ b/quarantine/save.go
@@ -33,7 +33,7 @@
 
 // Run reads from the store what is held back, and saves it there, until ctx ends. A daemon reads
 // it once each time that it becomes one of those that do. If the store comes back older, these save again what is held back.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Tracker) Run(ctx context.Context) {
 	reading := time.NewTicker(readInterval)
 	defer reading.Stop()
 	sweeping := time.NewTicker(sweepInterval)
@@ -44,7 +44,7 @@
 		case <-ctx.Done():
 			return
 		case <-reading.C:
-			reads := k.options.Reads()
+			reads := k.options.ReadsStore()
 			read = reads && (read || k.read(ctx))
 			if newest := k.options.Store.Era(); newest != era && read {
 				era = newest
@@ -62,45 +62,45 @@
 }
 
 // saveHeld lets all be saved that is held back.
-func (k *Keeper) saveHeld() {
+func (k *Tracker) saveHeld() {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	for _, record := range k.table.Held(time.Now()) {
+	for _, record := range k.table.Quarantined(time.Now()) {
 		k.saveSoon(record.Fingerprint)
 	}
 }
 
 // sweep forgets what has lapsed.
-func (k *Keeper) sweep() {
+func (k *Tracker) sweep() {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	now := time.Now()
-	k.table.Lapse(now)
+	k.table.Prune(now)
 	for fingerprint := range k.witnessed {
 		if _, known := k.table.Record(fingerprint); !known {
 			delete(k.witnessed, fingerprint)
 		}
 	}
-	k.held.Update(float64(len(k.table.Held(now))))
+	k.held.Update(float64(len(k.table.Quarantined(now))))
 }
 
 // read takes in what the store holds, tells others what of it is news, and says whether the
 // store answered.
-func (k *Keeper) read(ctx context.Context) bool {
+func (k *Tracker) read(ctx context.Context) bool {
 	found, _, err := k.load(ctx)
 	if err != nil {
 		k.log.Warn("store not read", "error", err)
 		return false
 	}
-	for _, record := range k.Take(found.Records) {
-		k.options.Tell(record)
+	for _, record := range k.Merge(found.Records) {
+		k.options.Broadcast(record)
 	}
 	return true
 }
 
 // load reads the object; version is 0 where there is none.
-func (k *Keeper) load(ctx context.Context) (found saved, version objectstore.Version, err error) {
-	ctx, cancel := context.WithTimeout(ctx, k.options.Timeout)
+func (k *Tracker) load(ctx context.Context) (found saved, version objectstore.Version, err error) {
+	ctx, cancel := context.WithTimeout(ctx, k.options.StoreTimeout)
 	defer cancel()
 	object, err := k.options.Store.Get(ctx, Key)
 	if errors.Is(err, objectstore.ErrNotFound) {
@@ -118,7 +118,7 @@
 }
 
 // saveSoon lets requests be saved.
-func (k *Keeper) saveSoon(fingerprints ...Fingerprint) {
+func (k *Tracker) saveSoon(fingerprints ...Fingerprint) {
 	for _, fingerprint := range fingerprints {
 		k.unsaved[fingerprint] = true
 	}
@@ -130,7 +130,7 @@
 
 // saveAll writes what is unsaved, and says whether nothing is left to do. A write that was
 // overtaken, or whose outcome is not known, is settled by reading anew.
-func (k *Keeper) saveAll(ctx context.Context) bool {
+func (k *Tracker) saveAll(ctx context.Context) bool {
 	found, version, err := k.load(ctx)
 	if err != nil {
 		k.log.Warn("requests held back not saved", "error", err)
@@ -152,7 +152,7 @@
 
 // next takes what is unsaved, and returns what the store is to hold, whether that is another
 // thing than it does, and what was taken.
-func (k *Keeper) next(found saved) (next saved, changed bool, taken []Fingerprint) {
+func (k *Tracker) next(found saved) (next saved, changed bool, taken []Fingerprint) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	now := time.Now()
@@ -168,17 +168,17 @@
 		}
 	}
 	clear(k.unsaved)
-	held := joined.Held(now)
+	held := joined.Quarantined(now)
 	return saved{Records: held[:min(len(held), maxSaved)]}, joined.Digest(now) != before, taken
 }
 
 // put writes the object if its version is still the given one.
-func (k *Keeper) put(ctx context.Context, next saved, version objectstore.Version) error {
+func (k *Tracker) put(ctx context.Context, next saved, version objectstore.Version) error {
 	value, err := json.Marshal(next)
 	if err != nil {
 		return errors.Annotate(err, "encoding for the store")
 	}
-	ctx, cancel := context.WithTimeout(ctx, k.options.Timeout)
+	ctx, cancel := context.WithTimeout(ctx, k.options.StoreTimeout)
 	defer cancel()
 	_, err = k.options.Store.Put(ctx, Key, value, version)
 	return err
--- a/quarantine/save_test.go
+++ b/quarantine/save_test.go
@@ -21,23 +21,23 @@
 		store := objectstore.NewMemory()
 		copied := store.Copy()
 		ctx, cancel := context.WithCancel(t.Context())
-		var keepers []*Keeper
+		var keepers []*Tracker
 		for range 3 {
-			keeper := NewKeeper(Options{
-				Policy: Policy{Endings: 3, Hold: time.Hour, Memory: 15 * time.Minute}, Store: store, Timeout: time.Second,
-				Reads: func() bool { return true }, Tell: func(Record) {}, Log: slog.New(slog.DiscardHandler), Metrics: tally.NoopScope,
+			keeper := NewTracker(Options{
+				Policy: Policy{CrashThreshold: 3, Duration: time.Hour, CrashWindow: 15 * time.Minute}, Store: store, StoreTimeout: time.Second,
+				ReadsStore: func() bool { return true }, Broadcast: func(Record) {}, Log: slog.New(slog.DiscardHandler), Metrics: tally.NoopScope,
 			})
 			keepers = append(keepers, keeper)
 			go keeper.Run(ctx)
 		}
 		identity := Identity{Method: "GET", Target: "/a"}
 		for number := range 3 {
-			keepers[0].Ended(identity, "board", RunOf(fmt.Sprint(number), 0))
+			keepers[0].RecordCrash(identity, "board", RunOf(fmt.Sprint(number), 0))
 			time.Sleep(time.Second)
 		}
 		for _, record := range keepers[0].Records(10) {
 			for _, other := range keepers[1:] {
-				other.Take([]Record{record})
+				other.Merge([]Record{record})
 			}
 		}
 		time.Sleep(5 * time.Second)
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -8,22 +8,22 @@
 
 // Defaults of a Policy.
 const (
-	// DefaultEndings is how many back ends a request may end. A bystander is at a back end that
+	// DefaultCrashThreshold is how many back ends a request may end. A bystander is at a back end that
 	// ends as often as the culprit the first time, and seldom three times without an answer in
 	// between (TestBystandersAreSeldomHeld).
-	DefaultEndings = 3
-	// MostEndings is the most that a Policy may have: half of what is remembered, as some that are
+	DefaultCrashThreshold = 3
+	// MaxCrashThreshold is the most that a Policy may have: half of what is remembered, as some that are
 	// remembered were in the same moment.
-	MostEndings = maxEndings / 2
-	// DefaultHold is how long a request is then held back: each time it ends, the request may
+	MaxCrashThreshold = maxEndings / 2
+	// DefaultDuration is how long a request is then held back: each time it ends, the request may
 	// cost as many back ends again, so that an hour bounds that to three in an hour.
-	DefaultHold = time.Hour
+	DefaultDuration = time.Hour
 	// broadHold is how long requests are held back by what they share without caller and query:
 	// it may be the doing of one of them, so that it is for less than the others.
 	broadHold = 10 * time.Minute
-	// DefaultMemory is for how long endings count together. A request that ends a back end
+	// DefaultCrashWindow is for how long endings count together. A request that ends a back end
 	// each quarter of an hour costs less than one in a hundred of a service's back ends.
-	DefaultMemory = 15 * time.Minute
+	DefaultCrashWindow = 15 * time.Minute
 	// DefaultCapacity is how many requests are noted, in about 300 bytes each
 	// (TestFloodOfDistinctRequests).
 	DefaultCapacity = 4096
@@ -31,16 +31,16 @@
 
 // Policy says when requests are held back, and for how long. Fields of 0 stand for the defaults.
 type Policy struct {
-	Endings  int           // of back ends, after which a request is held back
-	Hold     time.Duration // how long it is
-	Memory   time.Duration // for how long an ending counts
-	Capacity int           // requests that are noted
+	CrashThreshold int           // of back ends, after which a request is held back
+	Duration       time.Duration // how long it is
+	CrashWindow    time.Duration // for how long an ending counts
+	Capacity       int           // requests that are noted
 }
 
 func (p *Policy) provision() {
-	p.Endings = cmp.Or(p.Endings, DefaultEndings)
-	p.Hold = cmp.Or(p.Hold, DefaultHold)
-	p.Memory = cmp.Or(p.Memory, DefaultMemory)
+	p.CrashThreshold = cmp.Or(p.CrashThreshold, DefaultCrashThreshold)
+	p.Duration = cmp.Or(p.Duration, DefaultDuration)
+	p.CrashWindow = cmp.Or(p.CrashWindow, DefaultCrashWindow)
 	p.Capacity = cmp.Or(p.Capacity, DefaultCapacity)
 }
 
@@ -81,11 +81,11 @@
 	return joined, true
 }
 
-// Survived notes that a back end answered the request, which refutes what was noted of it. It
+// RecordSuccess notes that a back end answered the request, which refutes what was noted of it. It
 // returns false where there was nothing to refute.
-func (t *Table) Survived(now time.Time, fingerprint Fingerprint) (Record, bool) {
+func (t *Table) RecordSuccess(now time.Time, fingerprint Fingerprint) (Record, bool) {
 	record, known := t.records[fingerprint]
-	if !known || len(record.Endings) == 0 || record.Ordered > 0 {
+	if !known || len(record.Crashes) == 0 || record.ManualAt > 0 {
 		return Record{}, false
 	}
 	return t.Release(now, fingerprint)
@@ -98,11 +98,11 @@
 		return Record{}, false
 	}
 	// The clock of another daemon may be ahead.
-	return t.Merge(now, Record{Fingerprint: fingerprint, Cleared: max(MomentOf(now), record.last())})
+	return t.Merge(now, Record{Fingerprint: fingerprint, ClearedAt: max(NewTimestamp(now), record.last())})
 }
 
-// HeldUntil returns until when the request is held back, and false when it is not.
-func (t *Table) HeldUntil(now time.Time, fingerprint Fingerprint) (time.Time, bool) {
+// QuarantinedUntil returns until when the request is held back, and false when it is not.
+func (t *Table) QuarantinedUntil(now time.Time, fingerprint Fingerprint) (time.Time, bool) {
 	record, known := t.records[fingerprint]
 	if !known {
 		return time.Time{}, false
@@ -111,7 +111,7 @@
 }
 
 func (t *Table) heldUntil(now time.Time, record Record) (time.Time, bool) {
-	since := record.heldSince(t.policy.Endings)
+	since := record.heldSince(t.policy.CrashThreshold)
 	if since == 0 {
 		return time.Time{}, false
 	}
@@ -122,13 +122,13 @@
 // hold is for how long a request is held back.
 func (t *Table) hold(record Record) time.Duration {
 	if record.Broad {
-		return min(t.policy.Hold, broadHold)
+		return min(t.policy.Duration, broadHold)
 	}
-	return t.policy.Hold
+	return t.policy.Duration
 }
 
-// Endings returns how many back ends have ended under the request, as far as that counts.
-func (t *Table) Endings(now time.Time, fingerprint Fingerprint) int {
+// CrashCount returns how many back ends have ended under the request, as far as that counts.
+func (t *Table) CrashCount(now time.Time, fingerprint Fingerprint) int {
 	record, known := t.records[fingerprint]
 	if !known || t.lapsed(now, record) {
 		return 0
@@ -139,14 +139,14 @@
 
 // lapsed says whether a record says nothing any more.
 func (t *Table) lapsed(now time.Time, record Record) bool {
-	if since := record.heldSince(t.policy.Endings); since > 0 {
+	if since := record.heldSince(t.policy.CrashThreshold); since > 0 {
 		return !now.Before(since.Time().Add(t.hold(record)))
 	}
-	return !now.Before(record.last().Time().Add(t.policy.Memory))
+	return !now.Before(record.last().Time().Add(t.policy.CrashWindow))
 }
 
-// Lapse forgets what says nothing any more.
-func (t *Table) Lapse(now time.Time) {
+// Prune forgets what says nothing any more.
+func (t *Table) Prune(now time.Time) {
 	for fingerprint, record := range t.records {
 		if t.lapsed(now, record) {
 			delete(t.records, fingerprint)
@@ -163,7 +163,7 @@
 // Records returns what is noted, what matters most first: requests that are held back, then
 // those with more endings, then those with later news.
 func (t *Table) Records(now time.Time) []Record {
-	t.Lapse(now)
+	t.Prune(now)
 	records := make([]Record, 0, len(t.records))
 	for _, record := range t.records {
 		records = append(records, record)
@@ -172,9 +172,9 @@
 	return records
 }
 
-// Held returns the requests that are held back, the one with the latest news first.
-func (t *Table) Held(now time.Time) []Record {
-	return slices.DeleteFunc(t.Records(now), func(record Record) bool { return record.heldSince(t.policy.Endings) == 0 })
+// Quarantined returns the requests that are held back, the one with the latest news first.
+func (t *Table) Quarantined(now time.Time) []Record {
+	return slices.DeleteFunc(t.Records(now), func(record Record) bool { return record.heldSince(t.policy.CrashThreshold) == 0 })
 }
 
 // Digest tells tables apart that hold back other requests.
@@ -190,14 +190,14 @@
 
 // compare orders records by what they matter: negative where a matters more.
 func (t *Table) compare(a, b Record) int {
-	heldA, heldB := a.heldSince(t.policy.Endings) > 0, b.heldSince(t.policy.Endings) > 0
+	heldA, heldB := a.heldSince(t.policy.CrashThreshold) > 0, b.heldSince(t.policy.CrashThreshold) > 0
 	switch {
 	case heldA && !heldB:
 		return -1
 	case heldB && !heldA:
 		return 1
 	}
-	return cmp.Or(cmp.Compare(len(b.Endings), len(a.Endings)), cmp.Compare(b.last(), a.last()), cmp.Compare(a.Fingerprint, b.Fingerprint))
+	return cmp.Or(cmp.Compare(len(b.Crashes), len(a.Crashes)), cmp.Compare(b.last(), a.last()), cmp.Compare(a.Fingerprint, b.Fingerprint))
 }
 
 // forgottenAtOnce is which part of a full table is forgotten at once, so that a flood of distinct
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -21,7 +21,7 @@
 
 // ended is a record of one ending.
 func ended(fingerprint Fingerprint, backend BackendRun, offset time.Duration) Record {
-	return Record{Fingerprint: fingerprint, Endings: []Ending{{Backend: backend, At: MomentOf(at(offset))}}}
+	return Record{Fingerprint: fingerprint, Crashes: []Crash{{Backend: backend, At: NewTimestamp(at(offset))}}}
 }
 
 // end notes endings of different back ends, a second apart.
@@ -39,16 +39,16 @@
 func TestHeldAfterThree(t *testing.T) {
 	table := NewTable(Policy{})
 	now := end(table, 7, 2)
-	_, held := table.HeldUntil(now, 7)
+	_, held := table.QuarantinedUntil(now, 7)
 	require.False(t, held)
-	require.Equal(t, 2, table.Endings(now, 7))
+	require.Equal(t, 2, table.CrashCount(now, 7))
 	now = end(table, 7, 3)
-	until, held := table.HeldUntil(now, 7)
+	until, held := table.QuarantinedUntil(now, 7)
 	require.True(t, held)
-	require.True(t, until.Equal(now.Add(DefaultHold)))
-	_, held = table.HeldUntil(until, 7)
+	require.True(t, until.Equal(now.Add(DefaultDuration)))
+	_, held = table.QuarantinedUntil(until, 7)
 	require.False(t, held)
-	_, held = table.HeldUntil(now, 8)
+	_, held = table.QuarantinedUntil(now, 8)
 	require.False(t, held)
 }
 
@@ -58,7 +58,7 @@
 	for number := range 5 {
 		table.Merge(at(0), ended(7, 1, time.Duration(number)*time.Second))
 	}
-	require.Equal(t, 1, table.Endings(at(0), 7))
+	require.Equal(t, 1, table.CrashCount(at(0), 7))
 }
 
 // TestSameMomentCountsOnce: a rack that fails ends many back ends for no request's sake.
@@ -67,9 +67,9 @@
 	for number := range 5 {
 		table.Merge(at(0), ended(7, BackendRun(number), time.Duration(number)*time.Millisecond))
 	}
-	require.Equal(t, 1, table.Endings(at(0), 7))
+	require.Equal(t, 1, table.CrashCount(at(0), 7))
 	table.Merge(at(0), ended(7, 99, sameMoment))
-	require.Equal(t, 2, table.Endings(at(0), 7))
+	require.Equal(t, 2, table.CrashCount(at(0), 7))
 }
 
 // TestAnswerRefutes clears a request that a back end has answered, also one that is held back,
@@ -77,33 +77,33 @@
 func TestAnswerRefutes(t *testing.T) {
 	table := NewTable(Policy{})
 	now := end(table, 7, 3)
-	_, news := table.Survived(now.Add(time.Second), 7)
+	_, news := table.RecordSuccess(now.Add(time.Second), 7)
 	require.True(t, news)
-	_, held := table.HeldUntil(now, 7)
+	_, held := table.QuarantinedUntil(now, 7)
 	require.False(t, held)
 	_, news = table.Merge(now, ended(7, 3, 3*time.Second))
 	require.False(t, news)
-	_, news = table.Survived(now, 7)
+	_, news = table.RecordSuccess(now, 7)
 	require.False(t, news, "nothing is left to refute")
 
-	table.Merge(now, Record{Fingerprint: 8, Ordered: MomentOf(now)})
-	_, news = table.Survived(now.Add(time.Second), 8)
+	table.Merge(now, Record{Fingerprint: 8, ManualAt: NewTimestamp(now)})
+	_, news = table.RecordSuccess(now.Add(time.Second), 8)
 	require.False(t, news)
-	_, held = table.HeldUntil(now.Add(time.Second), 8)
+	_, held = table.QuarantinedUntil(now.Add(time.Second), 8)
 	require.True(t, held)
 }
 
 // TestReleaseTakesWhateverTheClocks: the daemon that saw the endings may be ahead by an hour.
 func TestReleaseTakesWhateverTheClocks(t *testing.T) {
-	table := NewTable(Policy{Hold: 3 * time.Hour})
+	table := NewTable(Policy{Duration: 3 * time.Hour})
 	for number := range 3 {
 		table.Merge(at(0), ended(7, BackendRun(number), time.Hour+time.Duration(number)*time.Second))
 	}
-	_, held := table.HeldUntil(at(0), 7)
+	_, held := table.QuarantinedUntil(at(0), 7)
 	require.True(t, held)
 	_, news := table.Release(at(0), 7)
 	require.True(t, news)
-	_, held = table.HeldUntil(at(0), 7)
+	_, held = table.QuarantinedUntil(at(0), 7)
 	require.False(t, held)
 	_, news = table.Release(at(0), 8)
 	require.False(t, news)
@@ -113,22 +113,22 @@
 func TestEndingsLapse(t *testing.T) {
 	table := NewTable(Policy{})
 	table.Merge(at(0), ended(7, 1, 0))
-	require.Equal(t, 1, table.Endings(at(DefaultMemory-time.Second), 7))
-	require.Zero(t, table.Endings(at(DefaultMemory), 7))
-	table.Lapse(at(DefaultMemory))
+	require.Equal(t, 1, table.CrashCount(at(DefaultCrashWindow-time.Second), 7))
+	require.Zero(t, table.CrashCount(at(DefaultCrashWindow), 7))
+	table.Prune(at(DefaultCrashWindow))
 	require.Zero(t, table.Len())
-	_, news := table.Merge(at(DefaultMemory), ended(7, 1, 0))
+	_, news := table.Merge(at(DefaultCrashWindow), ended(7, 1, 0))
 	require.False(t, news, "what has lapsed is not brought back by others")
 }
 
 // records draws news of one request.
 var records = rapid.Custom(func(t *rapid.T) Record {
 	record := Record{
-		Fingerprint: 7, Cleared: Moment(rapid.IntRange(0, 5).Draw(t, "cleared")), Ordered: Moment(rapid.IntRange(0, 5).Draw(t, "ordered")),
+		Fingerprint: 7, ClearedAt: Timestamp(rapid.IntRange(0, 5).Draw(t, "cleared")), ManualAt: Timestamp(rapid.IntRange(0, 5).Draw(t, "ordered")),
 	}
 	for range rapid.IntRange(0, 12).Draw(t, "endings") {
-		record.Endings = append(record.Endings, Ending{
-			Backend: BackendRun(rapid.IntRange(1, 12).Draw(t, "backend")), At: Moment(rapid.IntRange(1, 9).Draw(t, "at")),
+		record.Crashes = append(record.Crashes, Crash{
+			Backend: BackendRun(rapid.IntRange(1, 12).Draw(t, "backend")), At: Timestamp(rapid.IntRange(1, 9).Draw(t, "at")),
 		})
 	}
 	return merge(Record{Fingerprint: 7}, record)
@@ -144,9 +144,9 @@
 
 // TestOrderOfNewsOfTheSameEndings guards against records that differ by which of two times of an ending they keep.
 func TestOrderOfNewsOfTheSameEndings(t *testing.T) {
-	early := Record{Fingerprint: 7, Endings: []Ending{{Backend: 1, At: 1}, {Backend: 2, At: 1}}}
-	late := Record{Fingerprint: 7, Endings: []Ending{{Backend: 1, At: 1}, {Backend: 2, At: 9}}}
-	checkOrder(t, early, late, Record{Fingerprint: 7, Cleared: 1})
+	early := Record{Fingerprint: 7, Crashes: []Crash{{Backend: 1, At: 1}, {Backend: 2, At: 1}}}
+	late := Record{Fingerprint: 7, Crashes: []Crash{{Backend: 1, At: 1}, {Backend: 2, At: 9}}}
+	checkOrder(t, early, late, Record{Fingerprint: 7, ClearedAt: 1})
 }
 
 // checkOrder merges three records in several orders.
@@ -167,17 +167,17 @@
 	now := end(table, 7, 3)
 	for number := range 100_000 {
 		record := ended(Fingerprint(1000+number), BackendRun(1000+number), 3*time.Second)
-		record.Request = strings.Repeat("x", maxDescription)
+		record.Description = strings.Repeat("x", maxDescription)
 		table.Merge(now, record)
 		require.LessOrEqual(t, table.Len(), DefaultCapacity)
 	}
-	_, held := table.HeldUntil(now, 7)
+	_, held := table.QuarantinedUntil(now, 7)
 	require.True(t, held)
 	require.GreaterOrEqual(t, table.Len(), DefaultCapacity*3/4)
 	took := testing.Benchmark(func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			table.HeldUntil(now, 7)
+			table.QuarantinedUntil(now, 7)
 		}
 	})
 	runtime.GC()
@@ -196,7 +196,7 @@
 	const culprit = Fingerprint(1)
 	for run := BackendRun(1); ; run++ {
 		offset := time.Duration(run) * 125 * time.Millisecond
-		if _, stopped := table.HeldUntil(at(offset), culprit); stopped {
+		if _, stopped := table.QuarantinedUntil(at(offset), culprit); stopped {
 			break
 		}
 		endings++
@@ -206,11 +206,11 @@
 		}
 		for kind := range kinds {
 			if random.Float64() < answeredBetween {
-				table.Survived(at(offset+time.Millisecond), Fingerprint(2+kind))
+				table.RecordSuccess(at(offset+time.Millisecond), Fingerprint(2+kind))
 			}
 		}
 	}
-	return len(table.Held(at(time.Minute))) - 1, endings
+	return len(table.Quarantined(at(time.Minute))) - 1, endings
 }
 
 // TestBystandersAreSeldomHeld counts how often a request is held back that was at back ends by
@@ -228,7 +228,7 @@
 		heldBack := 0
 		for range runs {
 			held, endings := bystanders(random, one.kinds, one.answered)
-			require.Equal(t, DefaultEndings, endings)
+			require.Equal(t, DefaultCrashThreshold, endings)
 			heldBack += held
 		}
 		t.Logf("%d kinds of requests, answered between two endings with a chance of %.1f: %.4f bystanders held back for one culprit", one.kinds, one.answered, float64(heldBack)/runs)
@@ -240,6 +240,6 @@
 	table := NewTable(Policy{})
 	b.ReportAllocs()
 	for b.Loop() {
-		table.HeldUntil(start, 7)
+		table.QuarantinedUntil(start, 7)
 	}
 }
--- a/ratelimit/fleet_test.go
+++ b/ratelimit/fleet_test.go
@@ -42,7 +42,7 @@
 type node struct {
 	world  *world
 	number int
-	keeper *Keeper
+	keeper *FleetLimiter
 	cancel context.CancelFunc
 	// up: it runs; island is the part of a cut network that it is on.
 	up, frozen bool
@@ -65,7 +65,7 @@
 
 func (n *node) start() {
 	w := n.world
-	n.keeper = NewKeeper(Options{
+	n.keeper = NewFleetLimiter(Options{
 		Name: string(rune('a' + n.number)), Limits: func(string) (Limit, bool) { return w.limit, true },
 		Random: rand.New(rand.NewPCG(w.troubled.Uint64(), 2)), Log: slog.New(slog.DiscardHandler), Metrics: tally.NoopScope,
 	})
@@ -134,7 +134,7 @@
 		time.Sleep(100 * time.Millisecond)
 		return Report{}, errUnreachable
 	}
-	reply := to.keeper.Hear(report)
+	reply := to.keeper.HandleReport(report)
 	time.Sleep(2 * time.Millisecond)
 	if !n.reaches(to) {
 		return Report{}, errUnreachable
@@ -174,7 +174,7 @@
 		// Not answered: suspected, and the next one in line is asked.
 		through.suspected[dispatcher.number] = true
 	}
-	return through.keeper.Take("tenant", Substitute) != nil
+	return through.keeper.Take("tenant", Fallback) != nil
 }
 
 // load sends requests at a pace, unevenly spread, until a time.
@@ -402,15 +402,15 @@
 	limits := func(string) (Limit, bool) { return limit, true }
 	now := time.Unix(100, 0)
 	limiter.SetFleet(2, 2)
-	limiter.SetOthers(now, true, []string{"b"})
+	limiter.SetGrantors(now, true, []string{"b"})
 	for range 100 {
 		now = now.Add(100 * time.Millisecond)
-		limiter.SetOthers(now, true, []string{"b"})
-		limiter.Hear(now, Report{Grantor: "b", Settled: true, Age: time.Minute, Uses: []Use{{Tenant: "tenant", Used: uint64(now.UnixMilli() / 20), Level: 1, Known: true}}}, limits)
+		limiter.SetGrantors(now, true, []string{"b"})
+		limiter.MergeReport(now, Report{Grantor: "b", Settled: true, Age: time.Minute, Uses: []TenantUse{{Tenant: "tenant", Used: uint64(now.UnixMilli() / 20), Level: 1, Known: true}}}, limits)
 		_, _ = limiter.Take(now, "tenant", limit, Dispatcher)
 	}
 	now = now.Add(3 * time.Second) // it sleeps; the other one goes on with half of the rate
-	limiter.SetOthers(now, true, []string{"b"})
+	limiter.SetGrantors(now, true, []string{"b"})
 	granted := 0
 	for range 200 {
 		if _, ok := limiter.Take(now, "tenant", limit, Dispatcher); ok {
--- a/ratelimit/keeper.go
+++ b/ratelimit/keeper.go
@@ -67,8 +67,8 @@
 	Metrics tally.Scope
 }
 
-// Keeper is a daemon's limiter. It is safe for concurrent use; but for Run, no method blocks.
-type Keeper struct {
+// FleetLimiter is a daemon's limiter. It is safe for concurrent use; but for Run, no method blocks.
+type FleetLimiter struct {
 	options  Options
 	log      *slog.Logger
 	now      clock.Clock
@@ -90,10 +90,10 @@
 	under   bool
 }
 
-// NewKeeper returns a keeper that has counted nothing.
-func NewKeeper(options Options) *Keeper {
+// NewFleetLimiter returns a keeper that has counted nothing.
+func NewFleetLimiter(options Options) *FleetLimiter {
 	now := clock.OrSteady(options.Now)
-	return &Keeper{
+	return &FleetLimiter{
 		options: options, now: now, log: logging.Part(options.Log, "ratelimit"), limiter: NewLimiter(options.Name, now(), options.Random), tellings: make(map[string]*telling),
 		granted: options.Metrics.Counter("tenant_requests_granted"), exceeded: options.Metrics.Counter("tenant_requests_exceeded"),
 	}
@@ -101,7 +101,7 @@
 
 // Take counts a request of a tenant, and returns why it must not be served where it is
 // beyond the limit; nil: it may be.
-func (k *Keeper) Take(tenant string, role Role) *resultcode.Failure {
+func (k *FleetLimiter) Take(tenant string, role Role) *resultcode.Failure {
 	limit, limited := k.options.Limits(tenant)
 	if !limited {
 		return nil
@@ -114,7 +114,7 @@
 	if began {
 		k.refresh(now)
 	}
-	k.pressing = k.pressing || !ok || began || k.limiter.Pressing(tenant)
+	k.pressing = k.pressing || !ok || began || k.limiter.NearLimit(tenant)
 	if ok {
 		k.granted.Inc(1)
 		return nil
@@ -122,12 +122,12 @@
 	k.exceeded.Inc(1)
 	return &resultcode.Failure{
 		Code: resultcode.RateExceeded, RetryAfter: retryAfter,
-		Detail: fmt.Sprintf("tenant %s: %g requests a second and %g at once are allowed; %s", tenant, limit.Rate, limit.Burst, k.limiter.Describe(now, tenant)),
+		Detail: fmt.Sprintf("tenant %s: %g requests a second and %g at once are allowed; %s", tenant, limit.Rate, limit.Burst, k.limiter.DescribeRefusal(now, tenant)),
 	}
 }
 
 // Return gives back what was taken for a request that has not run.
-func (k *Keeper) Return(tenant string) {
+func (k *FleetLimiter) Return(tenant string) {
 	if _, limited := k.options.Limits(tenant); !limited {
 		return
 	}
@@ -136,26 +136,26 @@
 	k.limiter.Return(k.now(), tenant)
 }
 
-// Hear takes in what another grantor tells, and returns what it is told in turn. A report
+// HandleReport takes in what another grantor tells, and returns what it is told in turn. A report
 // without a name is a question: it is answered with all that is known.
-func (k *Keeper) Hear(report Report) Report {
+func (k *FleetLimiter) HandleReport(report Report) Report {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	now := k.now()
 	if report.Grantor == "" {
-		return k.limiter.ReportAll(now)
+		return k.limiter.FullReport(now)
 	}
-	k.limiter.Hear(now, report, k.options.Limits)
+	k.limiter.MergeReport(now, report, k.options.Limits)
 	return k.limiter.Report(now, report.Grantor)
 }
 
 // SetFleet joins the keeper to the other daemons. It must be called before Run.
-func (k *Keeper) SetFleet(fleet Fleet) {
+func (k *FleetLimiter) SetFleet(fleet Fleet) {
 	k.fleet = fleet
 }
 
 // Run tells other grantors of what is granted here until ctx ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *FleetLimiter) Run(ctx context.Context) {
 	look, forget := time.NewTicker(lookInterval), time.NewTicker(forgetInterval)
 	defer look.Stop()
 	defer forget.Stop()
@@ -178,7 +178,7 @@
 }
 
 // refresh takes in who gives out places now. The caller holds the mutex.
-func (k *Keeper) refresh(now time.Time) []Grantor {
+func (k *FleetLimiter) refresh(now time.Time) []Grantor {
 	if k.fleet == nil {
 		return nil
 	}
@@ -192,12 +192,12 @@
 		k.counted = now
 		k.limiter.SetFleet(k.fleet.Alive())
 	}
-	k.limiter.SetOthers(now, self, names)
+	k.limiter.SetGrantors(now, self, names)
 	return others
 }
 
 // due returns the grantors that are to be told now, and notes that they are being told.
-func (k *Keeper) due(now time.Time) []Grantor {
+func (k *FleetLimiter) due(now time.Time) []Grantor {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	others := k.refresh(now)
@@ -209,7 +209,7 @@
 		interval = pressingInterval
 	}
 	var due []Grantor
-	for _, name := range k.limiter.Unexpected() {
+	for _, name := range k.limiter.PossibleGrantors() {
 		if one := k.tellings[name]; one != nil {
 			others = append(others, Grantor{Name: name, Address: one.address})
 		}
@@ -226,7 +226,7 @@
 }
 
 // tellingOf returns the state of a grantor's tellings. The caller holds the mutex.
-func (k *Keeper) tellingOf(name string) *telling {
+func (k *FleetLimiter) tellingOf(name string) *telling {
 	one, known := k.tellings[name]
 	if !known {
 		one = &telling{}
@@ -236,7 +236,7 @@
 }
 
 // tell tells one grantor and takes in what it tells.
-func (k *Keeper) tell(ctx context.Context, grantor Grantor) {
+func (k *FleetLimiter) tell(ctx context.Context, grantor Grantor) {
 	k.mutex.Lock()
 	report := k.limiter.Report(k.now(), grantor.Name)
 	k.mutex.Unlock()
@@ -247,9 +247,9 @@
 	defer k.mutex.Unlock()
 	k.tellings[grantor.Name].under = false
 	if err != nil {
-		k.limiter.Untold(grantor.Name)
+		k.limiter.ReportLost(grantor.Name)
 		k.log.Debug("grantor not told", "grantor", grantor.Name, "error", err)
 		return
 	}
-	k.limiter.Hear(k.now(), reply, k.options.Limits)
+	k.limiter.MergeReport(k.now(), reply, k.options.Limits)
 }
--- a/ratelimit/limiter.go
+++ b/ratelimit/limiter.go
@@ -68,10 +68,10 @@
 const (
 	// Dispatcher was asked as the daemon that dispatches the service, or takes itself for it.
 	Dispatcher Role = iota
-	// Substitute chooses a place for want of a dispatcher that it reaches.
-	Substitute
-	// Alone is one of all daemons, which each give out places of the service by themselves.
-	Alone
+	// Fallback chooses a place for want of a dispatcher that it reaches.
+	Fallback
+	// Independent is one of all daemons, which each give out places of the service by themselves.
+	Independent
 )
 
 // Slack is how many requests beyond its limit all daemons together may let through for a
@@ -119,9 +119,9 @@
 	l.visible = float64(l.daemons) / float64(max(all, l.daemons))
 }
 
-// SetOthers tells which other daemons give out places, as this one's view of the members
+// SetGrantors tells which other daemons give out places, as this one's view of the members
 // has it, and whether this one does.
-func (l *Limiter) SetOthers(now time.Time, grantor bool, names []string) {
+func (l *Limiter) SetGrantors(now time.Time, grantor bool, names []string) {
 	l.chosen = grantor
 	if grantor {
 		l.becomeGrantor(now)
@@ -142,11 +142,11 @@
 	}
 }
 
-// Unexpected returns the daemons that are not expected to be grantors and may be: those that were
+// PossibleGrantors returns the daemons that are not expected to be grantors and may be: those that were
 // expected of late and never heard from, and those that have told of grants and not that they are
 // done. They are told, too: of 10,000 schedules of troubles four broke a limit, by up to 0.24, where
 // they were not.
-func (l *Limiter) Unexpected() []string {
+func (l *Limiter) PossibleGrantors() []string {
 	var names []string
 	for name, one := range l.others {
 		if !one.expected {
@@ -203,7 +203,7 @@
 	}
 	b := l.refilled(now, tenant, limit)
 	b.last = now
-	if role == Alone || !l.IsGrantor(now) {
+	if role == Independent || !l.IsGrantor(now) {
 		if b.reserve.take(now, limit, l.partOf(role), l.random) {
 			return 0, true
 		}
@@ -224,7 +224,7 @@
 // partOf returns the part of a limit that a daemon may use that does not count for the fleet.
 func (l *Limiter) partOf(role Role) float64 {
 	part := l.visible / float64(l.daemons)
-	if role == Alone {
+	if role == Independent {
 		return part
 	}
 	return part * substituteShare
@@ -249,9 +249,9 @@
 	return b.spent+1 <= b.allowed || b.spent < l.floor(now)
 }
 
-// Pressing says whether the daemon has used up half of its share of some tenant's bucket,
+// NearLimit says whether the daemon has used up half of its share of some tenant's bucket,
 // so that it should hear from the others soon.
-func (l *Limiter) Pressing(tenant string) bool {
+func (l *Limiter) NearLimit(tenant string) bool {
 	b := l.buckets[tenant]
 	return b != nil && b.round == l.round && b.spent > b.allowed/2
 }
--- a/ratelimit/report.go
+++ b/ratelimit/report.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Use is what a grantor tells of a tenant.
-type Use struct {
+// TenantUse is what a grantor tells of a tenant.
+type TenantUse struct {
 	Tenant  string
 	Used    uint64  // requests granted since the grantor began
 	Level   float64 // what it takes to be left of the tenant's bucket
@@ -19,7 +19,7 @@
 	Retired bool   // it gives out no places any more
 	// Age is for how long it has been a grantor.
 	Age  time.Duration
-	Uses []Use
+	Uses []TenantUse
 }
 
 // Report returns what another grantor has not been told yet.
@@ -42,22 +42,22 @@
 			continue
 		}
 		to.told[tenant] = b.used
-		report.Uses = append(report.Uses, Use{Tenant: tenant, Used: b.used, Level: b.level, Known: b.known})
+		report.Uses = append(report.Uses, TenantUse{Tenant: tenant, Used: b.used, Level: b.level, Known: b.known})
 	}
 	return report
 }
 
-// Untold forgets what a grantor was told, as it may not have got it.
-func (l *Limiter) Untold(name string) {
+// ReportLost forgets what a grantor was told, as it may not have got it.
+func (l *Limiter) ReportLost(name string) {
 	if one := l.others[name]; one != nil {
 		clear(one.told)
 		one.unreached = one.heard.IsZero()
 	}
 }
 
-// Hear takes in what another grantor tells. limits gives the limit of a tenant, and false
+// MergeReport takes in what another grantor tells. limits gives the limit of a tenant, and false
 // for one that has none.
-func (l *Limiter) Hear(now time.Time, report Report, limits func(tenant string) (Limit, bool)) {
+func (l *Limiter) MergeReport(now time.Time, report Report, limits func(tenant string) (Limit, bool)) {
 	if !l.IsGrantor(now) || report.Grantor == l.self {
 		return
 	}
@@ -94,7 +94,7 @@
 }
 
 // hearUse takes in what another grantor has let through for a tenant.
-func (l *Limiter) hearUse(now time.Time, from *other, use Use, limit Limit) {
+func (l *Limiter) hearUse(now time.Time, from *other, use TenantUse, limit Limit) {
 	_, present := l.buckets[use.Tenant]
 	b := l.refilled(now, use.Tenant, limit)
 	before, counted := from.used[use.Tenant]
--- a/ratelimit/usage.go
+++ b/ratelimit/usage.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// ReportAll returns what is known of every tenant.
-func (l *Limiter) ReportAll(now time.Time) Report {
+// FullReport returns what is known of every tenant.
+func (l *Limiter) FullReport(now time.Time) Report {
 	report := Report{Grantor: l.self, Epoch: l.epoch, Settled: l.isSettled(now)}
 	if !l.IsGrantor(now) {
 		return report
 	}
 	for tenant, b := range l.buckets {
 		b = l.refilled(now, tenant, b.limit)
-		report.Uses = append(report.Uses, Use{Tenant: tenant, Used: b.used, Level: b.level, Known: b.known, Refused: b.refused})
+		report.Uses = append(report.Uses, TenantUse{Tenant: tenant, Used: b.used, Level: b.level, Known: b.known, Refused: b.refused})
 	}
 	return report
 }
 
-// Describe says in words why a request of a tenant is beyond its limit.
-func (l *Limiter) Describe(now time.Time, tenant string) string {
+// DescribeRefusal says in words why a request of a tenant is beyond its limit.
+func (l *Limiter) DescribeRefusal(now time.Time, tenant string) string {
 	b := l.buckets[tenant]
 	if !l.IsGrantor(now) {
 		return "no daemon that counts could be reached"
@@ -47,8 +47,8 @@
 
 // Usage asks all grantors, this daemon included, what tenants have used. It blocks until
 // they have answered or were given up on.
-func (k *Keeper) Usage(ctx context.Context) []Usage {
-	reports := []Report{k.Hear(Report{})}
+func (k *FleetLimiter) Usage(ctx context.Context) []Usage {
+	reports := []Report{k.HandleReport(Report{})}
 	if k.fleet != nil {
 		others, _ := k.fleet.Grantors()
 		for _, grantor := range others {
@@ -66,7 +66,7 @@
 }
 
 // sum joins what grantors have reported, in the order of the tenants.
-func (k *Keeper) sum(reports []Report) []Usage {
+func (k *FleetLimiter) sum(reports []Report) []Usage {
 	byTenant := make(map[string]*Usage)
 	for _, report := range reports {
 		for _, use := range report.Uses {
--- a/recent/rate.go
+++ b/recent/rate.go
@@ -24,11 +24,11 @@
 	if r.at.IsZero() {
 		return 0
 	}
-	return r.value * Left(now.Sub(r.at), span)
+	return r.value * Decay(now.Sub(r.at), span)
 }
 
-// Left is how much something counts that is so old, where it counts 1/e after a span.
-func Left(age, span time.Duration) float64 {
+// Decay is how much something counts that is so old, where it counts 1/e after a span.
+func Decay(age, span time.Duration) float64 {
 	return math.Exp(-age.Seconds() / span.Seconds())
 }
 
