--- a/retry/retry.go
+++ b/retry/retry.go
@@ -78,16 +78,16 @@
 	Redial
 )
 
-// After returns the kind of the attempt after one that failed with a code.
-func After(code resultcode.Code) Kind {
+// KindAfter returns the kind of the attempt after one that failed with a code.
+func KindAfter(code resultcode.Code) Kind {
 	if code == resultcode.ConnectFailed {
 		return Redial
 	}
 	return Retry
 }
 
-// Costs says whether an attempt of the kind is paid for from the budget.
-func (k Kind) Costs() bool {
+// CostsBudget says whether an attempt of the kind is paid for from the budget.
+func (k Kind) CostsBudget() bool {
 	return k == Retry || k == Hedge
 }
 
@@ -107,7 +107,7 @@
 func (b *Budget) Spend(kind Kind, returned bool) bool {
 	reserve := 0.0
 	switch {
-	case !kind.Costs():
+	case !kind.CostsBudget():
 		return true
 	case kind == Hedge:
 		reserve = hedgeReserve * b.burst()
@@ -121,8 +121,8 @@
 	return true
 }
 
-// Forget gives up what was saved.
-func (b *Budget) Forget() {
+// Reset gives up what was saved.
+func (b *Budget) Reset() {
 	b.saved = 0
 }
 
@@ -133,18 +133,18 @@
 
 // Attempt describes a failed attempt.
 type Attempt struct {
-	Code       resultcode.Code
-	Number     int           // attempts so far, without those that were never sent
-	Unsent     int           // attempts that were never sent, and do not count as attempts
-	Most       int           // attempts allowed, the first included
-	Repeatable bool          // the policy allows a repeat
-	Returned   bool          // the caller was refused before and has come back
-	Upstream   bool          // the caller's request was itself a retry
-	Rewindable bool          // the request's body can be sent again
-	Remaining  time.Duration // until the deadline
-	Expected   time.Duration // time another attempt takes
-	Backends   int           // back ends that have not failed the request yet
-	Endings    int           // back ends that ended while they ran this request or its repeats
+	Code             resultcode.Code
+	Number           int           // attempts so far, without those that were never sent
+	Unsent           int           // attempts that were never sent, and do not count as attempts
+	MaxAttempts      int           // attempts allowed, the first included
+	Repeatable       bool          // the policy allows a repeat
+	Returned         bool          // the caller was refused before and has come back
+	UpstreamRetry    bool          // the caller's request was itself a retry
+	Rewindable       bool          // the request's body can be sent again
+	Remaining        time.Duration // until the deadline
+	ExpectedDuration time.Duration // time another attempt takes
+	UntriedBackends  int           // back ends that have not failed the request yet
+	Endings          int           // back ends that ended while they ran this request or its repeats
 }
 
 // Verdict says whether to send again and, if not, why.
@@ -152,22 +152,22 @@
 
 // The verdicts.
 const (
-	Again         Verdict = "again"
-	NotRepeatable Verdict = "not-repeatable"
-	TooMany       Verdict = "too-many-attempts"
-	FromUpstream  Verdict = "already-a-retry"
-	NoTime        Verdict = "no-time-left"
-	NoBody        Verdict = "body-cannot-be-resent"
-	NoOther       Verdict = "no-other-back-end"
-	OverBudget    Verdict = "over-budget"
-	BackendsEnded Verdict = "back-ends-ended"
+	Allowed           Verdict = "again"
+	NotRepeatable     Verdict = "not-repeatable"
+	TooManyAttempts   Verdict = "too-many-attempts"
+	AlreadyRetry      Verdict = "already-a-retry"
+	NoTimeLeft        Verdict = "no-time-left"
+	BodyNotResendable Verdict = "body-cannot-be-resent"
+	NoOtherBackend    Verdict = "no-other-back-end"
+	OverBudget        Verdict = "over-budget"
+	BackendsEnded     Verdict = "back-ends-ended"
 )
 
 // Decide says whether to send again. It spends from the budget only when the
 // verdict is Again.
 func Decide(attempt Attempt, budget *Budget) Verdict {
-	verdict := Judge(attempt)
-	if verdict == Again && !budget.Spend(Retry, attempt.Returned) {
+	verdict := Evaluate(attempt)
+	if verdict == Allowed && !budget.Spend(Retry, attempt.Returned) {
 		return OverBudget
 	}
 	return verdict
@@ -182,24 +182,24 @@
 // known to be, one request of sixteen meets four of them.
 const maxUnsent = 3
 
-// Judge says whether to send again, as far as that does not depend on the budget.
-func Judge(attempt Attempt) Verdict {
+// Evaluate says whether to send again, as far as that does not depend on the budget.
+func Evaluate(attempt Attempt) Verdict {
 	notRun := attempt.Code.Info().Run == resultcode.NotRun
 	switch {
 	case !notRun && !attempt.Repeatable:
 		return NotRepeatable
-	case attempt.Number >= attempt.Most || attempt.Unsent > maxUnsent:
-		return TooMany
+	case attempt.Number >= attempt.MaxAttempts || attempt.Unsent > maxUnsent:
+		return TooManyAttempts
 	case attempt.Endings > maxEndings:
 		return BackendsEnded
-	case attempt.Upstream:
-		return FromUpstream
+	case attempt.UpstreamRetry:
+		return AlreadyRetry
 	case !attempt.Rewindable:
-		return NoBody
-	case attempt.Remaining <= attempt.Expected:
-		return NoTime
-	case attempt.Backends <= 0:
-		return NoOther
+		return BodyNotResendable
+	case attempt.Remaining <= attempt.ExpectedDuration:
+		return NoTimeLeft
+	case attempt.UntriedBackends <= 0:
+		return NoOtherBackend
 	}
-	return Again
+	return Allowed
 }
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -12,7 +12,7 @@
 
 // attempt is a failed first attempt that may be made again.
 func attempt() retry.Attempt {
-	return retry.Attempt{Code: resultcode.ConnectionBroken, Number: 1, Most: 3, Repeatable: true, Rewindable: true, Remaining: time.Second, Backends: 3}
+	return retry.Attempt{Code: resultcode.ConnectionBroken, Number: 1, MaxAttempts: 3, Repeatable: true, Rewindable: true, Remaining: time.Second, UntriedBackends: 3}
 }
 
 func full() *retry.Budget {
@@ -29,14 +29,14 @@
 		change func(*retry.Attempt)
 		want   retry.Verdict
 	}{
-		{"repeatable", func(*retry.Attempt) {}, retry.Again},
+		{"repeatable", func(*retry.Attempt) {}, retry.Allowed},
 		{"not repeatable", func(a *retry.Attempt) { a.Repeatable = false }, retry.NotRepeatable},
-		{"not run, not repeatable", func(a *retry.Attempt) { a.Repeatable = false; a.Code = resultcode.BackendRefused }, retry.Again},
-		{"too many", func(a *retry.Attempt) { a.Number = a.Most }, retry.TooMany},
-		{"a retry already", func(a *retry.Attempt) { a.Upstream = true }, retry.FromUpstream},
-		{"body gone", func(a *retry.Attempt) { a.Rewindable = false }, retry.NoBody},
-		{"no time", func(a *retry.Attempt) { a.Expected = time.Minute }, retry.NoTime},
-		{"no other back end", func(a *retry.Attempt) { a.Backends = 0 }, retry.NoOther},
+		{"not run, not repeatable", func(a *retry.Attempt) { a.Repeatable = false; a.Code = resultcode.BackendRefused }, retry.Allowed},
+		{"too many", func(a *retry.Attempt) { a.Number = a.MaxAttempts }, retry.TooManyAttempts},
+		{"a retry already", func(a *retry.Attempt) { a.UpstreamRetry = true }, retry.AlreadyRetry},
+		{"body gone", func(a *retry.Attempt) { a.Rewindable = false }, retry.BodyNotResendable},
+		{"no time", func(a *retry.Attempt) { a.ExpectedDuration = time.Minute }, retry.NoTimeLeft},
+		{"no other back end", func(a *retry.Attempt) { a.UntriedBackends = 0 }, retry.NoOtherBackend},
 	} {
 		made := attempt()
 		one.change(&made)
@@ -62,7 +62,7 @@
 		}
 		made := attempt()
 		made.Number, made.Code = try, code
-		if retry.Decide(made, budgets[level]) != retry.Again {
+		if retry.Decide(made, budgets[level]) != retry.Allowed {
 			return code
 		}
 	}
@@ -152,26 +152,26 @@
 // TestUnsentAttemptsCostNothing: a refused connection takes neither an attempt nor a retry of the
 // budget, but only so many are tried.
 func TestUnsentAttemptsCostNothing(t *testing.T) {
-	require.Equal(t, retry.Redial, retry.After(resultcode.ConnectFailed))
-	require.Equal(t, retry.Retry, retry.After(resultcode.BackendRefused))
-	require.Equal(t, retry.Retry, retry.After(resultcode.ConnectionBroken))
+	require.Equal(t, retry.Redial, retry.KindAfter(resultcode.ConnectFailed))
+	require.Equal(t, retry.Retry, retry.KindAfter(resultcode.BackendRefused))
+	require.Equal(t, retry.Retry, retry.KindAfter(resultcode.ConnectionBroken))
 	var empty retry.Budget
 	require.True(t, empty.Spend(retry.Redial, false))
 	require.False(t, empty.Spend(retry.Retry, false))
-	attempt := retry.Attempt{Code: resultcode.ConnectFailed, Most: 2, Rewindable: true, Remaining: time.Second, Backends: 9}
+	attempt := retry.Attempt{Code: resultcode.ConnectFailed, MaxAttempts: 2, Rewindable: true, Remaining: time.Second, UntriedBackends: 9}
 	for unsent := 1; unsent <= 3; unsent++ {
 		attempt.Unsent = unsent
-		require.Equal(t, retry.Again, retry.Judge(attempt))
+		require.Equal(t, retry.Allowed, retry.Evaluate(attempt))
 	}
 	attempt.Unsent = 4
-	require.Equal(t, retry.TooMany, retry.Judge(attempt))
+	require.Equal(t, retry.TooManyAttempts, retry.Evaluate(attempt))
 }
 
 // TestEndedBackEndsEndRetries: a request under which more than one back end has ended is not sent
 // to the next by us.
 func TestEndedBackEndsEndRetries(t *testing.T) {
-	attempt := retry.Attempt{Code: resultcode.ConnectionBroken, Number: 1, Most: 3, Repeatable: true, Rewindable: true, Remaining: time.Second, Backends: 9, Endings: 1}
-	require.Equal(t, retry.Again, retry.Judge(attempt))
+	attempt := retry.Attempt{Code: resultcode.ConnectionBroken, Number: 1, MaxAttempts: 3, Repeatable: true, Rewindable: true, Remaining: time.Second, UntriedBackends: 9, Endings: 1}
+	require.Equal(t, retry.Allowed, retry.Evaluate(attempt))
 	attempt.Endings = 2
-	require.Equal(t, retry.BackendsEnded, retry.Judge(attempt))
+	require.Equal(t, retry.BackendsEnded, retry.Evaluate(attempt))
 }
--- a/rollout/chance.go
+++ b/rollout/chance.go
@@ -6,19 +6,19 @@
 	"github.com/tuliphall/tuliphall/routing"
 )
 
-// Chance is how often a request is answered badly that is sent to back ends of a version like the old one, but not
+// RandomPickRates is how often a request is answered badly that is sent to back ends of a version like the old one, but not
 // chosen for how they are. Those that a new version is judged by are sent so, to a few of its back ends in turn;
 // all others go to back ends that answer, and that are not slow just now. Where back ends were slow for a
 // fifth of the time, and a quarter of them was gone or a third dark for a while, 53 of 64 good versions were
 // taken back for that (TestRollouts).
-type Chance struct {
+type RandomPickRates struct {
 	unserved, slow, verySlow float64
 }
 
 // chanceOf returns the chance as the old version's back ends are now. Of those of the new one that do not
 // answer, some are known by now, and get none.
-func chanceOf(counts routing.VersionCounts) Chance {
-	var chance Chance
+func chanceOf(counts routing.VersionCounts) RandomPickRates {
+	var chance RandomPickRates
 	if len(counts.Others) == 0 {
 		return chance
 	}
--- a/rollout/doubt.go
+++ b/rollout/doubt.go
@@ -64,7 +64,7 @@
 // fade lets what was longer ago count less.
 func (t *tally) fade(now time.Time) {
 	if !t.at.IsZero() {
-		left := recent.Left(now.Sub(t.at), longSpan)
+		left := recent.Decay(now.Sub(t.at), longSpan)
 		t.answers, t.bad, t.expected, t.variance = t.answers*left, t.bad*left, t.expected*left, t.variance*left
 	}
 	t.at = now
--- a/rollout/frequency.go
+++ b/rollout/frequency.go
@@ -46,7 +46,7 @@
 // fade lets what was seen count the less the longer ago that is.
 func (f *frequency) fade(now time.Time, span time.Duration) {
 	if !f.at.IsZero() {
-		left := recent.Left(now.Sub(f.at), span)
+		left := recent.Decay(now.Sub(f.at), span)
 		f.count, f.hits = f.count*left, f.hits*left
 	}
 	f.at = now
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -7,27 +7,27 @@
 	"time"
 )
 
-// Answer is how one request ended.
-type Answer struct {
+// Sample is how one request ended.
+type Sample struct {
 	Class   string
 	Backend string
 	// Failed: the back end answered that it failed. Unserved: it gave no answer, or ran nothing, as do
 	// those that end, are cut off or have no room, whatever their version. Otherwise Took says how
 	// long the answer took.
 	Failed, Unserved bool
-	Took             time.Duration
+	Latency          time.Duration
 	// Sent is when the place was given for the request; zero: so long before the answer as it took.
 	Sent time.Time
-	// GivenUp: nobody waited for the answer any more after Took.
-	GivenUp bool
+	// Canceled: nobody waited for the answer any more after Took.
+	Canceled bool
 	// Cold: the back end has just started, so that it may be slow whatever its version.
 	Cold bool
 }
 
 // sent returns when the request of an answer that came at a time was sent.
-func (a *Answer) sent(at time.Time) time.Time {
+func (a *Sample) sent(at time.Time) time.Time {
 	if a.Sent.IsZero() {
-		return at.Add(-a.Took)
+		return at.Add(-a.Latency)
 	}
 	return a.Sent
 }
@@ -78,7 +78,7 @@
 	classes map[string]*class
 	all     against // of all classes together
 	judged  int     // answers of the new version that could be compared
-	chance  Chance
+	chance  RandomPickRates
 	// fromOne bounds what one back end adds to the evidence, and slowFromOne what its slow answers do.
 	fromOne, slowFromOne float64
 	// contemporaries are the old version's requests by when they were sent.
@@ -92,7 +92,7 @@
 // observation is an answer of the new version as it was seen when it came.
 type observation struct {
 	at       time.Time
-	answer   Answer
+	answer   Sample
 	class    *class
 	slow     comparison
 	verySlow comparison
@@ -135,9 +135,9 @@
 	return &Judge{classes: make(map[string]*class), fromOne: accuseAt / accusers, slowFromOne: accuseAt / slowAccusers, after: judgeAfter}
 }
 
-// Moving notes that requests move to the new version: answers are weighed sooner, and against requests that were sent to
+// SetMoving notes that requests move to the new version: answers are weighed sooner, and against requests that were sent to
 // the old one in the same moment.
-func (j *Judge) Moving() {
+func (j *Judge) SetMoving() {
 	j.after, j.moving = judgeMovingAfter, true
 }
 
@@ -147,8 +147,8 @@
 	j.slowFromOne = accuseAt / float64(min(max(count, 1), slowAccusers))
 }
 
-// SetChance tells what requests meet now whose back ends are not chosen for how they are.
-func (j *Judge) SetChance(chance Chance) {
+// SetRandomPickRates tells what requests meet now whose back ends are not chosen for how they are.
+func (j *Judge) SetRandomPickRates(chance RandomPickRates) {
 	j.chance = chance
 }
 
@@ -172,28 +172,28 @@
 }
 
 // compare says whether an answer took more than so many times the median.
-func (c *class) compare(answer Answer, times time.Duration) comparison {
+func (c *class) compare(answer Sample, times time.Duration) comparison {
 	median := c.latencies.median()
 	if median == 0 || answer.Cold || answer.Failed || answer.Unserved {
 		return comparison{}
 	}
-	exceeds := answer.Took > times*median
+	exceeds := answer.Latency > times*median
 	// A request that was given up early may have been answered in time.
-	return comparison{exceeds: exceeds, known: exceeds || !answer.GivenUp}
+	return comparison{exceeds: exceeds, known: exceeds || !answer.Canceled}
 }
 
-// SentOld notes a request that is sent to the old version now.
-func (j *Judge) SentOld(now time.Time) {
+// OldSent notes a request that is sent to the old version now.
+func (j *Judge) OldSent(now time.Time) {
 	j.contemporaries.sent(now)
 }
 
-// UntoldOld notes that a request which was sent to the old version at a time tells nothing of it.
-func (j *Judge) UntoldOld(sent time.Time) {
+// DiscardOld notes that a request which was sent to the old version at a time tells nothing of it.
+func (j *Judge) DiscardOld(sent time.Time) {
 	j.contemporaries.answered(sent, comparison{}, comparison{})
 }
 
-// Old takes in an answer of the old version.
-func (j *Judge) Old(now time.Time, answer Answer) {
+// AddOld takes in an answer of the old version.
+func (j *Judge) AddOld(now time.Time, answer Sample) {
 	one := j.class(answer.Class)
 	slow, verySlow := one.compare(answer, slowTimes), one.compare(answer, verySlowTimes)
 	if slow.known {
@@ -203,7 +203,7 @@
 		one.verySlow.add(now, verySlow.exceeds)
 	}
 	j.contemporaries.answered(answer.sent(now), slow, verySlow)
-	if answer.GivenUp {
+	if answer.Canceled {
 		return
 	}
 	one.unserved.add(now, answer.Unserved)
@@ -211,12 +211,12 @@
 		one.failed.add(now, answer.Failed)
 	}
 	if !answer.Failed && !answer.Unserved {
-		one.latencies.add(answer.Took)
+		one.latencies.add(answer.Latency)
 	}
 }
 
-// New takes in an answer of the new version.
-func (j *Judge) New(now time.Time, answer Answer) {
+// AddNew takes in an answer of the new version.
+func (j *Judge) AddNew(now time.Time, answer Sample) {
 	one := j.class(answer.Class)
 	seen := observation{
 		at: now, answer: answer, class: one, slow: one.compare(answer, slowTimes), verySlow: one.compare(answer, verySlowTimes), usual: j.usual(now, one),
@@ -258,7 +258,7 @@
 		one.slowness.add(now, seen.verySlow.exceeds, verySlow)
 		j.weigh(answer.Backend, seen.verySlow.exceeds, verySlow, j.slowFromOne, &one.against.verySlow, &j.all.verySlow)
 	}
-	if answer.GivenUp {
+	if answer.Canceled {
 		return
 	}
 	j.weigh(answer.Backend, answer.Unserved, max(seen.usual.unserved, later.unserved), j.fromOne, &one.against.unserved, &j.all.unserved)
@@ -289,9 +289,9 @@
 	return "", false
 }
 
-// InDoubt says whether the new version's answers have so far been bad more often than the old one's,
+// Inconclusive says whether the new version's answers have so far been bad more often than the old one's,
 // of some class, without that being sure.
-func (j *Judge) InDoubt() bool {
+func (j *Judge) Inconclusive() bool {
 	for _, one := range j.classes {
 		if one.failures.remains(failedMore) || one.slowness.remains(slowMore) {
 			return true
@@ -300,15 +300,15 @@
 	return false
 }
 
-// Judged returns how many answers of the new version were compared.
-func (j *Judge) Judged() int {
+// Compared returns how many answers of the new version were compared.
+func (j *Judge) Compared() int {
 	return j.judged
 }
 
-// Behind says whether fewer answers of a class were compared than of others, so that it should be
+// NeedsSamples says whether fewer answers of a class were compared than of others, so that it should be
 // looked at next.
-func (j *Judge) Behind(name string) bool {
-	own := j.JudgedOf(name)
+func (j *Judge) NeedsSamples(name string) bool {
+	own := j.ComparedInClass(name)
 	for _, one := range j.classes {
 		if one.latencies.count >= leastCompared && own > one.judged+aheadBy {
 			return false
@@ -317,8 +317,8 @@
 	return true
 }
 
-// JudgedOf returns how many answers of a class of the new version were compared.
-func (j *Judge) JudgedOf(name string) int {
+// ComparedInClass returns how many answers of a class of the new version were compared.
+func (j *Judge) ComparedInClass(name string) int {
 	if one, known := j.classes[name]; known {
 		return one.judged
 	}
--- a/rollout/keeper.go
+++ b/rollout/keeper.go
@@ -44,8 +44,8 @@
 	Log      *slog.Logger
 }
 
-// Keeper lets the rollouts of the services go on that its daemon dispatches, and records that.
-type Keeper struct {
+// Runner lets the rollouts of the services go on that its daemon dispatches, and records that.
+type Runner struct {
 	options Options
 	log     *slog.Logger
 
@@ -53,13 +53,13 @@
 	next  map[string]time.Time // when the record of a service may be written again
 }
 
-// NewKeeper returns a keeper that has recorded nothing.
-func NewKeeper(options Options) *Keeper {
-	return &Keeper{options: options, log: logging.Part(options.Log, "rollout"), next: make(map[string]time.Time)}
+// NewRunner returns a keeper that has recorded nothing.
+func NewRunner(options Options) *Runner {
+	return &Runner{options: options, log: logging.Part(options.Log, "rollout"), next: make(map[string]time.Time)}
 }
 
 // Run lets rollouts go on until ctx ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Runner) Run(ctx context.Context) {
 	ticker := time.NewTicker(stepInterval)
 	defer ticker.Stop()
 	var writing sync.WaitGroup
@@ -79,7 +79,7 @@
 }
 
 // step lets a rollout go on, and says whether its record is to be written now.
-func (k *Keeper) step(name string, service Service) (config.Rollout, bool) {
+func (k *Runner) step(name string, service Service) (config.Rollout, bool) {
 	recorded, ordered := service.Recorded()
 	var decided config.Rollout
 	if ordered {
@@ -100,7 +100,7 @@
 }
 
 // writeSoon lets a record be written again soon, unless it is not to be written any more.
-func (k *Keeper) writeSoon(name string) {
+func (k *Runner) writeSoon(name string) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	if _, due := k.next[name]; due {
@@ -108,7 +108,7 @@
 	}
 }
 
-func (k *Keeper) record(ctx context.Context, rollout config.Rollout) {
+func (k *Runner) record(ctx context.Context, rollout config.Rollout) {
 	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
 	attributes := []any{"service", rollout.Service, "version", rollout.Version, "phase", string(rollout.Phase), "reason", rollout.Reason}
--- a/rollout/keeper_test.go
+++ b/rollout/keeper_test.go
@@ -77,7 +77,7 @@
 				service := &oneService{recorded: config.RolloutMoving}
 				store := one.store
 				store.service = service
-				keeper := NewKeeper(Options{Services: func() map[string]Service { return map[string]Service{"board": service} }, Recorder: &store, Log: slog.New(slog.DiscardHandler)})
+				keeper := NewRunner(Options{Services: func() map[string]Service { return map[string]Service{"board": service} }, Recorder: &store, Log: slog.New(slog.DiscardHandler)})
 				go keeper.Run(ctx)
 				time.Sleep(one.within)
 				synctest.Wait()
--- a/rollout/plan.go
+++ b/rollout/plan.go
@@ -11,13 +11,13 @@
 
 // How much a new version gets, and when what is decided.
 const (
-	// Share is the part of a service's requests that a version gets while it is judged, and FirstFew
+	// CanaryShare is the part of a service's requests that a version gets while it is judged, and FirstFew
 	// how many more at its beginning. Operators allow a tenth and 50; the rest is for requests that
 	// are counted a little earlier here than there. Without the first few, bad versions of services
 	// with 100 requests a second got more than allowed in 1 of 100 rollouts, as too little was
 	// seen of them before all requests moved.
-	Share    = 0.09
-	FirstFew = 30
+	CanaryShare  = 0.09
+	InitialBurst = 30
 	// mostSaved is how many requests are saved up for a version and then given to it one after
 	// another: it is judged under load also where there is little. Of versions that fail under
 	// load only, at 100 requests a second over 60 back ends, a quarter was completed without.
@@ -53,20 +53,20 @@
 	NewSlots    int // of these
 	OldSlots    int // of the others that do
 	OldInFlight int // requests at the others
-	// Blind is what a request meets that is sent to back ends as if it were not known how they are.
-	Blind Chance
+	// RandomPick is what a request meets that is sent to back ends as if it were not known how they are.
+	RandomPick RandomPickRates
 }
 
 // BackendsOf returns the back ends as they were counted.
 func BackendsOf(counts routing.VersionCounts) Backends {
 	return Backends{
 		New: counts.Backends, NewSlots: counts.Slots, OldSlots: counts.OtherSlots, OldInFlight: counts.OtherInFlight,
-		Blind: chanceOf(counts),
+		RandomPick: chanceOf(counts),
 	}
 }
 
-// Plan is a dispatcher's part in a rollout. It is not safe for concurrent use.
-type Plan struct {
+// Controller is a dispatcher's part in a rollout. It is not safe for concurrent use.
+type Controller struct {
 	order  config.Rollout
 	judge  *Judge
 	saved  float64 // requests that the new version may be given
@@ -81,19 +81,19 @@
 	ramp           time.Duration // in which the new version's share rises to all
 }
 
-// NewPlan returns a plan that goes on from where the record of an order is.
-func NewPlan(now time.Time, order config.Rollout) *Plan {
-	p := &Plan{judge: NewJudge()}
-	p.Follow(now, order)
+// NewController returns a plan that goes on from where the record of an order is.
+func NewController(now time.Time, order config.Rollout) *Controller {
+	p := &Controller{judge: NewJudge()}
+	p.Update(now, order)
 	return p
 }
 
-// Follow takes in the record. Another order begins anew; an earlier phase than the one that this
+// Update takes in the record. Another order begins anew; an earlier phase than the one that this
 // dispatcher has decided on changes nothing.
-func (p *Plan) Follow(now time.Time, order config.Rollout) {
+func (p *Controller) Update(now time.Time, order config.Rollout) {
 	p.recordLost = order.Phase == "" && (p.recordLost || order.Recorded.Era() > p.order.Recorded.Era())
 	if !p.order.SameOrder(order) || p.order.Phase.Decided() && order.Phase == "" && !p.recordLost {
-		*p = Plan{order: order, judge: NewJudge()}
+		*p = Controller{order: order, judge: NewJudge()}
 	} else {
 		phase, reason, decideBy := p.order.Phase, p.order.Reason, p.order.DecideBy
 		p.order = order
@@ -113,7 +113,7 @@
 	}
 	if p.order.Phase == "" {
 		// Nobody has begun.
-		p.order.Phase, p.saved = config.RolloutRunning, FirstFew
+		p.order.Phase, p.saved = config.RolloutRunning, InitialBurst
 	}
 	if p.order.Phase == config.RolloutMoving && p.movedAt.IsZero() {
 		p.beginMoving(now)
@@ -121,21 +121,21 @@
 }
 
 // Order returns the order as far as this dispatcher has decided on it.
-func (p *Plan) Order() config.Rollout {
+func (p *Controller) Order() config.Rollout {
 	return p.order
 }
 
 // Rule says which versions requests may be given to, but for those that the new one is given by
 // Expose.
-func (p *Plan) Rule(now time.Time) routing.VersionRule {
-	rule := routing.VersionRule{Version: p.order.Version, Use: routing.JudgedVersion}
+func (p *Controller) Rule(now time.Time) routing.VersionRule {
+	rule := routing.VersionRule{Version: p.order.Version, Use: routing.CanaryVersion}
 	switch p.order.Phase {
 	case config.RolloutMoving:
 		if p.shareOf(now) >= 1 {
 			rule.Use = routing.OnlyVersion
 		}
 	case config.RolloutRolledBack:
-		rule.Use = routing.NotVersion
+		rule.Use = routing.ExcludedVersion
 	case config.RolloutCompleted:
 		rule.Use = routing.OnlyVersion
 		if now.Sub(p.order.DecisionTime()) > oldGoneAfter {
@@ -146,15 +146,15 @@
 }
 
 // moveTime is how long requests may take to move.
-func (p *Plan) moveTime() time.Duration {
+func (p *Controller) moveTime() time.Duration {
 	return min(time.Duration(moveShare*float64(time.Duration(p.order.Within))), mostMove)
 }
 
 // shareOf is the part of the requests that the new version gets now.
-func (p *Plan) shareOf(now time.Time) float64 {
+func (p *Controller) shareOf(now time.Time) float64 {
 	switch p.order.Phase {
 	case config.RolloutRunning:
-		return Share
+		return CanaryShare
 	case config.RolloutMoving:
 		risen := float64(now.Sub(p.movedAt)) / float64(max(p.ramp, 1))
 		return min(firstRampShare*math.Pow(1/firstRampShare, risen), 1)
@@ -163,12 +163,12 @@
 }
 
 // Granted notes that a request was given to a back end of a version.
-func (p *Plan) Granted(now time.Time, version string) {
+func (p *Controller) Granted(now time.Time, version string) {
 	if p.order.Phase.Decided() {
 		return
 	}
 	if version != p.order.Version {
-		p.judge.SentOld(now)
+		p.judge.OldSent(now)
 	}
 	p.total++
 	if p.saved < mostSaved {
@@ -176,56 +176,56 @@
 	}
 }
 
-// Expose says whether a request of a class is to be given to the new version, to judge it by or as
+// ShouldExpose says whether a request of a class is to be given to the new version, to judge it by or as
 // requests move there by and by.
-func (p *Plan) Expose(now time.Time, class string) bool {
+func (p *Controller) ShouldExpose(now time.Time, class string) bool {
 	switch p.order.Phase {
 	case config.RolloutRunning:
 		p.giving = p.saved >= mostSaved || p.giving && p.saved >= 1
-		return p.giving && p.judge.Behind(class)
+		return p.giving && p.judge.NeedsSamples(class)
 	case config.RolloutMoving:
 		return p.saved >= 1
 	}
 	return false
 }
 
-// Turn counts how often other back ends of the new version are to be looked at.
-func (p *Plan) Turn() int {
+// Rotation counts how often other back ends of the new version are to be looked at.
+func (p *Controller) Rotation() int {
 	return p.exposed / mostSaved
 }
 
 // Exposed notes that a request was given to the new version.
-func (p *Plan) Exposed() {
+func (p *Controller) Exposed() {
 	p.exposed++
 	p.saved--
 }
 
-// Untold notes that a request which was given to a back end of a version at a time says nothing of it.
-func (p *Plan) Untold(sent time.Time, version string) {
+// Discarded notes that a request which was given to a back end of a version at a time says nothing of it.
+func (p *Controller) Discarded(sent time.Time, version string) {
 	if !p.order.Phase.Decided() && version != p.order.Version {
-		p.judge.UntoldOld(sent)
+		p.judge.DiscardOld(sent)
 	}
 }
 
-// Answered takes in how a request ended.
-func (p *Plan) Answered(now time.Time, version string, answer Answer) {
+// Finished takes in how a request ended.
+func (p *Controller) Finished(now time.Time, version string, answer Sample) {
 	switch {
 	case p.order.Phase.Decided():
 	case version == p.order.Version:
-		p.judge.New(now, answer)
+		p.judge.AddNew(now, answer)
 	default:
-		p.judge.Old(now, answer)
+		p.judge.AddOld(now, answer)
 	}
 }
 
 // Step decides whether the rollout goes on to another phase, and says whether it did.
-func (p *Plan) Step(now time.Time, backends Backends) bool {
+func (p *Controller) Step(now time.Time, backends Backends) bool {
 	p.decides = true
 	if p.order.Phase.Decided() {
 		return false
 	}
 	p.judge.SetBackends(backends.New)
-	p.judge.SetChance(backends.Blind)
+	p.judge.SetRandomPickRates(backends.RandomPick)
 	if why, worse := p.judge.Worse(now); worse {
 		return p.goOn(now, config.RolloutRolledBack, "worse: "+why)
 	}
@@ -244,9 +244,9 @@
 		return true
 	case now.Before(decideBy.Add(-p.moveTime())):
 		return false
-	case p.judge.InDoubt() && now.Before(decideBy.Add(-settleFor-leastRamp)):
+	case p.judge.Inconclusive() && now.Before(decideBy.Add(-settleFor-leastRamp)):
 		return false // more answers will tell
-	case p.judge.InDoubt():
+	case p.judge.Inconclusive():
 		return p.goOn(now, config.RolloutRolledBack, "in doubt: "+p.judge.describe(now))
 	case p.proved() && backends.NewSlots > 0:
 		return p.goOn(now, config.RolloutMoving, "not worse: "+p.judge.describe(now))
@@ -254,15 +254,15 @@
 		return false
 	}
 	return p.goOn(now, config.RolloutRolledBack, fmt.Sprintf("not proved: %d answers of it were compared, %d are needed, and it has %d slots",
-		p.judge.Judged(), leastJudged, backends.NewSlots))
+		p.judge.Compared(), leastJudged, backends.NewSlots))
 }
 
 // proved says whether enough was seen of the version.
-func (p *Plan) proved() bool {
-	return p.judge.Judged() >= leastJudged
+func (p *Controller) proved() bool {
+	return p.judge.Compared() >= leastJudged
 }
 
-func (p *Plan) goOn(now time.Time, phase config.RolloutPhase, reason string) bool {
+func (p *Controller) goOn(now time.Time, phase config.RolloutPhase, reason string) bool {
 	p.order.Phase, p.order.Reason = phase, reason
 	if phase == config.RolloutMoving {
 		p.beginMoving(now)
@@ -271,14 +271,14 @@
 }
 
 // beginMoving lets requests move, as slowly as there is time for.
-func (p *Plan) beginMoving(now time.Time) {
+func (p *Controller) beginMoving(now time.Time) {
 	p.movedAt = now
-	p.judge.Moving()
+	p.judge.SetMoving()
 	p.ramp = min(time.Duration(rampPart*float64(p.moveTime())), max(p.order.DecisionTime().Sub(now)-settleFor, leastRamp))
 }
 
 // Counts returns how many requests were given since this dispatcher began, and how many of them
 // to the new version while it was judged.
-func (p *Plan) Counts() (total, exposed int) {
+func (p *Controller) Counts() (total, exposed int) {
 	return p.total, p.exposed
 }
--- a/rollout/plan_test.go
+++ b/rollout/plan_test.go
@@ -37,7 +37,7 @@
 type world struct {
 	random   *rand.Rand
 	now      time.Time
-	plan     *Plan
+	plan     *Controller
 	group    *routing.Group
 	way      way
 	perSec   float64
@@ -81,7 +81,7 @@
 		}
 	}
 	w.group.SetBackends(w.now, declared)
-	w.plan = NewPlan(w.now, config.Rollout{Service: "board", Version: "v2", Within: config.Duration(within)})
+	w.plan = NewController(w.now, config.Rollout{Service: "board", Version: "v2", Within: config.Duration(within)})
 	return w
 }
 
@@ -113,8 +113,8 @@
 	w.group.SetVersionRule(w.plan.Rule(w.now))
 	var picked routing.PickResult
 	ok := false
-	if w.plan.Expose(w.now, class) {
-		if picked, ok = w.group.PickOfVersion(w.now, routing.Request{}, "v2", w.plan.Turn()); ok {
+	if w.plan.ShouldExpose(w.now, class) {
+		if picked, ok = w.group.PickCanary(w.now, routing.Request{}, "v2", w.plan.Rotation()); ok {
 			w.plan.Exposed()
 		}
 	}
@@ -170,17 +170,17 @@
 		case one.dark:
 			outcome = routing.Unserved
 		case one.failed:
-			outcome = routing.Failed
+			outcome = routing.ErrorResponse
 		}
 		if w.trouble.disturbed && !one.dark {
-			w.group.Report(one.picked.Backend, routing.Report{InFlight: one.picked.Backend.InFlight, Slowdown: w.slowdown(one.picked.Backend.ID)}, false, one.ends)
+			w.group.RecordReport(one.picked.Backend, routing.Report{InFlight: one.picked.Backend.InFlight, Slowdown: w.slowdown(one.picked.Backend.ID)}, false, one.ends)
 		}
-		w.group.Finished(one.picked, one.ends, outcome, one.took)
+		w.group.Done(one.picked, one.ends, outcome, one.took)
 		if one.picked.Reason == routing.ReasonTrial { // as in package dispatch
-			w.plan.Untold(one.ends.Add(-one.took), one.picked.Backend.Version)
+			w.plan.Discarded(one.ends.Add(-one.took), one.picked.Backend.Version)
 			continue
 		}
-		w.plan.Answered(one.ends, one.picked.Backend.Version, Answer{Class: one.class, Backend: one.picked.Backend.ID, Failed: one.failed && !one.dark, Unserved: one.dark, Took: one.took})
+		w.plan.Finished(one.ends, one.picked.Backend.Version, Sample{Class: one.class, Backend: one.picked.Backend.ID, Failed: one.failed && !one.dark, Unserved: one.dark, Latency: one.took})
 	}
 }
 
@@ -380,17 +380,17 @@
 	order := config.Rollout{Service: "board", Version: "v2", Within: config.Duration(10 * time.Second)}
 	both := Backends{New: 4, NewSlots: 8, OldSlots: 8}
 	t.Run("nothing is proved", func(t *testing.T) {
-		p := NewPlan(now, order)
+		p := NewController(now, order)
 		for now := now; now.Before(p.Order().DecisionTime()); now = now.Add(stepInterval) {
 			p.Step(now, both)
 			require.Equal(t, routing.VersionRule{Version: "v2", Use: p.Rule(now).Use}, p.Rule(now))
 		}
 		require.Equal(t, config.RolloutRolledBack, p.Order().Phase)
 		require.Contains(t, p.Order().Reason, "not proved")
-		require.Equal(t, routing.NotVersion, p.Rule(now).Use)
+		require.Equal(t, routing.ExcludedVersion, p.Rule(now).Use)
 	})
 	t.Run("no back end of it ever comes", func(t *testing.T) {
-		p := NewPlan(now, order)
+		p := NewController(now, order)
 		p.judge.judged = leastJudged
 		for now := now; now.Before(p.Order().DecisionTime()); now = now.Add(stepInterval) {
 			p.Step(now, Backends{OldSlots: 8})
@@ -398,7 +398,7 @@
 		require.Equal(t, config.RolloutRolledBack, p.Order().Phase)
 	})
 	t.Run("all back ends are of it", func(t *testing.T) {
-		p := NewPlan(now, order)
+		p := NewController(now, order)
 		p.Step(now, Backends{New: 4, NewSlots: 8})
 		require.Equal(t, config.RolloutMoving, p.Order().Phase)
 		p.Step(now.Add(2*time.Second), Backends{New: 4, NewSlots: 8})
@@ -407,8 +407,8 @@
 	t.Run("requests at old back ends hold it up", func(t *testing.T) {
 		moving := order
 		moving.Phase, moving.DecideBy = config.RolloutMoving, now.Add(5*time.Second).UnixMilli()
-		p := NewPlan(now, moving)
-		require.Equal(t, routing.JudgedVersion, p.Rule(now).Use, "they move by and by")
+		p := NewController(now, moving)
+		require.Equal(t, routing.CanaryVersion, p.Rule(now).Use, "they move by and by")
 		require.Equal(t, routing.OnlyVersion, p.Rule(now.Add(2*time.Second)).Use)
 		busy := both
 		busy.OldInFlight = 1
@@ -418,56 +418,56 @@
 		require.Equal(t, routing.AnyVersion, p.Rule(now.Add(time.Minute)).Use, "later versions may come without an order")
 	})
 	t.Run("another order while one runs", func(t *testing.T) {
-		p := NewPlan(now, order)
+		p := NewController(now, order)
 		p.judge.judged = 5
 		other := order
 		other.Version = "v3"
-		p.Follow(now.Add(time.Second), other)
+		p.Update(now.Add(time.Second), other)
 		require.Equal(t, "v3", p.Order().Version)
-		require.Zero(t, p.judge.Judged())
-		require.Equal(t, routing.VersionRule{Version: "v3", Use: routing.JudgedVersion}, p.Rule(now))
+		require.Zero(t, p.judge.Compared())
+		require.Equal(t, routing.VersionRule{Version: "v3", Use: routing.CanaryVersion}, p.Rule(now))
 	})
 	t.Run("an older record changes nothing", func(t *testing.T) {
-		p := NewPlan(now, order)
+		p := NewController(now, order)
 		p.goOn(now, config.RolloutRolledBack, "worse")
 		running := order
 		running.Phase, running.Recorded = config.RolloutRunning, 7
-		p.Follow(now, running)
+		p.Update(now, running)
 		require.Equal(t, config.RolloutRolledBack, p.Order().Phase)
 		require.Equal(t, objectstore.Version(7), p.Order().Recorded, "the record that is to be replaced")
 	})
 	t.Run("the store came back older and lost the decision", func(t *testing.T) {
-		p := NewPlan(now, order)
+		p := NewController(now, order)
 		p.goOn(now, config.RolloutRolledBack, "worse")
 		decided := p.Order()
 		decided.Recorded = 40
-		p.Follow(now, decided)
+		p.Update(now, decided)
 		for _, lost := range []objectstore.Version{objectstore.NewVersion(1, 30), objectstore.NewVersion(1, 33)} {
 			older := order
 			older.Recorded = lost
-			p.Follow(now, older)
+			p.Update(now, older)
 			require.Equal(t, config.RolloutRolledBack, p.Order().Phase)
 			require.Equal(t, lost, p.Order().Recorded, "the record that is to be replaced")
 		}
 		decided.Recorded = objectstore.NewVersion(1, 35)
-		p.Follow(now, decided)
+		p.Update(now, decided)
 		anew := order
 		anew.Recorded = objectstore.NewVersion(1, 50)
-		p.Follow(now, anew)
+		p.Update(now, anew)
 		require.Equal(t, config.RolloutRunning, p.Order().Phase, "it is ordered once more")
 	})
 	t.Run("another dispatcher has decided", func(t *testing.T) {
-		p := NewPlan(now, order)
+		p := NewController(now, order)
 		decided := order
 		decided.Phase = config.RolloutRolledBack
-		p.Follow(now, decided)
+		p.Update(now, decided)
 		require.False(t, p.Step(now, both))
-		require.False(t, p.Expose(now, "reads"))
+		require.False(t, p.ShouldExpose(now, "reads"))
 	})
 	t.Run("a deadline that has passed when it is heard of", func(t *testing.T) {
 		passed := order
 		passed.Phase, passed.DecideBy = config.RolloutRunning, now.Add(-time.Minute).UnixMilli()
-		p := NewPlan(now, passed)
+		p := NewController(now, passed)
 		p.Step(now, both)
 		require.Equal(t, config.RolloutRolledBack, p.Order().Phase)
 	})
@@ -478,20 +478,20 @@
 func TestFirstFewOnce(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	order := config.Rollout{Service: "board", Version: "v2", Within: config.Duration(time.Minute)}
-	first, second := NewPlan(now, order), NewPlan(now, order)
+	first, second := NewController(now, order), NewController(now, order)
 	both := Backends{New: 4, NewSlots: 8, OldSlots: 8}
 	first.Step(now, both)
 	running := first.Order()
-	first.Follow(now, running)
-	second.Follow(now, running)
-	given := func(p *Plan) (count int) {
-		for p.Expose(now, "reads") {
+	first.Update(now, running)
+	second.Update(now, running)
+	given := func(p *Controller) (count int) {
+		for p.ShouldExpose(now, "reads") {
 			p.Exposed()
 			count++
 		}
 		return count
 	}
-	require.Equal(t, FirstFew, given(first))
+	require.Equal(t, InitialBurst, given(first))
 	second.Step(now, both)
 	require.Zero(t, given(second))
 }
@@ -499,15 +499,15 @@
 // TestShareIsKept gives a version no more than its share, also from the first request on.
 func TestShareIsKept(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
-	p := NewPlan(now, config.Rollout{Service: "board", Version: "v2", Within: config.Duration(time.Minute)})
+	p := NewController(now, config.Rollout{Service: "board", Version: "v2", Within: config.Duration(time.Minute)})
 	exposed := 0
 	for number := 1; number <= 10_000; number++ {
-		if p.Expose(now, fmt.Sprint(number%40)) {
+		if p.ShouldExpose(now, fmt.Sprint(number%40)) {
 			p.Exposed()
 			exposed++
 		}
 		p.Granted(now, "v1")
-		require.LessOrEqual(t, float64(exposed), Share*float64(number)+FirstFew)
+		require.LessOrEqual(t, float64(exposed), CanaryShare*float64(number)+InitialBurst)
 	}
 	require.Greater(t, exposed, 500)
 }
--- a/routing/bearing.go
+++ b/routing/bearing.go
@@ -11,13 +11,13 @@
 }
 
 // soleSender gives out all places of the service.
-var soleSender = sender{choosers: 1, ofLimits: Share{Part: 1}}
+var soleSender = sender{choosers: 1, ofLimits: Share{Fraction: 1}}
 
 // sender returns as what the daemon sends the request.
 func (r *Request) sender() sender {
-	as := sender{choosers: max(r.Choosers, 1), ofLimits: r.OfLimits}
-	if as.ofLimits.Part == 0 {
-		as.ofLimits.Part = 1
+	as := sender{choosers: max(r.IndependentDaemons, 1), ofLimits: r.LimitShare}
+	if as.ofLimits.Fraction == 0 {
+		as.ofLimits.Fraction = 1
 	}
 	return as
 }
@@ -25,12 +25,12 @@
 // ofWarmUps is what the sender may use of what cold back ends bear. Since when is reckoned only while some back
 // end is limited.
 func (s sender) ofWarmUps() Share {
-	return Share{Part: 1 / float64(s.choosers), Since: s.ofLimits.Since}
+	return Share{Fraction: 1 / float64(s.choosers), Since: s.ofLimits.Since}
 }
 
 // bears says whether the back end can take a request now without getting more than it bears while it
 // is cold, or more than it says that it takes.
-func (g *Group) bears(state *State, now time.Time, as sender) bool {
+func (g *Group) bears(state *BackendState, now time.Time, as sender) bool {
 	if state.spares(now) && !state.warmUp.pacing.due(now, state.WarmUp.PerSecond, as.ofWarmUps(), g.options.Random) {
 		return false
 	}
@@ -38,7 +38,7 @@
 }
 
 // spend notes something that is sent to the back end.
-func (s *State) spend(now time.Time) {
+func (s *BackendState) spend(now time.Time) {
 	if s.spares(now) {
 		s.warmUp.pacing.sent(now)
 	}
--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -21,7 +21,7 @@
 	}
 	group := newTestGroup(backends...)
 	for number, state := range group.states {
-		group.Report(state, benchReport(number), false, start)
+		group.RecordReport(state, benchReport(number), false, start)
 	}
 	return group
 }
@@ -59,8 +59,8 @@
 					held = append(held, picked)
 				}
 				if len(held) > 2*count {
-					group.Report(held[0].Backend, benchReport(number), false, now)
-					group.Finished(held[0], now, Success, work)
+					group.RecordReport(held[0].Backend, benchReport(number), false, now)
+					group.Done(held[0], now, Success, work)
 					held = held[1:]
 				}
 			}
@@ -100,9 +100,9 @@
 			for b.Loop() {
 				now = now.Add(time.Millisecond)
 				group.probeCredit = probeCredit
-				if target, wanted := group.StaleTarget(now, 25*time.Millisecond, 0); wanted {
+				if target, wanted := group.LoadProbeTarget(now, 25*time.Millisecond, 0); wanted {
 					asked++
-					group.Refreshed(now, target, benchReport(asked))
+					group.RecordLoadProbe(now, target, benchReport(asked))
 				}
 			}
 		})
--- a/routing/exclusion.go
+++ b/routing/exclusion.go
@@ -31,7 +31,7 @@
 }
 
 // excludes says whether the request that markExcluded was called for must not reach a back end.
-func (g *Group) excludes(state *State) bool {
+func (g *Group) excludes(state *BackendState) bool {
 	return state.excludedFor == g.asked
 }
 
@@ -67,6 +67,6 @@
 }
 
 // spared says whether a back end gets no probes for fresher reports now.
-func (s *State) spared(now time.Time) bool {
+func (s *BackendState) spared(now time.Time) bool {
 	return s.limit.Limited || s.PausedUntil.After(now)
 }
--- a/routing/exclusion_test.go
+++ b/routing/exclusion_test.go
@@ -24,16 +24,16 @@
 		"bound to it":           {backends: []Backend{excluded}, request: Request{Session: "a"}},
 		"it has had no request": {backends: []Backend{other, excluded}, prepare: func(group *Group) { group.State("excluded").met = false }},
 		"its trial is due": {backends: []Backend{excluded}, request: Request{Repeatable: true}, prepare: func(group *Group) {
-			group.State("excluded").health.Ended(start)
+			group.State("excluded").health.RecordExit(start)
 		}},
 		"many are ejected": {backends: []Backend{other, excluded}, prepare: func(group *Group) {
 			for _, state := range group.States() {
 				for range 5 {
-					state.health.Failure(start)
+					state.health.RecordFailure(start)
 				}
 			}
 		}},
-		"of another region": {backends: []Backend{{ID: "excluded", Slots: 2, Warm: true, Elsewhere: true}}},
+		"of another region": {backends: []Backend{{ID: "excluded", Slots: 2, Warm: true, OtherRegion: true}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			group := warmUpGroup(1, one.backends...)
@@ -45,9 +45,9 @@
 			request.Excluded = []Exclusion{{Backend: "excluded", Until: start.Add(lasts)}, {Backend: "not known"}}
 			total, _ := countPicks(group, "excluded", lasts, request)
 			require.Zero(t, total)
-			if picked, ok := group.PickOfVersion(start, request, "", 0); ok {
+			if picked, ok := group.PickCanary(start, request, "", 0); ok {
 				require.NotEqual(t, "excluded", picked.Backend.ID)
-				group.Finished(picked, start, Success, work)
+				group.Done(picked, start, Success, work)
 			}
 			request.Excluded = nil
 			total, _ = countPicks(group, "excluded", 15*time.Second, request)
@@ -103,13 +103,13 @@
 	for second := range 60 {
 		now := start.Add(time.Duration(second) * time.Second)
 		group.probeCredit = probeCredit
-		_, wanted := group.ProbeTarget(now, time.Second)
+		_, wanted := group.HealthProbeTarget(now, time.Second)
 		require.False(t, wanted)
 		group.earnProbes(origin{zone: "zone"})
-		_, wanted = group.StaleTarget(now, time.Millisecond, time.Millisecond)
+		_, wanted = group.LoadProbeTarget(now, time.Millisecond, time.Millisecond)
 		require.False(t, wanted)
 	}
-	_, wanted := group.ProbeTarget(start.Add(time.Minute), time.Second)
+	_, wanted := group.HealthProbeTarget(start.Add(time.Minute), time.Second)
 	require.True(t, wanted)
 }
 
@@ -126,6 +126,6 @@
 	group := warmUpGroup(1, backends...)
 	for b.Loop() {
 		picked, _ := group.Pick(start, request)
-		group.Finished(picked, start, Success, work)
+		group.Done(picked, start, Success, work)
 	}
 }
--- a/routing/follow.go
+++ b/routing/follow.go
@@ -10,9 +10,9 @@
 // end as the request found it.
 const arrival = 3 * time.Millisecond
 
-// Follow lets a back end be asked how it is as soon as a request has reached it. A cold one
+// ScheduleArrivalProbe lets a back end be asked how it is as soon as a request has reached it. A cold one
 // is spared that, a limited one, and one of a service whose back ends tell nothing of it.
-func (g *Group) Follow(now time.Time, state *State) {
+func (g *Group) ScheduleArrivalProbe(now time.Time, state *BackendState) {
 	if state.Cold(now) || state.limit.Limited || !state.slowdown.known() {
 		return
 	}
@@ -23,7 +23,7 @@
 
 // arrived returns a back end that a request has just reached and that is to be asked, or
 // nil.
-func (g *Group) arrived(now time.Time, interval time.Duration) *State {
+func (g *Group) arrived(now time.Time, interval time.Duration) *BackendState {
 	for _, state := range g.following {
 		if now.Sub(state.followed) < arrival {
 			return nil // later ones came later
@@ -37,7 +37,7 @@
 
 // unfollow notes that a back end has told how it is since the last request reached it, or
 // need not any more.
-func (g *Group) unfollow(state *State) {
+func (g *Group) unfollow(state *BackendState) {
 	state.followed = time.Time{}
 	if index := slices.Index(g.following, state); index >= 0 {
 		g.following = slices.Delete(g.following, index, index+1)
@@ -46,6 +46,6 @@
 
 // Disturbed says whether the last report of a back end tells that what begins there takes
 // much longer than usually.
-func (s *State) Disturbed() bool {
-	return s.slowdown.reports > 0 && s.slowdown.last > HoldFactor*s.slowdown.usual()
+func (s *BackendState) Disturbed() bool {
+	return s.slowdown.reports > 0 && s.slowdown.last > DisturbedFactor*s.slowdown.usual()
 }
--- a/routing/group.go
+++ b/routing/group.go
@@ -32,9 +32,9 @@
 // Group is one daemon's view of a service's back ends.
 type Group struct {
 	options Options
-	states  []*State
+	states  []*BackendState
 	working working
-	byID    map[string]*State
+	byID    map[string]*BackendState
 	zones   []string // of the back ends, each once
 	found   survey   // of the last request, kept for its memory
 	looks   int
@@ -52,7 +52,7 @@
 	bests       bests // kept for its memory
 	introduce   bool  // the last probe was for a first report, if any was wanted
 	probeWorth  probeWorth
-	following   []*State // back ends that are to be asked what requests met, oldest first
+	following   []*BackendState // back ends that are to be asked what requests met, oldest first
 	// versionRule is what holds for a version, holdsVersions whether unfamiliar ones get nothing
 	// for a moment, and versionSeen since when each was seen; zero: from the beginning.
 	versionRule   VersionRule
@@ -67,14 +67,14 @@
 
 // NewGroup returns a group without back ends.
 func NewGroup(options Options) *Group {
-	return &Group{options: options, byID: make(map[string]*State), ofLimits: soleSender.ofLimits}
+	return &Group{options: options, byID: make(map[string]*BackendState), ofLimits: soleSender.ofLimits}
 }
 
 // SetBackends replaces the declared back ends. What is known of those that stay
 // is kept; requests in flight at those that go are still counted when finished.
 func (g *Group) SetBackends(now time.Time, backends []Backend) {
-	byID := make(map[string]*State, len(backends))
-	states := make([]*State, 0, len(backends))
+	byID := make(map[string]*BackendState, len(backends))
+	states := make([]*BackendState, 0, len(backends))
 	first := len(g.states) == 0
 	for _, backend := range backends {
 		g.noteVersion(now, backend.Version, first)
@@ -84,7 +84,7 @@
 		}
 		if !known {
 			// It must not get a request before it is said that it gets none.
-			state = &State{root: math.Sqrt(initialLatency.Seconds()), Draining: backend.Drained}
+			state = &BackendState{root: math.Sqrt(initialLatency.Seconds()), Draining: backend.Drained}
 			// Of those that were there before this daemon gave out places none is new to the
 			// service, unless it is cold: each would get a request at once, whatever its load.
 			state.met = first && backend.Warm
@@ -101,16 +101,16 @@
 		case backend.Warm && !wasWarm:
 			state.warmedUp()
 		case returns, !backend.Warm && (wasWarm || !known):
-			state.cool(now, backend.WarmUp.Lasts)
+			state.cool(now, backend.WarmUp.Duration)
 		}
 		state.setLimit(now, backend.Limit)
 		byID[backend.ID] = state
 		states = append(states, state)
 	}
 	g.states, g.byID = states, byID
-	g.shared = slices.ContainsFunc(states, func(state *State) bool { return state.Elsewhere })
+	g.shared = slices.ContainsFunc(states, func(state *BackendState) bool { return state.OtherRegion })
 	g.working.setAll(now, states)
-	g.following = slices.DeleteFunc(g.following, func(state *State) bool { return byID[state.ID] != state })
+	g.following = slices.DeleteFunc(g.following, func(state *BackendState) bool { return byID[state.ID] != state })
 	g.boundsStale = true
 	g.numberZones()
 }
@@ -128,28 +128,28 @@
 }
 
 // States returns the back ends' states. The caller must not change them.
-func (g *Group) States() []*State {
+func (g *Group) States() []*BackendState {
 	return g.states
 }
 
 // Busy says whether any back end has a request of this daemon's.
 func (g *Group) Busy() bool {
-	return slices.ContainsFunc(g.states, func(state *State) bool { return state.InFlight > 0 })
+	return slices.ContainsFunc(g.states, func(state *BackendState) bool { return state.InFlight > 0 })
 }
 
-// Looks returns how often all back ends were looked at for a request.
-func (g *Group) Looks() int {
+// ScanCount returns how often all back ends were looked at for a request.
+func (g *Group) ScanCount() int {
 	return g.looks
 }
 
 // State returns a back end's state, or nil where it is not known.
-func (g *Group) State(id string) *State {
+func (g *Group) State(id string) *BackendState {
 	return g.byID[id]
 }
 
-// Pace returns how long the back ends take for one request, all together, as far
+// ServiceInterval returns how long the back ends take for one request, all together, as far
 // as their latencies tell. It is 0 when no back end takes requests.
-func (g *Group) Pace(now time.Time) time.Duration {
+func (g *Group) ServiceInterval(now time.Time) time.Duration {
 	perSecond := 0.0
 	for _, state := range g.states {
 		if !g.out(state, now) {
@@ -167,14 +167,14 @@
 func (g *Group) SetDraining(now time.Time, id string, draining bool) {
 	if state, ok := g.byID[id]; ok {
 		if state.Draining && !draining {
-			state.cool(now, state.WarmUp.Lasts)
+			state.cool(now, state.WarmUp.Duration)
 		}
 		state.Draining = draining
 	}
 }
 
-// Takes says whether a back end is known and not leaving.
-func (g *Group) Takes(id string) bool {
+// AcceptsRequests says whether a back end is known and not leaving.
+func (g *Group) AcceptsRequests(id string) bool {
 	state, known := g.byID[id]
 	return known && !state.Draining && !g.ExcludesVersion(state.Version)
 }
@@ -200,14 +200,14 @@
 	Repeatable bool
 	// Zone is that of the daemon that sends the request.
 	Zone string
-	// OfLimits is what the daemon that chooses may use of what limited back ends take; a part of 0:
+	// LimitShare is what the daemon that chooses may use of what limited back ends take; a part of 0:
 	// all of it.
-	OfLimits Share
+	LimitShare Share
 	// Excluded are the back ends that it must not reach, though others may.
 	Excluded []Exclusion
-	// Choosers is how many daemons may choose for requests of the service just now, each by
+	// IndependentDaemons is how many daemons may choose for requests of the service just now, each by
 	// itself; 0 or 1: one dispatcher for all.
-	Choosers int
+	IndependentDaemons int
 }
 
 // Pick chooses a back end for a request and counts it as sent. It returns false
@@ -220,7 +220,7 @@
 		return g.pickSession(now, request)
 	}
 	if trial := g.found.trial; trial != nil {
-		trial.health.Trial(now)
+		trial.health.RecordTrial(now)
 		g.sent(trial, now)
 		return g.result(trial, ReasonTrial, 1, now), true
 	}
@@ -235,7 +235,7 @@
 	if len(free) == 0 {
 		if lender := g.lender(now, request.sender()); lender != nil {
 			g.sent(lender, now)
-			return g.result(lender, ReasonLender, 1, now), true
+			return g.result(lender, ReasonOtherRegion, 1, now), true
 		}
 		return PickResult{}, false
 	}
@@ -243,31 +243,31 @@
 	g.earnProbes(from)
 	if newcomer := g.newcomer(now, request); newcomer != nil {
 		g.sent(newcomer, now)
-		return g.result(newcomer, ReasonNewcomer, len(free), now), true
+		return g.result(newcomer, ReasonFirstRequest, len(free), now), true
 	}
 	chosen := free[g.options.Picker.Pick(PickInfo{Now: now, Random: g.options.Random, Origin: from, Candidates: free})]
 	g.sent(chosen, now)
 	return g.result(chosen, ReasonLoad, len(free), now), true
 }
 
-func (g *Group) result(state *State, reason Reason, candidates int, now time.Time) PickResult {
+func (g *Group) result(state *BackendState, reason Reason, candidates int, now time.Time) PickResult {
 	return PickResult{
-		Backend: state, Reason: reason, Candidates: candidates, MostFull: 2*candidates < len(g.found.eligible), ReportAge: state.ReportAge(now),
+		Backend: state, Reason: reason, Candidates: candidates, MostlyFull: 2*candidates < len(g.found.eligible), ReportAge: state.ReportAge(now),
 		slowdown: state.slowdown.expected(now), begun: state.occupancy,
 		BestInFlight: g.learned.known(state.Window),
 	}
 }
 
 // mostInFlight bounds this daemon's requests at a back end.
-func (g *Group) mostInFlight(state *State, now time.Time) int {
+func (g *Group) mostInFlight(state *BackendState, now time.Time) int {
 	return g.mostWithin(state, now, state.bound)
 }
 
 // mostWithin is mostInFlight where something else than what was learned bounds it.
-func (g *Group) mostWithin(state *State, now time.Time, bound int) int {
+func (g *Group) mostWithin(state *BackendState, now time.Time, bound int) int {
 	limit := state.mostInFlight(g.options.SlowStart)
 	switch {
-	case state.Elsewhere:
+	case state.OtherRegion:
 		limit = min(limit, state.room(now))
 	case g.shared:
 		limit = min(limit, state.ownRoom(now))
@@ -302,9 +302,9 @@
 	return 0
 }
 
-// Advise takes in with how many requests in flight another daemon, which dispatched the
+// SetConcurrencyHint takes in with how many requests in flight another daemon, which dispatched the
 // service until now, found that a back end does best.
-func (g *Group) Advise(id string, inFlight int) {
+func (g *Group) SetConcurrencyHint(id string, inFlight int) {
 	if state, known := g.byID[id]; known && inFlight > 0 && inFlight <= state.Window {
 		g.learned.advise(state.Window, inFlight)
 	}
@@ -338,7 +338,7 @@
 }
 
 // choose chooses how many requests a back end is to hold from now on.
-func (g *Group) choose(state *State) {
+func (g *Group) choose(state *BackendState) {
 	state.sinceBound, state.boundShort = 0, g.short
 	g.boundsStale = g.boundsStale || !g.short
 	state.bound = g.learned.bound(state.Window, g.short, g.options.Random)
@@ -359,8 +359,8 @@
 }
 
 // bound returns the back end that a session is bound to, of those that were found; nil: there is none.
-func (g *Group) bound(session string) *State {
-	var best *State
+func (g *Group) bound(session string) *BackendState {
+	var best *BackendState
 	var bestHash uint64
 	for _, state := range g.found.eligible {
 		hash := xxhash.Sum64String(session + "\x00" + state.ID)
@@ -371,9 +371,9 @@
 	return best
 }
 
-// BoundUntil returns when the back end that a request is bound to by its session takes one again, and false
+// SessionBlockedUntil returns when the back end that a request is bound to by its session takes one again, and false
 // where the request is not bound or may be sent now. It is called after Pick has found no place.
-func (g *Group) BoundUntil(now time.Time, request Request) (time.Time, bool) {
+func (g *Group) SessionBlockedUntil(now time.Time, request Request) (time.Time, bool) {
 	if request.Session == "" {
 		return time.Time{}, false
 	}
@@ -390,7 +390,7 @@
 	return state.limit.pacing.next(state.limit.takes(), request.sender().ofLimits), true
 }
 
-func (g *Group) sent(state *State, now time.Time) {
+func (g *Group) sent(state *BackendState, now time.Time) {
 	state.pass(now)
 	if state.InFlight == 0 {
 		state.quietSince = now
@@ -423,9 +423,9 @@
 	WarmUpLeft time.Duration
 }
 
-// Report notes a load report of the back end. waiting says whether requests wait
+// RecordReport notes a load report of the back end. waiting says whether requests wait
 // for a place here.
-func (g *Group) Report(state *State, report Report, waiting bool, at time.Time) {
+func (g *Group) RecordReport(state *BackendState, report Report, waiting bool, at time.Time) {
 	if at.Before(state.reportAt) {
 		return
 	}
--- a/routing/hold.go
+++ b/routing/hold.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// HoldFactor is how many times what is usual the slowdown of a back end may be before
+// DisturbedFactor is how many times what is usual the slowdown of a back end may be before
 // requests rather wait than begin there. A disturbance at the beginning of a request
 // lasts for all of it, and takes the slot for as long; most disturbances are over sooner
 // than a request may wait.
-const HoldFactor = 1.6
+const DisturbedFactor = 1.6
 
 // held says whether no request should begin at a back end now. That ends by itself, as
 // the report that says so gets old.
-func (s *State) held(now time.Time) bool {
+func (s *BackendState) held(now time.Time) bool {
 	if s.slowdown.reports == 0 {
 		return false
 	}
-	limit := HoldFactor * s.slowdown.usual()
+	limit := DisturbedFactor * s.slowdown.usual()
 	// What is expected lies between the last report and what is usual.
 	return s.slowdown.last > limit && s.slowdown.expected(now) > limit
 }
--- a/routing/learning_test.go
+++ b/routing/learning_test.go
@@ -31,10 +31,10 @@
 	group := newTestGroup(Backend{ID: "a", Slots: 3, Window: 3}, Backend{ID: "b", Slots: 3, Window: 3})
 	a, b := group.byID["a"], group.byID["b"]
 	for range 50 {
-		group.Report(a, Report{Slowdown: 2}, false, start)
-		group.Report(b, Report{Slowdown: 2}, false, start)
+		group.RecordReport(a, Report{Slowdown: 2}, false, start)
+		group.RecordReport(b, Report{Slowdown: 2}, false, start)
 	}
-	group.Report(a, Report{Slowdown: 5}, false, start)
+	group.RecordReport(a, Report{Slowdown: 5}, false, start)
 	for range 2 {
 		require.Equal(t, "b", pick(t, group, start, "").Backend.ID, "the disturbed one was chosen")
 	}
@@ -47,14 +47,14 @@
 // there.
 func TestOwnZoneFirst(t *testing.T) {
 	group := newTestGroup(Backend{ID: "a", Zone: "here", Slots: 3, Window: 3}, Backend{ID: "b", Zone: "there", Slots: 3, Window: 3})
-	group.Report(group.byID["a"], Report{Slowdown: 1}, false, start)
-	group.Report(group.byID["b"], Report{Slowdown: 1}, false, start)
+	group.RecordReport(group.byID["a"], Report{Slowdown: 1}, false, start)
+	group.RecordReport(group.byID["b"], Report{Slowdown: 1}, false, start)
 	for range 20 {
 		picked := pick(t, group, start, "here")
 		require.Equal(t, "a", picked.Backend.ID)
-		group.Finished(picked, start, Canceled, 0)
+		group.Done(picked, start, Canceled, 0)
 	}
-	group.Report(group.byID["a"], Report{Slowdown: 3}, false, start)
+	group.RecordReport(group.byID["a"], Report{Slowdown: 3}, false, start)
 	require.Equal(t, "b", pick(t, group, start, "here").Backend.ID)
 }
 
@@ -79,7 +79,7 @@
 		}
 		now = now.Add(latency)
 		for _, picked := range held {
-			group.Finished(picked, now, Success, latency)
+			group.Done(picked, now, Success, latency)
 		}
 	}
 	return float64(sum) / counted
@@ -128,7 +128,7 @@
 			}
 		}
 		for _, state := range group.states {
-			group.Report(state, Report{Slowdown: slowed[state.ID]}, false, now)
+			group.RecordReport(state, Report{Slowdown: slowed[state.ID]}, false, now)
 		}
 		kept := inFlight[:0]
 		for _, one := range inFlight {
@@ -136,7 +136,7 @@
 				kept = append(kept, one)
 				continue
 			}
-			group.Finished(one.picked, now, Success, work)
+			group.Done(one.picked, now, Success, work)
 		}
 		inFlight = kept
 		if picked, ok := group.Pick(now, Request{}); ok {
@@ -152,7 +152,7 @@
 func TestWindowIsKept(t *testing.T) {
 	group := newTestGroup(Backend{ID: "a", Slots: 3, Window: 2})
 	for range 100 {
-		group.Report(group.byID["a"], Report{InFlight: 0}, true, start)
+		group.RecordReport(group.byID["a"], Report{InFlight: 0}, true, start)
 	}
 	pick(t, group, start, "")
 	pick(t, group, start, "")
@@ -165,7 +165,7 @@
 func TestSilentBackendIsLeftOut(t *testing.T) {
 	group := newTestGroup(Backend{ID: "silent", Slots: 3, Window: 3}, Backend{ID: "well", Slots: 3, Window: 3})
 	for _, state := range group.states {
-		group.Report(state, Report{Slowdown: 1}, false, start)
+		group.RecordReport(state, Report{Slowdown: 1}, false, start)
 		state.observe(work, 1)
 	}
 	now, toSilent := start, 0
@@ -174,12 +174,12 @@
 		if picked.Backend.ID == "silent" {
 			toSilent++
 			now = now.Add(5 * work)
-			group.Finished(picked, now, Canceled, 0)
+			group.Done(picked, now, Canceled, 0)
 			continue
 		}
 		now = now.Add(work)
-		group.Finished(picked, now, Success, work)
-		group.Report(group.byID["well"], Report{Slowdown: 1}, false, now)
+		group.Done(picked, now, Success, work)
+		group.RecordReport(group.byID["well"], Report{Slowdown: 1}, false, now)
 	}
 	require.Less(t, toSilent, 20)
 }
@@ -189,7 +189,7 @@
 // nothing for long, a new one has its turn.
 func TestUnknownIsNotPreferred(t *testing.T) {
 	group := newTestGroup(Backend{ID: "well", Slots: 3, Window: 3}, Backend{ID: "new", Slots: 3, Window: 3})
-	group.Report(group.byID["well"], Report{Slowdown: 1}, false, start)
+	group.RecordReport(group.byID["well"], Report{Slowdown: 1}, false, start)
 	first := pick(t, group, start.Add(5*time.Millisecond), "")
 	require.Equal(t, "well", first.Backend.ID)
 	later := start.Add(2 * time.Second)
@@ -209,7 +209,7 @@
 		if number%4 == 0 {
 			slowdown = 5
 		}
-		group.Report(state, Report{Slowdown: slowdown}, false, start)
+		group.RecordReport(state, Report{Slowdown: slowdown}, false, start)
 	}
 	for _, state := range group.states[10:] {
 		require.InDelta(t, 2, state.slowdown.expected(start.Add(time.Second)), 0.6)
@@ -223,12 +223,12 @@
 		group := newTestGroup(Backend{ID: "near", Zone: "here", Slots: 3, Window: 3}, Backend{ID: "far", Zone: "there", Slots: 3, Window: 3})
 		for _, state := range group.states {
 			for range 200 {
-				group.Report(state, Report{Slowdown: 2.4}, false, start)
+				group.RecordReport(state, Report{Slowdown: 2.4}, false, start)
 			}
 		}
-		group.Report(group.byID["near"], Report{Slowdown: 1}, false, start)
+		group.RecordReport(group.byID["near"], Report{Slowdown: 1}, false, start)
 		now := start.Add(40 * time.Millisecond)
-		group.Report(group.byID["far"], Report{Slowdown: 1}, false, now)
+		group.RecordReport(group.byID["far"], Report{Slowdown: 1}, false, now)
 		picked, ok := group.Pick(now, Request{Zone: "here", Repeatable: repeatable})
 		require.True(t, ok)
 		require.Equal(t, map[bool]string{true: "near", false: "far"}[repeatable], picked.Backend.ID)
@@ -242,8 +242,8 @@
 	group := newTestGroup(Backend{ID: "busy", Slots: 3, Window: 3}, Backend{ID: "other", Slots: 3, Window: 3})
 	busy := group.byID["busy"]
 	for number := range 100 {
-		group.Report(group.byID["other"], Report{Slowdown: []float64{1, 3}[number%2]}, false, start)
-		group.Report(busy, Report{Slowdown: 1}, false, start)
+		group.RecordReport(group.byID["other"], Report{Slowdown: []float64{1, 3}[number%2]}, false, start)
+		group.RecordReport(busy, Report{Slowdown: 1}, false, start)
 		busy.observe(work, 1)
 	}
 	pick(t, group, start, "")
@@ -269,21 +269,21 @@
 	} {
 		t.Run(one.name, func(t *testing.T) {
 			group := newTestGroup(Backend{ID: "a", Slots: 3, Window: 3})
-			group.Report(group.byID["a"], Report{Slowdown: 1}, false, start)
+			group.RecordReport(group.byID["a"], Report{Slowdown: 1}, false, start)
 			picked := pick(t, group, start, "")
-			group.Finished(picked, start, Success, work)
+			group.Done(picked, start, Success, work)
 			group.SetBackends(start, []Backend{{ID: "a", Slots: 3, Window: 3}, {ID: "new", Slots: 3, Window: 3, Warm: true}})
 			for now := start; now.Sub(start) <= one.within; now = now.Add(10 * time.Millisecond) {
 				if one.told > 0 && now.Sub(start) == newcomerWait-50*time.Millisecond {
-					group.Report(group.byID["new"], Report{Slowdown: one.told}, false, now)
+					group.RecordReport(group.byID["new"], Report{Slowdown: one.told}, false, now)
 				}
 				picked, ok := group.Pick(now, Request{Repeatable: one.repeatable})
 				require.True(t, ok)
 				if picked.Backend.ID == "new" {
 					return
 				}
-				group.Finished(picked, now, Success, work)
-				group.Report(picked.Backend, Report{Slowdown: 1}, false, now)
+				group.Done(picked, now, Success, work)
+				group.RecordReport(picked.Backend, Report{Slowdown: 1}, false, now)
 			}
 			t.Fatal("it got no request")
 		})
@@ -297,11 +297,11 @@
 	group := newTestGroup(Backend{ID: "well", Slots: 1, Window: 1}, Backend{ID: "disturbed", Slots: 1, Window: 1})
 	for range 50 {
 		for _, state := range group.states {
-			group.Report(state, Report{Slowdown: 2}, false, start)
+			group.RecordReport(state, Report{Slowdown: 2}, false, start)
 		}
 	}
-	group.Report(group.byID["well"], Report{Slowdown: 1}, false, start)
-	group.Report(group.byID["disturbed"], Report{Slowdown: 5}, false, start)
+	group.RecordReport(group.byID["well"], Report{Slowdown: 1}, false, start)
+	group.RecordReport(group.byID["disturbed"], Report{Slowdown: 5}, false, start)
 	require.Equal(t, "well", pick(t, group, start, "").Backend.ID)
 	_, ok := group.Pick(start.Add(20*time.Millisecond), Request{})
 	require.False(t, ok)
@@ -309,8 +309,8 @@
 	require.Equal(t, "disturbed", picked.Backend.ID)
 
 	alone := newTestGroup(Backend{ID: "disturbed", Slots: 3, Window: 3})
-	alone.Report(alone.byID["disturbed"], Report{Slowdown: 1}, false, start)
-	alone.Report(alone.byID["disturbed"], Report{Slowdown: 9}, false, start)
+	alone.RecordReport(alone.byID["disturbed"], Report{Slowdown: 1}, false, start)
+	alone.RecordReport(alone.byID["disturbed"], Report{Slowdown: 9}, false, start)
 	require.Equal(t, "disturbed", pick(t, alone, start, "").Backend.ID)
 }
 
@@ -334,11 +334,11 @@
 // TestAdviceCounts: what another daemon learned holds until this one knows better.
 func TestAdviceCounts(t *testing.T) {
 	group := newTestGroup(Backend{ID: "a", Slots: 3, Window: 3})
-	group.Advise("a", 3)
+	group.SetConcurrencyHint("a", 3)
 	require.Equal(t, 3, group.BestInFlight("a"))
-	group.Advise("gone", 1)
-	group.Advise("a", 0)
-	group.Advise("a", 4)
+	group.SetConcurrencyHint("gone", 1)
+	group.SetConcurrencyHint("a", 0)
+	group.SetConcurrencyHint("a", 4)
 	require.Equal(t, 3, group.BestInFlight("a"))
 	for range 5 * concurrencyPrior {
 		group.learned.observe(3, met{taken: work, inFlight: 2})
--- a/routing/limit.go
+++ b/routing/limit.go
@@ -33,7 +33,7 @@
 // counts as all that it takes: the next request goes there a whole spacing later. One that is not
 // limited any more begins with one request at a time, as after a failure: all that waits would go there
 // together.
-func (s *State) setLimit(now time.Time, limit backendlimit.Limit) {
+func (s *BackendState) setLimit(now time.Time, limit backendlimit.Limit) {
 	switch {
 	case limit.Limited && !s.limit.Limited:
 		s.limit = requestLimit{since: now}
@@ -53,7 +53,7 @@
 }
 
 // permits says whether a daemon that may use a share of the limit may send something now.
-func (g *Group) permits(state *State, now time.Time, share Share) bool {
+func (g *Group) permits(state *BackendState, now time.Time, share Share) bool {
 	return !state.limit.Limited || state.limit.pacing.due(now, state.limit.takes(), share, g.options.Random)
 }
 
@@ -74,7 +74,7 @@
 }
 
 // Limit returns how many requests the back end takes; nil: any number.
-func (s *State) Limit(now time.Time) *LimitStatus {
+func (s *BackendState) Limit(now time.Time) *LimitStatus {
 	if !s.limit.Limited {
 		return nil
 	}
--- a/routing/limit_test.go
+++ b/routing/limit_test.go
@@ -23,7 +23,7 @@
 		if !ok {
 			continue
 		}
-		group.Finished(picked, now, Success, work)
+		group.Done(picked, now, Success, work)
 		if picked.Backend.ID != id {
 			continue
 		}
@@ -53,7 +53,7 @@
 		"a retry":                 {backends: []Backend{other, limited}, request: Request{Tried: []string{"other"}, Repeatable: true}},
 		"bound to it":             {backends: []Backend{limited}, request: Request{Session: "a"}},
 		"it has had no request":   {backends: []Backend{other, limited}, prepare: func(group *Group) { group.State("limited").met = false }},
-		"it is ejected, and back": {backends: []Backend{limited}, request: Request{Repeatable: true}, prepare: func(group *Group) { group.State("limited").health.Ended(start) }},
+		"it is ejected, and back": {backends: []Backend{limited}, request: Request{Repeatable: true}, prepare: func(group *Group) { group.State("limited").health.RecordExit(start) }},
 		"its window is declared": {
 			backends: []Backend{other, {ID: "limited", Slots: 2, Window: 2, Warm: true}},
 		},
@@ -115,8 +115,8 @@
 				group := warmUpGroup(uint64(daemon), Backend{ID: "limited", Slots: 2, Warm: true})
 				group.SetLimit(start, "limited", takesOnly(limit))
 				for now := start; now.Before(start.Add(seconds * time.Second)); now = now.Add(10 * time.Millisecond) {
-					if picked, ok := group.Pick(now, Request{Choosers: daemons, OfLimits: Share{Part: parts(daemon)}}); ok {
-						group.Finished(picked, now, Success, work)
+					if picked, ok := group.Pick(now, Request{IndependentDaemons: daemons, LimitShare: Share{Fraction: parts(daemon)}}); ok {
+						group.Done(picked, now, Success, work)
 						total++
 						perSecond[int(now.Sub(start)/time.Second)]++
 					}
@@ -142,7 +142,7 @@
 	require.True(t, ok)
 	_, ok = group.Pick(start, Request{})
 	require.False(t, ok, "one at a time")
-	group.Finished(first, start, Success, work)
+	group.Done(first, start, Success, work)
 	for range 2 {
 		_, ok = group.Pick(start, Request{})
 		require.True(t, ok)
@@ -167,8 +167,8 @@
 	group := warmUpGroup(1, Backend{ID: "a", Slots: 2, Warm: true}, Backend{ID: "b", Slots: 2, Warm: true})
 	group.SetLimit(start, "a", takesOnly(2))
 	group.SetLimit(start, "b", takesOnly(3))
-	require.Equal(t, 200*time.Millisecond, group.Pace(start))
-	require.Equal(t, "2 of 2 "+PhraseLimited, group.LeftOut(start))
+	require.Equal(t, 200*time.Millisecond, group.ServiceInterval(start))
+	require.Equal(t, "2 of 2 "+PhraseLimited, group.RestrictionSummary(start))
 }
 
 // TestProbesSpareLimitedBackends counts probes as the back end does: those for fresher reports are not
@@ -177,15 +177,15 @@
 	group := warmUpGroup(1, Backend{ID: "a", Slots: 2, Warm: true})
 	picked, ok := group.Pick(start, Request{})
 	require.True(t, ok)
-	group.Finished(picked, start, Success, work)
+	group.Done(picked, start, Success, work)
 	group.SetLimit(start, "a", takesOnly(0.5))
-	_, wanted := group.StaleTarget(start.Add(time.Minute), 25*time.Millisecond, 0)
+	_, wanted := group.LoadProbeTarget(start.Add(time.Minute), 25*time.Millisecond, 0)
 	require.False(t, wanted)
-	_, wanted = group.ProbeTarget(start.Add(time.Second), 100*time.Millisecond)
+	_, wanted = group.HealthProbeTarget(start.Add(time.Second), 100*time.Millisecond)
 	require.False(t, wanted)
-	_, wanted = group.ProbeTarget(start.Add(2*time.Second), 100*time.Millisecond)
+	_, wanted = group.HealthProbeTarget(start.Add(2*time.Second), 100*time.Millisecond)
 	require.True(t, wanted)
-	group.Probing(start.Add(2*time.Second), "a")
+	group.RecordHealthProbeStart(start.Add(2*time.Second), "a")
 	_, ok = group.Pick(start.Add(3*time.Second), Request{})
 	require.False(t, ok, "the probe counts")
 	_, ok = group.Pick(start.Add(4*time.Second), Request{})
@@ -214,14 +214,14 @@
 	_, sent := group.Pick(start.Add(2*time.Second), Request{})
 	require.True(t, sent)
 	found := start.Add(6 * time.Second)
-	request := Request{Session: "a", OfLimits: Share{Part: 1, Since: found}}
+	request := Request{Session: "a", LimitShare: Share{Fraction: 1, Since: found}}
 	for now := found; now.Sub(found) < spacingOf(limit); now = now.Add(50 * time.Millisecond) {
 		_, sent := group.Pick(now, request)
 		require.False(t, sent)
-		_, wanted := group.ProbeTarget(now, time.Second)
+		_, wanted := group.HealthProbeTarget(now, time.Second)
 		require.False(t, wanted)
 	}
-	next, bound := group.BoundUntil(start, request)
+	next, bound := group.SessionBlockedUntil(start, request)
 	require.True(t, bound)
 	require.Equal(t, found.Add(spacingOf(limit)), next)
 	_, sent = group.Pick(next, request)
--- a/routing/newcomer.go
+++ b/routing/newcomer.go
@@ -17,7 +17,7 @@
 
 // newcomer returns a back end that has a place, has had no request yet and should get
 // this one, or nil.
-func (g *Group) newcomer(now time.Time, request Request) *State {
+func (g *Group) newcomer(now time.Time, request Request) *BackendState {
 	for _, state := range g.found.unmet {
 		if state.seenAt.IsZero() {
 			state.seenAt = now
@@ -30,7 +30,7 @@
 }
 
 // welcome says whether a back end that has had no request yet should get one now.
-func (s *State) welcome(now time.Time, repeatable bool) bool {
+func (s *BackendState) welcome(now time.Time, repeatable bool) bool {
 	switch waited := now.Sub(s.seenAt); {
 	case waited >= newcomerLimit:
 		return true
--- a/routing/occupancy.go
+++ b/routing/occupancy.go
@@ -11,7 +11,7 @@
 }
 
 // pass brings the occupancy up to now. It is called before what is in flight changes.
-func (s *State) pass(now time.Time) {
+func (s *BackendState) pass(now time.Time) {
 	if passed := now.Sub(s.occupancy.at).Seconds(); !s.occupancy.at.IsZero() && passed > 0 {
 		inFlight := float64(s.InFlight)
 		s.occupancy.requests += inFlight * passed
--- a/routing/outcome.go
+++ b/routing/outcome.go
@@ -12,22 +12,22 @@
 const (
 	// Success: the back end answered.
 	Success Outcome = iota
-	// Failed: an error answer. Its latency says nothing about load.
-	Failed
+	// ErrorResponse: an error answer. Its latency says nothing about load.
+	ErrorResponse
 	// Canceled: the caller left or the deadline passed; nothing is learned.
 	Canceled
-	// Ended: the back end's process ended while it ran the request.
-	Ended
-	// Refused: no connection was opened, as nothing listens there.
-	Refused
+	// ProcessExited: the back end's process ended while it ran the request.
+	ProcessExited
+	// ConnectionRefused: no connection was opened, as nothing listens there.
+	ConnectionRefused
 	// Unserved: no answer, part of one, or that the request was not run.
 	Unserved
 	// PushedBack: the back end turned the request away and asked for a pause.
 	PushedBack
 )
 
-// Finished notes the end of a request that Pick counted as sent.
-func (g *Group) Finished(picked PickResult, now time.Time, outcome Outcome, latency time.Duration) {
+// Done notes the end of a request that Pick counted as sent.
+func (g *Group) Done(picked PickResult, now time.Time, outcome Outcome, latency time.Duration) {
 	state := picked.Backend
 	state.pass(now)
 	state.InFlight--
@@ -42,23 +42,23 @@
 	}
 	switch outcome {
 	case Success:
-		state.health.Success()
+		state.health.RecordSuccess()
 		state.warmth++
 		state.observe(latency, picked.slowdown)
 		g.probeWorth.work = averaged(g.probeWorth.work, state.work)
 		g.learn(picked)
-	case Failed, Unserved:
-		state.health.Failure(now)
+	case ErrorResponse, Unserved:
+		state.health.RecordFailure(now)
 	case PushedBack:
-		state.health.Failure(now)
+		state.health.RecordFailure(now)
 		state.warmth = 0 // it begins with one request at a time, so that not all come back together
-	case Ended:
+	case ProcessExited:
 		// Where one back end after another ended, ten a service and one each 300 ms,
 		// 0.84 of the requests were answered while those that had ended were tried on
 		// (TestBystandersAreServed).
-		state.health.Ended(now)
-	case Refused:
-		state.health.Refused(now)
+		state.health.RecordExit(now)
+	case ConnectionRefused:
+		state.health.RecordConnectionRefused(now)
 	case Canceled:
 	}
 }
@@ -66,7 +66,7 @@
 // gaveUp notes that a request was given up on before its answer: by its caller, or
 // because another back end answered first. How long the back end has been silent
 // is all that this tells.
-func (s *State) gaveUp(now time.Time) {
+func (s *BackendState) gaveUp(now time.Time) {
 	if !s.slowdown.known() {
 		return
 	}
@@ -75,13 +75,13 @@
 		s.slowdown.last, s.slowdown.at = stall, now
 	}
 	if s.latency > 0 && s.quiet(now) > stallLimit*s.latency {
-		s.health.Failure(now)
+		s.health.RecordFailure(now)
 	}
 }
 
 // observe takes in the latency of an answer, and the slowdown that was expected when
 // its request was sent.
-func (s *State) observe(latency time.Duration, slowdown float64) {
+func (s *BackendState) observe(latency time.Duration, slowdown float64) {
 	s.latency = averaged(s.latency, latency)
 	s.work = averaged(s.work, time.Duration(float64(latency)/max(slowdown, 1)))
 	s.root = math.Sqrt(s.latency.Seconds())
--- a/routing/pacing.go
+++ b/routing/pacing.go
@@ -18,7 +18,7 @@
 
 // Share is what a daemon may use of a rate that all daemons have together.
 type Share struct {
-	Part float64 // of the rate, at most 1
+	Fraction float64 // of the rate, at most 1
 	// Since is when the daemon last found others again that had sent by themselves; zero: it never has.
 	// What they sent is not known, and counts as all that there was.
 	Since time.Time
@@ -37,10 +37,10 @@
 	if last := clock.Later(p.last, share.Since); !last.IsZero() && now.Sub(last) < spacingOf(perSecond) {
 		return false
 	}
-	if share.Part >= 1 {
+	if share.Fraction >= 1 {
 		return true
 	}
-	own := spacingOf(perSecond * share.Part)
+	own := spacingOf(perSecond * share.Fraction)
 	if p.alone.IsZero() {
 		p.alone = now.Add(-time.Duration(random.Float64() * float64(own)))
 	}
@@ -50,7 +50,7 @@
 // next returns when something may be sent at the earliest; see due.
 func (p *pacing) next(perSecond float64, share Share) time.Time {
 	at := clock.Later(p.last, share.Since).Add(spacingOf(perSecond))
-	if own := p.alone.Add(spacingOf(perSecond * share.Part)); share.Part < 1 && !p.alone.IsZero() && own.After(at) {
+	if own := p.alone.Add(spacingOf(perSecond * share.Fraction)); share.Fraction < 1 && !p.alone.IsZero() && own.After(at) {
 		return own
 	}
 	return at
--- a/routing/picker.go
+++ b/routing/picker.go
@@ -12,7 +12,7 @@
 	Random *rand.Rand
 	Origin origin // of the request
 	// Candidates may all take the request now; there is at least one.
-	Candidates []*State
+	Candidates []*BackendState
 }
 
 // Picker chooses one candidate. A Group calls it for each request; it must not
@@ -30,20 +30,20 @@
 	ReasonLoad    Reason = "least-load"
 	ReasonSession Reason = "session"
 	ReasonTrial   Reason = "trial" // an ejected back end gets one request to show itself
-	// ReasonNewcomer: a back end gets its first request.
-	ReasonNewcomer Reason = "newcomer"
-	// ReasonLender: a back end of another region is tried, as the own ones have no place.
-	ReasonLender Reason = "lender"
-	// ReasonJudged: a new version of the service is judged by the request.
-	ReasonJudged Reason = "judged-version"
+	// ReasonFirstRequest: a back end gets its first request.
+	ReasonFirstRequest Reason = "newcomer"
+	// ReasonOtherRegion: a back end of another region is tried, as the own ones have no place.
+	ReasonOtherRegion Reason = "lender"
+	// ReasonCanary: a new version of the service is judged by the request.
+	ReasonCanary Reason = "judged-version"
 )
 
 // PickResult is a choice with what is logged about it.
 type PickResult struct {
-	Backend    *State
+	Backend    *BackendState
 	Reason     Reason
 	Candidates int           // candidates weighed
-	MostFull   bool          // most back ends had no place
+	MostlyFull bool          // most back ends had no place
 	ReportAge  time.Duration // age of the back end's last report; -1: none yet
 	// BestInFlight is with how many requests back ends with as many slots do best, as
 	// learned; 0: that is not known yet.
@@ -63,12 +63,14 @@
 
 // Pick implements Picker.
 func (LeastLoad) Pick(info PickInfo) int {
-	return Least(info, func(candidate *State, most float64) float64 { return candidate.score(info.Now, info.Origin, most) })
+	return LowestScore(info, func(candidate *BackendState, most float64) float64 {
+		return candidate.score(info.Now, info.Origin, most)
+	})
 }
 
-// Least returns the index of the candidate with the smallest score, at random
+// LowestScore returns the index of the candidate with the smallest score, at random
 // among equals. score may return anything above most where the score is above it.
-func Least(info PickInfo, score func(candidate *State, most float64) float64) int {
+func LowestScore(info PickInfo, score func(candidate *BackendState, most float64) float64) int {
 	best, ties := 0, 0
 	least := math.Inf(1)
 	for index, candidate := range info.Candidates {
--- a/routing/probe.go
+++ b/routing/probe.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// ProbeTarget returns the back end whose state is most worth asking for: an
+// HealthProbeTarget returns the back end whose state is most worth asking for: an
 // ejected one whose trial is due, else the one unheard of for longest, if that is
 // longer than silence. A limited one is returned only when it takes a probe now; Probing is called
 // next where it is made.
-func (g *Group) ProbeTarget(now time.Time, silence time.Duration) (string, bool) {
-	var quietest *State
+func (g *Group) HealthProbeTarget(now time.Time, silence time.Duration) (string, bool) {
+	var quietest *BackendState
 	for _, state := range g.states {
 		if state.Draining || state.PausedUntil.After(now) || !g.permits(state, now, g.ofLimits) {
 			continue
@@ -28,32 +28,32 @@
 	return quietest.ID, true
 }
 
-// Probing notes that a back end is being probed: what it says that it takes counts probes, too.
-func (g *Group) Probing(now time.Time, id string) {
+// RecordHealthProbeStart notes that a back end is being probed: what it says that it takes counts probes, too.
+func (g *Group) RecordHealthProbeStart(now time.Time, id string) {
 	if state, known := g.byID[id]; known {
 		state.limit.count(now)
 	}
 }
 
-// Probed takes in the outcome of a probe; report is nil where the back end did
+// RecordHealthProbe takes in the outcome of a probe; report is nil where the back end did
 // not report its load.
-func (g *Group) Probed(now time.Time, id string, well bool, report *Report) {
+func (g *Group) RecordHealthProbe(now time.Time, id string, well bool, report *Report) {
 	state, known := g.byID[id]
 	if !known {
 		return
 	}
 	state.heard = now
 	if !well {
-		state.health.Trial(now)
-		state.health.Failure(now)
+		state.health.RecordTrial(now)
+		state.health.RecordFailure(now)
 		return
 	}
 	if state.Ejected(now) {
 		state.warmth = 0 // it may have failed because it got too much at once
-		state.health.Success()
+		state.health.RecordSuccess()
 	}
 	if report != nil {
-		g.Report(state, *report, false, now)
+		g.RecordReport(state, *report, false, now)
 	}
 }
 
@@ -76,21 +76,21 @@
 // may have back ends that tell none.
 const introductions = 3
 
-// Freshness returns how old the report may be that a back end is chosen by, as learned;
+// MaxReportAge returns how old the report may be that a back end is chosen by, as learned;
 // otherwise as long as that is not known.
-func (g *Group) Freshness(otherwise time.Duration) time.Duration {
+func (g *Group) MaxReportAge(otherwise time.Duration) time.Duration {
 	return g.probeWorth.freshness(otherwise)
 }
 
-// StaleTarget returns a back end that would get the next request of some origin, if its
+// LoadProbeTarget returns a back end that would get the next request of some origin, if its
 // report is older than is worth it, or than freshness as long as that is not known; every other time one that has told nothing yet, if
 // there is any. It is not returned again before interval has passed, nor before
 // Refreshed or Unprobed was called for it.
-func (g *Group) StaleTarget(now time.Time, freshness, interval time.Duration) (string, bool) {
+func (g *Group) LoadProbeTarget(now time.Time, freshness, interval time.Duration) (string, bool) {
 	if g.probeCredit < 1 {
 		return "", false
 	}
-	freshness = g.Freshness(freshness)
+	freshness = g.MaxReportAge(freshness)
 	if state := g.arrived(now, interval); state != nil {
 		g.unfollow(state)
 		g.probe(state, now)
@@ -121,7 +121,7 @@
 }
 
 // unintroduced returns a back end that has told nothing yet and may be asked, or nil.
-func (g *Group) unintroduced(now time.Time, interval time.Duration) *State {
+func (g *Group) unintroduced(now time.Time, interval time.Duration) *BackendState {
 	for _, state := range g.working.set(now) {
 		if state.reportAt.IsZero() && state.introduced < introductions && !state.Draining && !state.spared(now) && !state.Ejected(now) &&
 			!state.probing && now.Sub(state.probedAt) >= interval {
@@ -132,25 +132,25 @@
 }
 
 // probe notes that a back end is being probed.
-func (g *Group) probe(state *State, now time.Time) {
+func (g *Group) probe(state *BackendState, now time.Time) {
 	g.probeCredit--
 	state.probing, state.probedAt = true, now
 }
 
-// Unprobed notes that a probe of a back end told nothing.
-func (g *Group) Unprobed(id string) {
+// RecordLoadProbeFailure notes that a probe of a back end told nothing.
+func (g *Group) RecordLoadProbeFailure(id string) {
 	if state, known := g.byID[id]; known {
 		state.probing = false
 	}
 }
 
-// Refreshed takes in the report that a probe for a fresher one brought.
-func (g *Group) Refreshed(now time.Time, id string, report Report) {
+// RecordLoadProbe takes in the report that a probe for a fresher one brought.
+func (g *Group) RecordLoadProbe(now time.Time, id string, report Report) {
 	state, known := g.byID[id]
 	if !known {
 		return
 	}
 	state.probing = false
 	g.probeWorth.cost = averaged(g.probeWorth.cost, now.Sub(state.probedAt))
-	g.Report(state, report, false, now)
+	g.RecordReport(state, report, false, now)
 }
--- a/routing/probe_test.go
+++ b/routing/probe_test.go
@@ -20,28 +20,28 @@
 func TestStaleTargetIsTheNextChoice(t *testing.T) {
 	group := newTestGroup(Backend{ID: "a", Zone: "here", Slots: 3, Window: 3}, Backend{ID: "b", Zone: "there", Slots: 3, Window: 3})
 	for _, id := range []string{"a", "b"} {
-		group.Report(group.byID[id], Report{Slowdown: 1}, false, start)
+		group.RecordReport(group.byID[id], Report{Slowdown: 1}, false, start)
 	}
-	_, wanted := group.StaleTarget(start.Add(time.Second), freshness, spacing)
+	_, wanted := group.LoadProbeTarget(start.Add(time.Second), freshness, spacing)
 	require.False(t, wanted, "no requests come")
 	picked := pick(t, group, start, "here")
-	group.Finished(picked, start, Canceled, 0)
+	group.Done(picked, start, Canceled, 0)
 
-	_, wanted = group.StaleTarget(start.Add(freshness-1), freshness, spacing)
+	_, wanted = group.LoadProbeTarget(start.Add(freshness-1), freshness, spacing)
 	require.False(t, wanted, "the report is fresh")
 	later := start.Add(freshness)
-	target, wanted := group.StaleTarget(later, freshness, spacing)
+	target, wanted := group.LoadProbeTarget(later, freshness, spacing)
 	require.True(t, wanted)
 	require.Equal(t, "a", target)
-	_, wanted = group.StaleTarget(later.Add(time.Second), freshness, spacing)
+	_, wanted = group.LoadProbeTarget(later.Add(time.Second), freshness, spacing)
 	require.False(t, wanted, "a probe is under way")
 
-	group.Refreshed(later, "a", Report{Slowdown: 5})
-	target, wanted = group.StaleTarget(later, freshness, spacing)
+	group.RecordLoadProbe(later, "a", Report{Slowdown: 5})
+	target, wanted = group.LoadProbeTarget(later, freshness, spacing)
 	require.True(t, wanted)
 	require.Equal(t, "b", target, "the disturbed one is not the next choice")
-	group.Unprobed("b")
-	_, wanted = group.StaleTarget(later.Add(spacing-1), freshness, spacing)
+	group.RecordLoadProbeFailure("b")
+	_, wanted = group.LoadProbeTarget(later.Add(spacing-1), freshness, spacing)
 	require.False(t, wanted, "it was probed just now")
 }
 
@@ -61,10 +61,10 @@
 					return
 				}
 				picks++
-				group.Finished(picked, now, Canceled, 0)
+				group.Done(picked, now, Canceled, 0)
 			},
 			"probe": func(t *rapid.T) {
-				target, wanted := group.StaleTarget(now, freshness, spacing)
+				target, wanted := group.LoadProbeTarget(now, freshness, spacing)
 				if !wanted {
 					return
 				}
@@ -79,10 +79,10 @@
 				id := ids.Draw(t, "back end")
 				underWay[id] = false
 				if rapid.Bool().Draw(t, "told") {
-					group.Refreshed(now, id, Report{Slowdown: rapid.Float64Range(0.5, 6).Draw(t, "slowdown")})
+					group.RecordLoadProbe(now, id, Report{Slowdown: rapid.Float64Range(0.5, 6).Draw(t, "slowdown")})
 					return
 				}
-				group.Unprobed(id)
+				group.RecordLoadProbeFailure(id)
 			},
 			"time passes": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(1, 60).Draw(t, "ms")) * time.Millisecond)
@@ -98,23 +98,23 @@
 // every other time, and not for ever.
 func TestNewBackendsAreIntroduced(t *testing.T) {
 	group := newTestGroup(Backend{ID: "a", Slots: 3, Window: 3}, Backend{ID: "b", Slots: 3, Window: 3}, Backend{ID: "c", Slots: 3, Window: 3})
-	group.Report(group.byID["a"], Report{Slowdown: 1}, false, start)
+	group.RecordReport(group.byID["a"], Report{Slowdown: 1}, false, start)
 	now, asked := start, make(map[string]int)
 	for range 60 {
 		now = now.Add(time.Second)
 		picked := pick(t, group, now, "")
-		group.Finished(picked, now, Canceled, 0)
+		group.Done(picked, now, Canceled, 0)
 		for range 2 {
-			target, wanted := group.StaleTarget(now, freshness, spacing)
+			target, wanted := group.LoadProbeTarget(now, freshness, spacing)
 			if !wanted {
 				continue
 			}
 			asked[target]++
 			if target == "c" {
-				group.Unprobed(target)
+				group.RecordLoadProbeFailure(target)
 				continue
 			}
-			group.Refreshed(now, target, Report{Slowdown: 1})
+			group.RecordLoadProbe(now, target, Report{Slowdown: 1})
 		}
 		now = now.Add(spacing)
 	}
--- a/routing/region.go
+++ b/routing/region.go
@@ -27,7 +27,7 @@
 // room is how many requests of this daemon's a back end of another region may hold: mostBorrowed if it has told
 // of late that it is idle or has slots free beyond the reserve, else none. Dispatchers of three regions that each used all slots had
 // nine requests at back ends of three, twice the load that all could bear (TestRegionsShareSlots).
-func (s *State) room(now time.Time) int {
+func (s *BackendState) room(now time.Time) int {
 	idle := s.reported == 0
 	if s.unheardOf(now) || !idle && s.reported+lendingReserve >= s.Slots {
 		return 0
@@ -37,7 +37,7 @@
 
 // ownRoom is how many requests of this daemon's a back end of the own region may hold: what other regions
 // have there by its last report would have to be worked on before a further one.
-func (s *State) ownRoom(now time.Time) int {
+func (s *BackendState) ownRoom(now time.Time) int {
 	if s.unheardOf(now) {
 		return s.Slots
 	}
@@ -45,13 +45,13 @@
 }
 
 // unheardOf says whether nothing is known of the room at a back end.
-func (s *State) unheardOf(now time.Time) bool {
+func (s *BackendState) unheardOf(now time.Time) bool {
 	return s.reportAt.IsZero() || now.Sub(s.reportAt) > lendingTrust
 }
 
 // farther is how much the back end counts more for standing in another region.
-func (s *State) farther() float64 {
-	if s.Elsewhere {
+func (s *BackendState) farther() float64 {
+	if s.OtherRegion {
 		return otherRegion
 	}
 	return 1
@@ -59,18 +59,18 @@
 
 // lender returns a back end of another region that is tried although nothing is known of its room, as no back
 // end has a place, or nil: now and then, or at any time where the own region has no back ends at all.
-func (g *Group) lender(now time.Time, as sender) *State {
+func (g *Group) lender(now time.Time, as sender) *BackendState {
 	if !g.shared {
 		return nil
 	}
-	home := slices.ContainsFunc(g.found.eligible, func(state *State) bool { return !state.Elsewhere })
+	home := slices.ContainsFunc(g.found.eligible, func(state *BackendState) bool { return !state.OtherRegion })
 	if home && now.Sub(g.triedAt) < tryInterval {
 		return nil
 	}
-	var chosen *State
+	var chosen *BackendState
 	found := 0
 	for _, state := range g.found.eligible {
-		if !state.Elsewhere || g.excludes(state) || state.InFlight > 0 || !state.unheardOf(now) || !g.bears(state, now, as) {
+		if !state.OtherRegion || g.excludes(state) || state.InFlight > 0 || !state.unheardOf(now) || !g.bears(state, now, as) {
 			continue
 		}
 		if found++; g.options.Random.IntN(found) == 0 {
--- a/routing/region_test.go
+++ b/routing/region_test.go
@@ -59,7 +59,7 @@
 		var declared []Backend
 		for index, backend := range backends {
 			declared = append(declared, Backend{
-				ID: fmt.Sprint(index), Zone: fmt.Sprintf("zone-%d", backend.region), Slots: slots, Window: slots, Warm: true, Elsewhere: backend.region != number,
+				ID: fmt.Sprint(index), Zone: fmt.Sprintf("zone-%d", backend.region), Slots: slots, Window: slots, Warm: true, OtherRegion: backend.region != number,
 			})
 		}
 		one.group = warmUpGroup(uint64(number), declared...)
@@ -81,8 +81,8 @@
 			fmt.Sscan(one.picked.Backend.ID, &number)
 			holds := len(slices.DeleteFunc(slices.Clone(backends[number].ends), func(at time.Time) bool { return !at.After(now) }))
 			group := regions[one.region].group
-			group.Report(one.picked.Backend, Report{InFlight: holds + 1, Slowdown: 1}, false, now)
-			group.Finished(one.picked, now, Success, work)
+			group.RecordReport(one.picked.Backend, Report{InFlight: holds + 1, Slowdown: 1}, false, now)
+			group.Done(one.picked, now, Success, work)
 			under = slices.Delete(under, index, index+1)
 			index--
 		}
@@ -150,13 +150,13 @@
 // A back end of one slot was never lent, as that slot was kept for its own region: a region that had lost its
 // back ends got one request each 250 ms from each of the others, however idle they were.
 func TestOnlySlotIsLent(t *testing.T) {
-	group := warmUpGroup(1, Backend{ID: "far", Slots: 1, Warm: true, Elsewhere: true})
+	group := warmUpGroup(1, Backend{ID: "far", Slots: 1, Warm: true, OtherRegion: true})
 	now := start
 	for range 10 {
 		picked, ok := group.Pick(now, Request{})
 		require.True(t, ok)
 		now = now.Add(20 * time.Millisecond)
-		group.Report(picked.Backend, Report{InFlight: 1}, false, now)
-		group.Finished(picked, now, Success, 20*time.Millisecond)
+		group.RecordReport(picked.Backend, Report{InFlight: 1}, false, now)
+		group.Done(picked, now, Success, 20*time.Millisecond)
 	}
 }
--- a/routing/slowdown.go
+++ b/routing/slowdown.go
@@ -90,7 +90,7 @@
 	if age > slowdownForgotten {
 		return usual
 	}
-	weight := recent.Left(age, slowdownMemory)
+	weight := recent.Decay(age, slowdownMemory)
 	return usual + weight*(s.last-usual)
 }
 
--- a/routing/state.go
+++ b/routing/state.go
@@ -41,8 +41,8 @@
 	// Started tells one run of the back end from the next: what was learned of one does not
 	// speak for the other.
 	Started int64
-	// Elsewhere: it stands in another region, whose dispatcher gives out its places, too.
-	Elsewhere bool
+	// OtherRegion: it stands in another region, whose dispatcher gives out its places, too.
+	OtherRegion bool
 	// Limit is how many requests it says that it takes.
 	Limit backendlimit.Limit
 	// PausedUntil is until when it wants no probes of this daemon. Requests of each daemon say by themselves which back
@@ -50,8 +50,8 @@
 	PausedUntil time.Time
 }
 
-// State is what one daemon knows of one back end.
-type State struct {
+// BackendState is what one daemon knows of one back end.
+type BackendState struct {
 	Backend
 	zoneNumber int    // of its zone in the group
 	order      uint64 // in which back ends are drawn on; 0: not reckoned yet
@@ -92,9 +92,9 @@
 	quietSince time.Time
 }
 
-// Others estimates the requests of other daemons at the back end from the
+// PeerInFlight estimates the requests of other daemons at the back end from the
 // freshest source, which counts less the older it is.
-func (s *State) Others(now time.Time) float64 {
+func (s *BackendState) PeerInFlight(now time.Time) float64 {
 	if s.peers == 0 && s.reported == 0 {
 		return 0
 	}
@@ -117,7 +117,7 @@
 }
 
 // Latency returns the moving average of answers' latencies.
-func (s *State) Latency() time.Duration {
+func (s *BackendState) Latency() time.Duration {
 	if s.latency == 0 {
 		return initialLatency
 	}
@@ -127,7 +127,7 @@
 // score is what the back end costs a request from an origin: its load, weighed by the
 // latency or, where the back end tells it, by how much longer work takes there now, and
 // then by its zone. Where it would be most or more, anything from most on is returned.
-func (s *State) score(now time.Time, from origin, most float64) float64 {
+func (s *BackendState) score(now time.Time, from origin, most float64) float64 {
 	load := s.load(now) * s.farther()
 	if !s.slowdown.known() {
 		return load * s.root
@@ -139,7 +139,7 @@
 }
 
 // nearScore is the score for a request from the back end's own zone.
-func (s *State) nearScore(now time.Time, most float64) float64 {
+func (s *BackendState) nearScore(now time.Time, most float64) float64 {
 	load := s.load(now) * s.farther()
 	if !s.slowdown.known() {
 		return load * s.root
@@ -149,7 +149,7 @@
 
 // slowed is a load times the slowdown that is to be expected. Most back ends are known to
 // be no better than the best so far before that is reckoned.
-func (s *State) slowed(now time.Time, load, most float64) float64 {
+func (s *BackendState) slowed(now time.Time, load, most float64) float64 {
 	if least := load * s.slowdown.least(); least > most {
 		return least
 	}
@@ -158,8 +158,8 @@
 
 // load is the load with one more request. Where slowdowns are told, slots that are free
 // count less than those that are not.
-func (s *State) load(now time.Time) float64 {
-	load := (float64(s.InFlight) + s.Others(now) + 1) / float64(s.Slots)
+func (s *BackendState) load(now time.Time) float64 {
+	load := (float64(s.InFlight) + s.PeerInFlight(now) + 1) / float64(s.Slots)
 	if !s.slowdown.known() {
 		return load
 	}
@@ -168,9 +168,9 @@
 
 // pace returns how many requests the back end finishes in a second, as far as its latency
 // and what it bears tell.
-func (s *State) pace(now time.Time) float64 {
+func (s *BackendState) pace(now time.Time) float64 {
 	places := s.Slots
-	if s.Elsewhere {
+	if s.OtherRegion {
 		places = s.room(now)
 	}
 	perSecond := float64(places) / s.Latency().Seconds()
@@ -199,7 +199,7 @@
 
 // stall is the slowdown that the back end's silence tells: it holds requests and
 // has not answered any for so many times the time that they take undisturbed.
-func (s *State) stall(now time.Time) float64 {
+func (s *BackendState) stall(now time.Time) float64 {
 	if s.work == 0 {
 		return 0
 	}
@@ -207,7 +207,7 @@
 }
 
 // quiet returns for how long the back end has held requests and answered none.
-func (s *State) quiet(now time.Time) time.Duration {
+func (s *BackendState) quiet(now time.Time) time.Duration {
 	if s.quietSince.IsZero() {
 		return 0
 	}
@@ -235,7 +235,7 @@
 const slotWeight = 1.5
 
 // mostInFlight bounds this daemon's requests at the back end.
-func (s *State) mostInFlight(slowStart bool) int {
+func (s *BackendState) mostInFlight(slowStart bool) int {
 	full := int(s.window)
 	if !slowStart {
 		return full
@@ -254,7 +254,7 @@
 // learnWindow widens the window of a back end that has a free slot while
 // requests wait for it here, as the wire is long against its work, and narrows
 // it again when its queue grows.
-func (s *State) learnWindow(inFlight int, waiting bool, least float64) {
+func (s *BackendState) learnWindow(inFlight int, waiting bool, least float64) {
 	switch {
 	case s.Window > 0:
 		s.window = float64(s.Window)
@@ -266,7 +266,7 @@
 }
 
 // ReportAge returns the age of the last report, or -1 when there was none.
-func (s *State) ReportAge(now time.Time) time.Duration {
+func (s *BackendState) ReportAge(now time.Time) time.Duration {
 	if s.reportAt.IsZero() {
 		return -1
 	}
@@ -274,6 +274,6 @@
 }
 
 // Ejected says whether the back end is out for failing.
-func (s *State) Ejected(now time.Time) bool {
+func (s *BackendState) Ejected(now time.Time) bool {
 	return s.health.Ejected(now)
 }
--- a/routing/survey.go
+++ b/routing/survey.go
@@ -17,17 +17,17 @@
 // 415 back ends 20 µs instead of 81 (BenchmarkPickAndFinish, beside other load).
 type survey struct {
 	// trial is an ejected back end whose trial is due; nil: none.
-	trial *State
+	trial *BackendState
 	// eligible take requests, though they may be full now.
-	eligible []*State
+	eligible []*BackendState
 	// free hold fewer requests than their limit and are not held back.
-	free []*State
+	free []*BackendState
 	// unmet are those of the free that have had no request yet.
-	unmet []*State
+	unmet []*BackendState
 	// held would be free, but no request should begin there now.
-	held []*State
+	held []*BackendState
 	// ejected would be free or held, but are left out for failing.
-	ejected []*State
+	ejected []*BackendState
 	busy    bool // some back end has a request, whose end will bring a place
 }
 
@@ -37,7 +37,7 @@
 }
 
 // add takes in a back end that takes requests.
-func (s *survey) add(state *State, now time.Time, full bool) {
+func (s *survey) add(state *BackendState, now time.Time, full bool) {
 	s.eligible = append(s.eligible, state)
 	switch {
 	case full:
@@ -49,7 +49,7 @@
 }
 
 // addFree takes in a back end that may have the request.
-func (s *survey) addFree(state *State) {
+func (s *survey) addFree(state *BackendState) {
 	s.free = append(s.free, state)
 	if !state.met {
 		s.unmet = append(s.unmet, state)
@@ -57,7 +57,7 @@
 }
 
 // full says whether a back end may not have one more request now.
-func (g *Group) full(state *State, now time.Time, as sender) bool {
+func (g *Group) full(state *BackendState, now time.Time, as sender) bool {
 	return state.InFlight >= g.mostInFlight(state, now) || !g.bears(state, now, as)
 }
 
@@ -77,7 +77,7 @@
 
 // lookAt finds out which of some back ends may have a request that comes now, and of some that
 // have had none yet.
-func (g *Group) lookAt(now time.Time, request Request, states, newcomers []*State) {
+func (g *Group) lookAt(now time.Time, request Request, states, newcomers []*BackendState) {
 	g.looks++
 	as := request.sender()
 	found := &g.found
@@ -94,7 +94,7 @@
 		tried := contains(request.Tried, state.ID)
 		switch {
 		case state.Ejected(now):
-			if !state.health.HasEnded() {
+			if !state.health.HasExited() {
 				found.ejected = append(found.ejected, state)
 			}
 			if found.trial == nil && !tried && !g.excludes(state) && state.health.TrialDue(trialAsOf) && g.bears(state, now, as) {
@@ -132,12 +132,12 @@
 
 // scored is a back end with its score for a request from its own zone.
 type scored struct {
-	state *State // nil: none has a place
+	state *BackendState // nil: none has a place
 	score float64
 }
 
 // offer replaces the back end by a better one.
-func (s *scored) offer(state *State, score float64) {
+func (s *scored) offer(state *BackendState, score float64) {
 	if score < s.score {
 		s.state, s.score = state, score
 	}
@@ -169,7 +169,7 @@
 // of returns the back end that a request of an origin would get, nil where all are full.
 // The best of the other zones is the best of all, as one of the own zone that is the best
 // of all is also the best of its zone.
-func (b *bests) of(from origin) *State {
+func (b *bests) of(from origin) *BackendState {
 	if b.any.state == nil || b.unzoned {
 		return b.any.state
 	}
--- a/routing/version.go
+++ b/routing/version.go
@@ -13,10 +13,10 @@
 const (
 	// AnyVersion: versions do not count.
 	AnyVersion VersionUse = iota
-	// JudgedVersion: only the requests that it is judged by go there.
-	JudgedVersion
-	// NotVersion: none go there.
-	NotVersion
+	// CanaryVersion: only the requests that it is judged by go there.
+	CanaryVersion
+	// ExcludedVersion: none go there.
+	ExcludedVersion
 	// OnlyVersion: none go to others.
 	OnlyVersion
 )
@@ -38,8 +38,8 @@
 	g.versionRule = rule
 }
 
-// HoldVersions lets versions that were not seen before get nothing for a moment.
-func (g *Group) HoldVersions(hold bool) {
+// SetHoldNewVersions lets versions that were not seen before get nothing for a moment.
+func (g *Group) SetHoldNewVersions(hold bool) {
 	g.holdsVersions = hold
 }
 
@@ -59,14 +59,14 @@
 }
 
 // out says whether a back end gets no requests, for it leaves or for its version.
-func (g *Group) out(state *State, now time.Time) bool {
+func (g *Group) out(state *BackendState, now time.Time) bool {
 	return state.Draining || g.excluded(state) || g.unfamiliar(state, now)
 }
 
 // ExcludesVersion says whether a version gets no requests, not even to be judged by.
 func (g *Group) ExcludesVersion(version string) bool {
 	switch g.versionRule.Use {
-	case NotVersion:
+	case ExcludedVersion:
 		return version == g.versionRule.Version
 	case OnlyVersion:
 		return version != g.versionRule.Version
@@ -75,9 +75,9 @@
 }
 
 // excluded says whether a back end's version gets no requests but those it may be judged by.
-func (g *Group) excluded(state *State) bool {
+func (g *Group) excluded(state *BackendState) bool {
 	switch g.versionRule.Use {
-	case JudgedVersion, NotVersion:
+	case CanaryVersion, ExcludedVersion:
 		return state.Version == g.versionRule.Version
 	case OnlyVersion:
 		return state.Version != g.versionRule.Version
@@ -85,7 +85,7 @@
 	return false
 }
 
-func (g *Group) unfamiliar(state *State, now time.Time) bool {
+func (g *Group) unfamiliar(state *BackendState, now time.Time) bool {
 	if !g.holdsVersions || g.versionRule.Use != AnyVersion && g.versionRule.Version == state.Version {
 		return false // what holds for the version is known
 	}
@@ -96,13 +96,13 @@
 // turnMultiplier spreads the turns over all bits of a hash: 2^64 by the golden ratio (Fibonacci hashing).
 const turnMultiplier = 0x9e3779b97f4a7c15
 
-// PickOfVersion chooses a back end of a version for a request that it is judged by, and counts it
+// PickCanary chooses a back end of a version for a request that it is judged by, and counts it
 // as sent. They are packed on a few back ends, other ones at each turn, which the caller counts: a
 // version that is bad under load only shows it, and no single back end speaks for all. Their slots are
 // filled, also where back ends have been learned to do best with fewer requests: of 896 versions that fail only
 // where all slots are taken, 6 were completed without (TestRollouts).
-func (g *Group) PickOfVersion(now time.Time, request Request, version string, turn int) (PickResult, bool) {
-	var best *State
+func (g *Group) PickCanary(now time.Time, request Request, version string, turn int) (PickResult, bool) {
+	var best *BackendState
 	var bestHash uint64
 	candidates := 0
 	g.markExcluded(now, &request)
@@ -125,7 +125,7 @@
 	}
 	g.sent(best, now)
 	return PickResult{
-		Backend: best, Reason: ReasonJudged, Candidates: candidates, ReportAge: best.ReportAge(now),
+		Backend: best, Reason: ReasonCanary, Candidates: candidates, ReportAge: best.ReportAge(now),
 		slowdown: best.slowdown.expected(now), begun: best.occupancy, BestInFlight: g.learned.known(best.Window),
 	}, true
 }
@@ -136,11 +136,11 @@
 	// Ejected is how many of Backends are.
 	Ejected int
 	// Others are those of other versions that take requests.
-	Others []OtherState
+	Others []BackendHealth
 }
 
-// OtherState is how a back end of another version is.
-type OtherState struct {
+// BackendHealth is how a back end of another version is.
+type BackendHealth struct {
 	Ejected  bool
 	Slowdown float64 // how much longer work is expected to take there now than usually
 }
@@ -154,7 +154,7 @@
 			counts.OtherInFlight += state.InFlight
 			if !state.Draining {
 				counts.OtherSlots += state.Slots
-				counts.Others = append(counts.Others, OtherState{Ejected: state.Ejected(now), Slowdown: state.slowdown.expected(now)})
+				counts.Others = append(counts.Others, BackendHealth{Ejected: state.Ejected(now), Slowdown: state.slowdown.expected(now)})
 			}
 		case !state.Draining:
 			counts.Backends++
--- a/routing/warmup.go
+++ b/routing/warmup.go
@@ -4,7 +4,7 @@
 
 // WarmUp is what a back end bears that has just started.
 type WarmUp struct {
-	Lasts     time.Duration // from its start; 0: it is never cold
+	Duration  time.Duration // from its start; 0: it is never cold
 	PerSecond float64       // requests it bears in a second, from all daemons; 0: no bound
 }
 
@@ -16,23 +16,23 @@
 }
 
 // Cold says whether the back end has to be spared, as it has not run for long.
-func (s *State) Cold(now time.Time) bool {
+func (s *BackendState) Cold(now time.Time) bool {
 	return now.Before(s.warmUp.until)
 }
 
 // cool notes that the back end may have turned cold now, and how long that lasts at most.
-func (s *State) cool(now time.Time, left time.Duration) {
+func (s *BackendState) cool(now time.Time, left time.Duration) {
 	s.warmth = 0
 	s.warmUp.until = now.Add(left)
 }
 
 // warmedUp notes that the back end is known to have run for a while.
-func (s *State) warmedUp() {
+func (s *BackendState) warmedUp() {
 	s.warmUp = warmUp{}
 	s.warmth = s.Slots * windowFactor
 }
 
 // spares says whether the back end is cold, and bears only so much.
-func (s *State) spares(now time.Time) bool {
+func (s *BackendState) spares(now time.Time) bool {
 	return s.WarmUp.PerSecond > 0 && s.Cold(now)
 }
--- a/routing/warmup_test.go
+++ b/routing/warmup_test.go
@@ -9,7 +9,7 @@
 )
 
 // bearing is what cold back ends of these tests bear: one request in 400 ms.
-var bearing = WarmUp{Lasts: 3 * time.Second, PerSecond: 2.5}
+var bearing = WarmUp{Duration: 3 * time.Second, PerSecond: 2.5}
 
 // sendAll asks for places for a while, each gap, gives each back after the work, and
 // returns how many requests each back end got in its busiest second.
@@ -23,7 +23,7 @@
 	busiest := make(map[string]int)
 	for now := from; now.Before(from.Add(lasts)); now = now.Add(gap) {
 		for len(working) > 0 && !now.Before(working[0].ends) {
-			group.Finished(working[0].picked, now, Success, work)
+			group.Done(working[0].picked, now, Success, work)
 			working = working[1:]
 		}
 		picked, ok := group.Pick(now, request)
@@ -59,9 +59,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			group := warmUpGroup(1, append(others, cold)...)
-			busiest := sendAll(group, start, bearing.Lasts, 10*time.Millisecond, Request{})
+			busiest := sendAll(group, start, bearing.Duration, 10*time.Millisecond, Request{})
 			require.Equal(t, 3, busiest["cold"], "every 400 ms")
-			warm := sendAll(group, start.Add(bearing.Lasts), 2*time.Second, 10*time.Millisecond, Request{})
+			warm := sendAll(group, start.Add(bearing.Duration), 2*time.Second, 10*time.Millisecond, Request{})
 			require.Greater(t, warm["cold"], 10, "it is warm")
 		})
 	}
@@ -78,7 +78,7 @@
 			group.SetBackends(start, []Backend{now})
 		},
 		"a probe says so": func(group *Group) {
-			group.Refreshed(start, "a", Report{WarmUpLeft: bearing.Lasts})
+			group.RecordLoadProbe(start, "a", Report{WarmUpLeft: bearing.Duration})
 		},
 		"its zone is taken back": func(group *Group) {
 			group.SetDraining(start, "a", true)
@@ -89,8 +89,8 @@
 			group := warmUpGroup(1, warm)
 			turn(group)
 			require.True(t, group.State("a").Cold(start))
-			require.Equal(t, 3, sendAll(group, start, bearing.Lasts, 10*time.Millisecond, Request{})["a"])
-			require.False(t, group.State("a").Cold(start.Add(bearing.Lasts)))
+			require.Equal(t, 3, sendAll(group, start, bearing.Duration, 10*time.Millisecond, Request{})["a"])
+			require.False(t, group.State("a").Cold(start.Add(bearing.Duration)))
 		})
 	}
 }
@@ -100,14 +100,14 @@
 func TestChoosersShareWhatIsBorne(t *testing.T) {
 	const choosers, seconds = 40, 20
 	lasts := bearing
-	lasts.Lasts = time.Minute
+	lasts.Duration = time.Minute
 	sent := 0
 	perSecond := make(map[int]int)
 	for daemon := range choosers {
 		group := warmUpGroup(uint64(daemon), Backend{ID: "cold", Slots: 2, Window: 2, WarmUp: lasts})
 		for now := start; now.Before(start.Add(seconds * time.Second)); now = now.Add(20 * time.Millisecond) {
-			if picked, ok := group.Pick(now, Request{Choosers: choosers}); ok {
-				group.Finished(picked, now, Success, time.Millisecond)
+			if picked, ok := group.Pick(now, Request{IndependentDaemons: choosers}); ok {
+				group.Done(picked, now, Success, time.Millisecond)
 				sent++
 				perSecond[int(now.Sub(start)/time.Second)]++
 			}
@@ -122,8 +122,8 @@
 // TestColdCapacityIsCounted expects no more of cold back ends than they bear.
 func TestColdCapacityIsCounted(t *testing.T) {
 	group := warmUpGroup(1, Backend{ID: "a", Slots: 2, Window: 2, WarmUp: bearing})
-	require.Equal(t, 400*time.Millisecond, group.Pace(start))
-	require.Less(t, group.Pace(start.Add(bearing.Lasts)), 10*time.Millisecond)
+	require.Equal(t, 400*time.Millisecond, group.ServiceInterval(start))
+	require.Less(t, group.ServiceInterval(start.Add(bearing.Duration)), 10*time.Millisecond)
 }
 
 // TestProbesSpareColdBackEnds does not ask a cold back end for fresher reports between the
@@ -133,6 +133,6 @@
 	_, ok := group.Pick(start, Request{})
 	require.True(t, ok)
 	group.State("a").reportAt = start.Add(-time.Second)
-	_, wanted := group.StaleTarget(start.Add(10*time.Millisecond), 25*time.Millisecond, 0)
+	_, wanted := group.LoadProbeTarget(start.Add(10*time.Millisecond), 25*time.Millisecond, 0)
 	require.False(t, wanted)
 }
--- a/routing/working.go
+++ b/routing/working.go
@@ -38,10 +38,10 @@
 
 // working is the working set of a group. The zero value has no back ends.
 type working struct {
-	order     []*State // all, in the order in which they are drawn on
+	order     []*BackendState // all, in the order in which they are drawn on
 	size      int
-	turns     int      // requests for which newcomers were to be looked at
-	newcomers []*State // that have had no request yet and came after the first, oldest first
+	turns     int             // requests for which newcomers were to be looked at
+	newcomers []*BackendState // that have had no request yet and came after the first, oldest first
 	inFlight  int
 	peak      float64
 	peakAt    time.Time
@@ -50,14 +50,14 @@
 
 // setAll sets the back ends. The order is that of their hashes, so that the set has back ends of all
 // zones and a change of the list hardly moves it.
-func (w *working) setAll(now time.Time, states []*State) {
+func (w *working) setAll(now time.Time, states []*BackendState) {
 	w.order = slices.Clone(states)
 	for _, state := range states {
 		if state.order == 0 {
 			state.order = xxhash.Sum64String(state.ID)
 		}
 	}
-	slices.SortFunc(w.order, func(a, b *State) int { return cmp.Compare(a.order, b.order) })
+	slices.SortFunc(w.order, func(a, b *BackendState) int { return cmp.Compare(a.order, b.order) })
 	w.inFlight = 0
 	w.newcomers = w.newcomers[:0]
 	for _, state := range states {
@@ -92,11 +92,11 @@
 	if w.peakAt.IsZero() {
 		return 0
 	}
-	return w.peak * recent.Left(now.Sub(w.peakAt), peakSpan)
+	return w.peak * recent.Decay(now.Sub(w.peakAt), peakSpan)
 }
 
 // set returns the back ends that a request may go to now, without the newcomers.
-func (w *working) set(now time.Time) []*State {
+func (w *working) set(now time.Time) []*BackendState {
 	if len(w.order) <= leastWorking {
 		return w.order
 	}
@@ -127,8 +127,8 @@
 
 // nextNewcomers returns some back ends that have had no request yet and takes those off the list
 // that have had one meanwhile.
-func (w *working) nextNewcomers() []*State {
-	w.newcomers = slices.DeleteFunc(w.newcomers, func(state *State) bool { return state.met })
+func (w *working) nextNewcomers() []*BackendState {
+	w.newcomers = slices.DeleteFunc(w.newcomers, func(state *BackendState) bool { return state.met })
 	if len(w.newcomers) <= newcomersLooked {
 		return w.newcomers
 	}
--- a/routing/working_test.go
+++ b/routing/working_test.go
@@ -28,7 +28,7 @@
 	var ends []time.Time
 	for now := from; now.Sub(from) < lasts; now = now.Add(time.Second / time.Duration(perSecond)) {
 		for len(ends) > 0 && !ends[0].After(now) {
-			group.Finished(active[0], ends[0], Success, work)
+			group.Done(active[0], ends[0], Success, work)
 			active, ends = active[1:], ends[1:]
 		}
 		picked, ok := group.Pick(now, Request{Zone: "z-1"})
@@ -37,7 +37,7 @@
 		active, ends = append(active, picked), append(ends, now.Add(work))
 	}
 	for index, picked := range active {
-		group.Finished(picked, ends[index], Success, work)
+		group.Done(picked, ends[index], Success, work)
 	}
 	return used
 }
@@ -117,7 +117,7 @@
 				if !ok {
 					b.Fatal("no place")
 				}
-				group.Finished(picked, now, Success, time.Millisecond)
+				group.Done(picked, now, Success, time.Millisecond)
 			}
 		})
 		return float64(result.NsPerOp())
--- a/service/acquire.go
+++ b/service/acquire.go
@@ -45,27 +45,27 @@
 // saved: another one dispatches then, and saves up as much.
 const savedFor = 2 * time.Second
 
-// Dispatching is the daemon that dispatches the service.
-func Dispatching() Grantor {
+// AsDispatcher is the daemon that dispatches the service.
+func AsDispatcher() Grantor {
 	return Grantor{burstShare: dispatcherShare, choosers: 1, limitPart: dispatcherLimitPart, role: ratelimit.Dispatcher}
 }
 
-// Substitute is one of so many daemons, for a request for which it did not reach the
+// AsFallback is one of so many daemons, for a request for which it did not reach the
 // dispatcher.
-func Substitute(daemons int) Grantor {
-	return Grantor{burstShare: (1 - dispatcherShare) / float64(max(daemons, 1)), choosers: daemons, limitPart: (1 - dispatcherLimitPart) / float64(max(daemons, 1)), role: ratelimit.Substitute}
+func AsFallback(daemons int) Grantor {
+	return Grantor{burstShare: (1 - dispatcherShare) / float64(max(daemons, 1)), choosers: daemons, limitPart: (1 - dispatcherLimitPart) / float64(max(daemons, 1)), role: ratelimit.Fallback}
 }
 
-// Alone is one of so many daemons that each give out places by themselves.
-func Alone(daemons int) Grantor {
-	return Grantor{burstShare: 1 / float64(max(daemons, 1)), choosers: daemons, limitPart: 1 / float64(max(daemons, 1)), role: ratelimit.Alone}
+// AsIndependent is one of so many daemons that each give out places by themselves.
+func AsIndependent(daemons int) Grantor {
+	return Grantor{burstShare: 1 / float64(max(daemons, 1)), choosers: daemons, limitPart: 1 / float64(max(daemons, 1)), role: ratelimit.Independent}
 }
 
 // shareOf returns what the daemon may use of what limited back ends take.
-func (g Grantor) shareOf(parts backendlimit.Parts) routing.Share {
-	share := routing.Share{Part: g.limitPart * parts.Reached, Since: parts.Since}
+func (g Grantor) shareOf(parts backendlimit.Shares) routing.Share {
+	share := routing.Share{Fraction: g.limitPart * parts.Reachable, Since: parts.PartitionedUntil}
 	if g.role == ratelimit.Dispatcher {
-		share.Part *= parts.Region
+		share.Fraction *= parts.Region
 	}
 	return share
 }
@@ -74,7 +74,7 @@
 // retry budget, the others spend from it. It blocks while the request waits. The
 // error is ErrOverBudget, or a *resultcode.Failure that says "not run".
 func (s *Service) Acquire(ctx context.Context, as Grantor, kind retry.Kind, request dispatch.Request) (*dispatch.Grant, error) {
-	if refused := s.quarantine.Refuse(request.Fingerprints); refused != nil {
+	if refused := s.quarantine.Check(request.Fingerprints); refused != nil {
 		return nil, refused
 	}
 	counted := kind == retry.First && request.Tenant != ""
@@ -92,19 +92,19 @@
 
 // acquire is Acquire for a request that is within the rate of its tenant.
 func (s *Service) acquire(ctx context.Context, as Grantor, kind retry.Kind, request dispatch.Request) (*dispatch.Grant, error) {
-	if !s.charge(as, kind, request.Returned(time.Now())) {
+	if !s.charge(as, kind, request.IsCallerRetry(time.Now())) {
 		return nil, ErrOverBudget
 	}
-	request.Spare = kind == retry.Hedge // it is worth one only while there are free ones
-	request.Routing.Choosers, request.Routing.OfLimits = as.choosers, as.shareOf(s.limits.Parts())
+	request.NoWait = kind == retry.Hedge // it is worth one only while there are free ones
+	request.Routing.IndependentDaemons, request.Routing.LimitShare = as.choosers, as.shareOf(s.limits.Shares())
 	grant, err := s.Dispatcher.Acquire(ctx, request)
-	if err != nil && kind.Costs() {
+	if err != nil && kind.CostsBudget() {
 		s.refund()
 	}
 	if err != nil {
 		return nil, err
 	}
-	if refused := s.quarantine.Refuse(request.Fingerprints); refused != nil {
+	if refused := s.quarantine.Check(request.Fingerprints); refused != nil {
 		// It was found out while the request waited.
 		grant.Done(routing.Canceled, 0, nil)
 		return nil, refused
@@ -122,13 +122,13 @@
 	if kind == retry.First {
 		now := time.Now()
 		if now.Sub(s.earned) > savedFor || clock.Slept(s.earned, now, savedFor) {
-			s.budget.Forget()
+			s.budget.Reset()
 		}
 		s.earned = now
 		s.budget.Earn()
 		return true
 	}
-	return !kind.Costs() || s.budget.Spend(kind, returned)
+	return !kind.CostsBudget() || s.budget.Spend(kind, returned)
 }
 
 // refund gives back what was spent for an attempt that got no place.
--- a/service/acquire_test.go
+++ b/service/acquire_test.go
@@ -59,17 +59,17 @@
 func TestBudgetIsWhereItIsNeeded(t *testing.T) {
 	running := newService(t)
 	for range 200 {
-		require.True(t, attempt(t, running, service.Dispatching(), retry.First))
+		require.True(t, attempt(t, running, service.AsDispatcher(), retry.First))
 	}
 	const part, kept = 30, 8
 	for range part - kept {
-		require.True(t, attempt(t, running, service.Dispatching(), retry.Retry))
+		require.True(t, attempt(t, running, service.AsDispatcher(), retry.Retry))
 	}
-	require.False(t, attempt(t, running, service.Dispatching(), retry.Retry), "the rest is for callers that were refused before")
+	require.False(t, attempt(t, running, service.AsDispatcher(), retry.Retry), "the rest is for callers that were refused before")
 	for range kept {
-		require.True(t, attemptOf(t, running, service.Dispatching(), retry.Retry, time.Now().Add(-time.Second)))
+		require.True(t, attemptOf(t, running, service.AsDispatcher(), retry.Retry, time.Now().Add(-time.Second)))
 	}
-	require.False(t, attemptOf(t, running, service.Dispatching(), retry.Retry, time.Now().Add(-time.Second)), "the dispatcher's part of the burst is spent")
+	require.False(t, attemptOf(t, running, service.AsDispatcher(), retry.Retry, time.Now().Add(-time.Second)), "the dispatcher's part of the burst is spent")
 }
 
 // TestSavedRetriesLapse forgets what a daemon saved once another one dispatches.
@@ -77,11 +77,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		running := newService(t)
 		for range 200 {
-			attempt(t, running, service.Dispatching(), retry.First)
+			attempt(t, running, service.AsDispatcher(), retry.First)
 		}
 		time.Sleep(3 * time.Second)
-		attempt(t, running, service.Dispatching(), retry.First)
-		require.False(t, attempt(t, running, service.Dispatching(), retry.Retry))
+		attempt(t, running, service.AsDispatcher(), retry.First)
+		require.False(t, attempt(t, running, service.AsDispatcher(), retry.Retry))
 	})
 }
 
@@ -99,21 +99,21 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"requests": func(t *rapid.T) {
 				for range rapid.IntRange(1, 60).Draw(t, "count") {
-					require.True(t, attempt(t, fleet[dispatcher], service.Dispatching(), retry.First))
+					require.True(t, attempt(t, fleet[dispatcher], service.AsDispatcher(), retry.First))
 					requests++
 				}
 			},
 			"requests without the dispatcher": func(t *rapid.T) {
 				alone := rapid.IntRange(0, daemons-1).Draw(t, "daemon")
 				for range rapid.IntRange(1, 20).Draw(t, "count") {
-					require.True(t, attempt(t, fleet[alone], service.Substitute(daemons), retry.First))
+					require.True(t, attempt(t, fleet[alone], service.AsFallback(daemons), retry.First))
 					requests++
 				}
 			},
 			"more attempts": func(t *rapid.T) {
 				kind := rapid.SampledFrom([]retry.Kind{retry.Retry, retry.Hedge}).Draw(t, "kind")
 				for range rapid.IntRange(1, 60).Draw(t, "count") {
-					if attempt(t, fleet[dispatcher], service.Dispatching(), kind) {
+					if attempt(t, fleet[dispatcher], service.AsDispatcher(), kind) {
 						more++
 					}
 				}
@@ -121,7 +121,7 @@
 			"more attempts without the dispatcher": func(t *rapid.T) {
 				alone := rapid.IntRange(0, daemons-1).Draw(t, "daemon")
 				for range rapid.IntRange(1, 20).Draw(t, "count") {
-					if attempt(t, fleet[alone], service.Substitute(daemons), retry.Retry) {
+					if attempt(t, fleet[alone], service.AsFallback(daemons), retry.Retry) {
 						more++
 					}
 				}
--- a/service/service.go
+++ b/service/service.go
@@ -51,13 +51,13 @@
 func newService(options Options, name string, seed uint64) *Service {
 	service := &Service{
 		network:    options.Network,
-		echo:       options.Echo,
+		echo:       options.EchoHeader,
 		quarantine: options.Quarantine,
 		rates:      options.Rates,
 		limits:     options.Limits,
 		drains:     options.Drains,
 		pauses:     options.Pauses,
-		elsewhere:  options.Elsewhere,
+		elsewhere:  options.InOtherRegion,
 		Dispatcher: dispatch.New(rand.New(rand.NewPCG(seed, seed)), config.DefaultQueueLimit),
 		restored:   make(map[string]time.Time),
 	}
@@ -69,7 +69,7 @@
 		}
 		outliers.Info(message, "service", name, "backend", backend)
 	})
-	service.Dispatcher.OnLearned(func(slots, before, after int) {
+	service.Dispatcher.OnConcurrencyHint(func(slots, before, after int) {
 		routed.Info("concurrency learned", "service", name, "slots", slots, "before", before, "in_flight", after)
 	})
 	return service
@@ -184,7 +184,7 @@
 func (s *Service) placesOf(declared *declaration) func(now time.Time) []routing.Backend {
 	target := declared.target
 	restored := maps.Clone(s.restored)
-	warmUp := routing.WarmUp{Lasts: time.Duration(target.Service.WarmUp), PerSecond: target.Service.WarmUpRate}
+	warmUp := routing.WarmUp{Duration: time.Duration(target.Service.WarmUp), PerSecond: target.Service.WarmUpRate}
 	return func(now time.Time) []routing.Backend {
 		places := make([]routing.Backend, 0, len(target.Backends))
 		for index := range target.Backends {
@@ -192,8 +192,8 @@
 			places = append(places, routing.Backend{
 				ID: one.ID, Zone: one.Zone, Version: one.Version, Slots: one.Slots, Window: window(target.Service, *one),
 				// Its zone may have turned cold while it was evacuated.
-				Warm:    one.Warm && now.Sub(restored[one.Zone]) >= warmUp.Lasts,
-				Drained: declared.closed(one) || s.isLeaving(one), Evacuated: target.Evacuated[one.Zone], WarmUp: warmUp, Started: one.Started, Elsewhere: s.elsewhere(one.Zone), Limit: s.limitOf(one), PausedUntil: s.pausedUntil(one),
+				Warm:    one.Warm && now.Sub(restored[one.Zone]) >= warmUp.Duration,
+				Drained: declared.closed(one) || s.isLeaving(one), Evacuated: target.Evacuated[one.Zone], WarmUp: warmUp, Started: one.Started, OtherRegion: s.elsewhere(one.Zone), Limit: s.limitOf(one), PausedUntil: s.pausedUntil(one),
 			})
 		}
 		return places
@@ -211,8 +211,8 @@
 	return max(int(declared.MaxLoad*float64(one.Slots)+0.5), 1)
 }
 
-// Declares says whether a back end is declared.
-func (s *Service) Declares(id string) bool {
+// HasBackend says whether a back end is declared.
+func (s *Service) HasBackend(id string) bool {
 	return s.declared.Load().byID[id] != nil
 }
 
@@ -235,9 +235,9 @@
 type Options struct {
 	Network network.Network
 	Seed    uint64 // starts the random choices
-	// Echo is a header of which each answer carries the request's value;
+	// EchoHeader is a header of which each answer carries the request's value;
 	// empty: none.
-	Echo string
+	EchoHeader string
 	// Quarantine says which requests get no place; nil: all may.
 	Quarantine Quarantine
 	// Rates keeps tenants to their rates; nil: none has one.
@@ -248,15 +248,15 @@
 	Drains Drains
 	// Pauses knows which back ends have asked this daemon for a pause; nil: none has.
 	Pauses Pauses
-	// Elsewhere says whether a zone lies in another region; nil: none does. It must not block.
-	Elsewhere func(zone string) bool
-	Log       *slog.Logger // nil: nothing is logged
+	// InOtherRegion says whether a zone lies in another region; nil: none does. It must not block.
+	InOtherRegion func(zone string) bool
+	Log           *slog.Logger // nil: nothing is logged
 }
 
 // Quarantine says which requests get no place at any back end.
 type Quarantine interface {
-	// Refuse returns why a request gets none; nil: it may. It must not block.
-	Refuse(fingerprints quarantine.Fingerprints) *resultcode.Failure
+	// Check returns why a request gets none; nil: it may. It must not block.
+	Check(fingerprints quarantine.Fingerprints) *resultcode.Failure
 }
 
 // Rates keeps tenants to their rates over all daemons together. No method blocks.
@@ -281,8 +281,8 @@
 // noQuarantine refuses nothing.
 type noQuarantine struct{}
 
-// Refuse implements Quarantine.
-func (noQuarantine) Refuse(quarantine.Fingerprints) *resultcode.Failure {
+// Check implements Quarantine.
+func (noQuarantine) Check(quarantine.Fingerprints) *resultcode.Failure {
 	return nil
 }
 
@@ -303,8 +303,8 @@
 	if options.Drains == nil {
 		options.Drains = noDrains{}
 	}
-	if options.Elsewhere == nil {
-		options.Elsewhere = func(string) bool { return false }
+	if options.InOtherRegion == nil {
+		options.InOtherRegion = func(string) bool { return false }
 	}
 	if options.Rates == nil {
 		options.Rates = noRates{}
--- a/service/signals.go
+++ b/service/signals.go
@@ -27,43 +27,45 @@
 
 // Pauses knows which back ends have asked this daemon for a pause. No method blocks.
 type Pauses interface {
-	// Of returns the pause that the run of a back end that started at a time is in, and false where it is in none.
-	Of(key backend.Key, started int64) (pushback.Pause, bool)
-	// Paused returns the ids of a service's back ends that are in one, whichever their run.
-	Paused(service string) []string
+	// ActivePause returns the pause that the run of a back end that started at a time is in, and false where it is in none.
+	ActivePause(key backend.Key, started int64) (pushback.Pause, bool)
+	// PausedBackends returns the ids of a service's back ends that are in one, whichever their run.
+	PausedBackends(service string) []string
 }
 
 // noPauses knows of none.
 type noPauses struct{}
 
-// Of implements Pauses.
-func (noPauses) Of(backend.Key, int64) (pushback.Pause, bool) { return pushback.Pause{}, false }
+// ActivePause implements Pauses.
+func (noPauses) ActivePause(backend.Key, int64) (pushback.Pause, bool) {
+	return pushback.Pause{}, false
+}
 
-// Paused implements Pauses.
-func (noPauses) Paused(string) []string { return nil }
+// PausedBackends implements Pauses.
+func (noPauses) PausedBackends(string) []string { return nil }
 
 // Limits knows how many requests back ends take. No method blocks.
 type Limits interface {
-	// OfRun returns what the run of a back end that started at a time has said, and false where it
+	// Lookup returns what the run of a back end that started at a time has said, and false where it
 	// has said nothing.
-	OfRun(backend backend.Key, started int64) (backendlimit.Record, bool)
-	// Parts returns which parts of what back ends take daemons may use that this one can reach.
-	Parts() backendlimit.Parts
+	Lookup(backend backend.Key, started int64) (backendlimit.Record, bool)
+	// Shares returns which parts of what back ends take daemons may use that this one can reach.
+	Shares() backendlimit.Shares
 }
 
 // noLimits knows of none.
 type noLimits struct{}
 
-// OfRun implements Limits.
-func (noLimits) OfRun(backend.Key, int64) (backendlimit.Record, bool) {
+// Lookup implements Limits.
+func (noLimits) Lookup(backend.Key, int64) (backendlimit.Record, bool) {
 	return backendlimit.Record{}, false
 }
 
-// Parts implements Limits.
-func (noLimits) Parts() backendlimit.Parts { return backendlimit.Whole }
+// Shares implements Limits.
+func (noLimits) Shares() backendlimit.Shares { return backendlimit.FullShares }
 
-// Takes says whether a back end is declared, is not known to leave, and is of a version that gets requests.
-func (s *Service) Takes(id string) bool {
+// IsEligible says whether a back end is declared, is not known to leave, and is of a version that gets requests.
+func (s *Service) IsEligible(id string) bool {
 	_, why := s.takes(id)
 	return why == ""
 }
@@ -77,7 +79,7 @@
 		return nil, "it is not declared"
 	case declared.closed(one):
 		return one, "it is drained by declaration"
-	case s.Dispatcher.Excludes(one.Version):
+	case s.Dispatcher.ExcludesVersion(one.Version):
 		return one, "its version gets no requests"
 	}
 	if notice, leaving := s.drains.Leaving(s.keyOf(id), one.Started); leaving {
@@ -86,13 +88,13 @@
 	return one, ""
 }
 
-// Bars says why this daemon must not send a new request to a back end, whoever gave the place; empty: it may.
-func (s *Service) Bars(id string) string {
+// IneligibleReason says why this daemon must not send a new request to a back end, whoever gave the place; empty: it may.
+func (s *Service) IneligibleReason(id string) string {
 	one, why := s.takes(id)
 	if why != "" {
 		return why
 	}
-	if pause, paused := s.pauses.Of(s.keyOf(id), one.Started); paused {
+	if pause, paused := s.pauses.ActivePause(s.keyOf(id), one.Started); paused {
 		return "it asked for a pause, " + time.Until(pause.Until).Round(time.Millisecond).String() + " of which are left"
 	}
 	return ""
@@ -103,9 +105,9 @@
 	return backend.Key{Service: s.Name(), Backend: id}
 }
 
-// Excluded returns the back ends that have asked this daemon for a pause.
-func (s *Service) Excluded() []routing.Exclusion {
-	ids := s.pauses.Paused(s.Name())
+// Exclusions returns the back ends that have asked this daemon for a pause.
+func (s *Service) Exclusions() []routing.Exclusion {
+	ids := s.pauses.PausedBackends(s.Name())
 	if len(ids) == 0 {
 		return nil
 	}
@@ -131,7 +133,7 @@
 			continue
 		}
 		if notice, leaving := s.drains.Leaving(s.keyOf(one.ID), one.Started); leaving {
-			status.Leaving = &dispatch.LeavingStatus{Source: notice.Source.String(), Told: notice.Told, Since: now.Sub(notice.Since)}
+			status.Leaving = &dispatch.LeavingStatus{Source: notice.Source.String(), ReportedByPeer: notice.ReportedByPeer, Since: now.Sub(notice.Since)}
 		}
 		status.PauseLeft = max(s.pausedUntil(one).Sub(now), 0)
 	}
@@ -139,7 +141,7 @@
 
 // pausedUntil returns until when a back end has asked this daemon for a pause; zero: it has not.
 func (s *Service) pausedUntil(one *config.Backend) time.Time {
-	pause, _ := s.pauses.Of(s.keyOf(one.ID), one.Started)
+	pause, _ := s.pauses.ActivePause(s.keyOf(one.ID), one.Started)
 	return pause.Until
 }
 
@@ -155,7 +157,7 @@
 
 // limitOf returns how many requests a back end takes.
 func (s *Service) limitOf(one *config.Backend) backendlimit.Limit {
-	record, _ := s.limits.OfRun(s.keyOf(one.ID), one.Started)
+	record, _ := s.limits.Lookup(s.keyOf(one.ID), one.Started)
 	return record.Limit
 }
 
--- a/service/signals_test.go
+++ b/service/signals_test.go
@@ -39,7 +39,7 @@
 	put(registry, document(1, 1))
 	running, _ := registry.Find("work")
 	acquire := func() error {
-		grant, err := running.Acquire(t.Context(), service.Dispatching(), retry.First, dispatch.Request{Weight: 1, Deadline: time.Now().Add(time.Second)})
+		grant, err := running.Acquire(t.Context(), service.AsDispatcher(), retry.First, dispatch.Request{Weight: 1, Deadline: time.Now().Add(time.Second)})
 		if err == nil {
 			grant.Done(0, time.Millisecond, nil)
 		}
@@ -49,5 +49,5 @@
 	put(registry, document(2, 2))
 	running.RefreshDrain("b1")
 	require.NoError(t, acquire())
-	require.True(t, running.Takes("b1"))
+	require.True(t, running.IsEligible("b1"))
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -120,14 +120,14 @@
 
 // Policy returns the settings as package quarantine has them.
 func (q Quarantine) Policy() quarantine.Policy {
-	return quarantine.Policy{Endings: q.Endings, Hold: time.Duration(q.Hold), Memory: time.Duration(q.Memory)}
+	return quarantine.Policy{CrashThreshold: q.Endings, Duration: time.Duration(q.Hold), CrashWindow: time.Duration(q.Memory)}
 }
 
 // provision fills in the defaults.
 func (q *Quarantine) provision() {
-	q.Endings = cmp.Or(q.Endings, quarantine.DefaultEndings)
-	q.Hold = cmp.Or(q.Hold, config.Duration(quarantine.DefaultHold))
-	q.Memory = cmp.Or(q.Memory, config.Duration(quarantine.DefaultMemory))
+	q.Endings = cmp.Or(q.Endings, quarantine.DefaultCrashThreshold)
+	q.Hold = cmp.Or(q.Hold, config.Duration(quarantine.DefaultDuration))
+	q.Memory = cmp.Or(q.Memory, config.Duration(quarantine.DefaultCrashWindow))
 }
 
 // Pipelining bounds the requests that are worked on before those ahead of them on their
@@ -364,7 +364,7 @@
 	check(pipelining.Total >= 1 && pipelining.Total <= maxPipelinedTotal, "pipelining.total", pipelining.Total, "1 to 100000")
 	check(pipelining.RequestBytes >= minPipelinedBytes && pipelining.RequestBytes <= maxPipelinedBytes, "pipelining.request_bytes", pipelining.RequestBytes, "1024 to 16777216")
 	check(pipelining.AnswerBytes >= minPipelinedBytes && pipelining.AnswerBytes <= maxPipelinedBytes, "pipelining.answer_bytes", pipelining.AnswerBytes, "1024 to 16777216")
-	check(s.Quarantine.Endings >= 1 && s.Quarantine.Endings <= quarantine.MostEndings, "quarantine.endings", s.Quarantine.Endings, fmt.Sprintf("1 to %d", quarantine.MostEndings))
+	check(s.Quarantine.Endings >= 1 && s.Quarantine.Endings <= quarantine.MaxCrashThreshold, "quarantine.endings", s.Quarantine.Endings, fmt.Sprintf("1 to %d", quarantine.MaxCrashThreshold))
 	check(within(s.Quarantine.Hold, maxSessions), "quarantine.hold", time.Duration(s.Quarantine.Hold), "10µs to 168h, with a unit")
 	check(within(s.Quarantine.Memory, maxSessions), "quarantine.memory", time.Duration(s.Quarantine.Memory), "10µs to 168h, with a unit")
 	check(within(s.Stop.Notice, maxNotice), "stop.notice", time.Duration(s.Stop.Notice), "10µs to 10m, with a unit")
--- a/signals/list.go
+++ b/signals/list.go
@@ -9,10 +9,10 @@
 
 // Signal is something that a back end may say with an answer, and who reads it.
 type Signal struct {
-	Says   string
-	ReadBy string // package
-	Effect string
-	header func(dialect *backend.Dialect) string
+	Meaning string
+	ReadBy  string // package
+	Effect  string
+	header  func(dialect *backend.Dialect) string
 }
 
 // Header returns how a dialect spells the signal; empty: it has none.
--- a/signals/list_test.go
+++ b/signals/list_test.go
@@ -40,7 +40,7 @@
 	dialect := backend.DefaultDialect()
 	var wanted []string
 	for _, signal := range signals.List() {
-		wanted = append(wanted, fmt.Sprintf("| %s | `%s` | %s | %s |", signal.Says, signal.Header(&dialect), signal.ReadBy, signal.Effect))
+		wanted = append(wanted, fmt.Sprintf("| %s | `%s` | %s | %s |", signal.Meaning, signal.Header(&dialect), signal.ReadBy, signal.Effect))
 	}
 	require.Equal(t, wanted, rows)
 }
--- a/signals/reader.go
+++ b/signals/reader.go
@@ -17,46 +17,46 @@
 // headerRetryAfter holds, of a refusal, for how long the back end wants nothing more (RFC 9110, 10.2.3).
 const headerRetryAfter = "Retry-After"
 
-// Answer is an answer of a back end.
-type Answer struct {
+// Response is an answer of a back end.
+type Response struct {
 	backend.Key
-	Started int64     // of the run that was asked, in Unix milliseconds; 0: not known
-	Sent    time.Time // when the request was sent, or earlier
-	Request string    // id of the request; empty: a probe was answered
-	Status  int
-	Header  http.Header
-	Refused bool // the back end says that it did not run the request
+	Started   int64     // of the run that was asked, in Unix milliseconds; 0: not known
+	Sent      time.Time // when the request was sent, or earlier
+	RequestID string    // id of the request; empty: a probe was answered
+	Status    int
+	Header    http.Header
+	Refused   bool // the back end says that it did not run the request
 }
 
 // isProbe says whether a probe was answered.
-func (a *Answer) isProbe() bool {
-	return a.Request == ""
+func (a *Response) isProbe() bool {
+	return a.RequestID == ""
 }
 
 // Listener takes in answers of back ends. It must not block.
 type Listener interface {
-	Take(answer Answer)
+	Observe(answer Response)
 }
 
-// Deaf takes in nothing. It implements Listener.
-type Deaf struct{}
+// NopListener takes in nothing. It implements Listener.
+type NopListener struct{}
 
-// Take implements Listener.
-func (Deaf) Take(Answer) {}
+// Observe implements Listener.
+func (NopListener) Observe(Response) {}
 
 // Limits is told what back ends say, or do not say, of how many requests they take. It must not block.
 type Limits interface {
-	Hear(header http.Header, answer backendlimit.Answer)
+	Observe(header http.Header, answer backendlimit.Response)
 }
 
 // Drains is told of back ends that are leaving, or are back. It must not block.
 type Drains interface {
-	Hear(signal drain.Signal)
+	Observe(signal drain.Signal)
 }
 
 // Pauses is told of back ends that ask this daemon for a pause. It must not block.
 type Pauses interface {
-	Ask(key backend.Key, lasts time.Duration, started int64, request string)
+	RecordPause(key backend.Key, lasts time.Duration, started int64, request string)
 }
 
 // Options are a Reader's collaborators.
@@ -98,8 +98,8 @@
 	}
 }
 
-// Take implements Listener.
-func (r *Reader) Take(answer Answer) {
+// Observe implements Listener.
+func (r *Reader) Observe(answer Response) {
 	if answer.Status == http.StatusMisdirectedRequest && !answer.isProbe() {
 		// Another back end has answered. Where requests name the one that they are meant for, that one is gone.
 		if r.options.Dialect.Instance != "" {
@@ -109,7 +109,7 @@
 	}
 	r.readDraining(answer)
 	r.readPause(answer)
-	r.options.Limits.Hear(answer.Header, backendlimit.Answer{
+	r.options.Limits.Observe(answer.Header, backendlimit.Response{
 		Key: answer.Key, Started: answer.Started, Sent: answer.Sent, Probe: answer.isProbe(),
 		Failed: answer.Refused || answer.Status >= http.StatusInternalServerError,
 	})
@@ -117,7 +117,7 @@
 }
 
 // readDraining reads whether the back end is leaving.
-func (r *Reader) readDraining(answer Answer) {
+func (r *Reader) readDraining(answer Response) {
 	dialect := &r.options.Dialect
 	if dialect.Draining == "" {
 		return
@@ -132,18 +132,18 @@
 }
 
 // readPause reads whether the back end turned the request away and wants nothing more from this daemon for a while.
-func (r *Reader) readPause(answer Answer) {
+func (r *Reader) readPause(answer Response) {
 	lasts, err := pauseOf(answer.Status, answer.Header)
 	switch {
 	case err != nil:
 		r.noteUnreadable(answer.Key, headerRetryAfter, err)
 	case lasts > 0:
-		r.options.Pauses.Ask(answer.Key, lasts, answer.Started, answer.Request)
+		r.options.Pauses.RecordPause(answer.Key, lasts, answer.Started, answer.RequestID)
 	}
 }
 
-// AsksForPause says whether a back end turned a request away and wants nothing more for a while.
-func AsksForPause(response *http.Response) bool {
+// RequestsPause says whether a back end turned a request away and wants nothing more for a while.
+func RequestsPause(response *http.Response) bool {
 	lasts, err := pauseOf(response.StatusCode, response.Header)
 	return err == nil && lasts > 0
 }
@@ -156,9 +156,9 @@
 	return pushback.ParseRetryAfter(header.Values(headerRetryAfter), time.Now())
 }
 
-func (r *Reader) tellDrain(answer Answer, draining bool) {
-	r.options.Drains.Hear(drain.Signal{
-		SignalKey: drain.SignalKey{Key: answer.Key, Source: drain.FromBackend}, Draining: draining, Started: answer.Started, Sent: answer.Sent, Request: answer.Request,
+func (r *Reader) tellDrain(answer Response, draining bool) {
+	r.options.Drains.Observe(drain.Signal{
+		SignalKey: drain.SignalKey{Key: answer.Key, Source: drain.FromBackend}, Draining: draining, Started: answer.Started, Sent: answer.Sent, RequestID: answer.RequestID,
 	})
 }
 
--- a/signals/reader_test.go
+++ b/signals/reader_test.go
@@ -18,19 +18,19 @@
 // heard is what a reader handed on.
 type heard struct {
 	signals []drain.Signal
-	limits  []backendlimit.Answer
+	limits  []backendlimit.Response
 	pauses  []time.Duration
 }
 
-func (h *heard) Ask(_ backend.Key, lasts time.Duration, _ int64, _ string) {
+func (h *heard) RecordPause(_ backend.Key, lasts time.Duration, _ int64, _ string) {
 	h.pauses = append(h.pauses, lasts)
 }
 
-func (h *heard) Hear(signal drain.Signal) { h.signals = append(h.signals, signal) }
+func (h *heard) Observe(signal drain.Signal) { h.signals = append(h.signals, signal) }
 
 type heardLimits struct{ *heard }
 
-func (h heardLimits) Hear(_ http.Header, answer backendlimit.Answer) {
+func (h heardLimits) Observe(_ http.Header, answer backendlimit.Response) {
 	h.limits = append(h.limits, answer)
 }
 
@@ -43,8 +43,8 @@
 
 var sent = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func answered(request string, status int, header ...string) signals.Answer {
-	answer := signals.Answer{Key: backend.Key{Service: "board", Backend: "i-1"}, Started: 5, Sent: sent, Request: request, Status: status, Header: make(http.Header)}
+func answered(request string, status int, header ...string) signals.Response {
+	answer := signals.Response{Key: backend.Key{Service: "board", Backend: "i-1"}, Started: 5, Sent: sent, RequestID: request, Status: status, Header: make(http.Header)}
 	for index := 0; index < len(header); index += 2 {
 		answer.Header.Add(header[index], header[index+1])
 	}
@@ -54,11 +54,11 @@
 // TestDrainingIsReadOfEveryAnswer guards against a back end whose word that it leaves is passed over, whatever
 // else the answer says.
 func TestDrainingIsReadOfEveryAnswer(t *testing.T) {
-	said := drain.Signal{SignalKey: drain.SignalKey{Key: backend.Key{Service: "board", Backend: "i-1"}, Source: drain.FromBackend}, Draining: true, Started: 5, Sent: sent, Request: "r"}
+	said := drain.Signal{SignalKey: drain.SignalKey{Key: backend.Key{Service: "board", Backend: "i-1"}, Source: drain.FromBackend}, Draining: true, Started: 5, Sent: sent, RequestID: "r"}
 	back, probed := said, said
-	back.Draining, probed.Request = false, ""
+	back.Draining, probed.RequestID = false, ""
 	for name, one := range map[string]struct {
-		answer signals.Answer
+		answer signals.Response
 		want   []drain.Signal
 	}{
 		"an answer":                 {answer: answered("r", 200, backend.HeaderDraining, "true"), want: []drain.Signal{said}},
@@ -74,7 +74,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			reader, got, _ := newReader(backend.DefaultDialect())
-			reader.Take(one.answer)
+			reader.Observe(one.answer)
 			require.Equal(t, one.want, got.signals)
 		})
 	}
@@ -86,7 +86,7 @@
 	dialect := backend.DefaultDialect()
 	dialect.Instance = "Expected"
 	reader, got, _ := newReader(dialect)
-	reader.Take(answered("r", http.StatusMisdirectedRequest, backend.HeaderRequestLimit, "3"))
+	reader.Observe(answered("r", http.StatusMisdirectedRequest, backend.HeaderRequestLimit, "3"))
 	require.Len(t, got.signals, 1)
 	require.True(t, got.signals[0].Draining)
 	require.Empty(t, got.limits)
@@ -96,7 +96,7 @@
 func TestUnreadableSignalsAreCounted(t *testing.T) {
 	reader, got, scope := newReader(backend.DefaultDialect())
 	for range 3 {
-		reader.Take(answered("r", 200, backend.HeaderDraining, "soon"))
+		reader.Observe(answered("r", 200, backend.HeaderDraining, "soon"))
 	}
 	require.Empty(t, got.signals)
 	require.EqualValues(t, 3, scope.Snapshot().Counters()["backend_signals_unreadable+"].Value())
@@ -106,7 +106,7 @@
 // what an answer tells its caller.
 func TestPausesAreReadOfRefusals(t *testing.T) {
 	for name, one := range map[string]struct {
-		answer signals.Answer
+		answer signals.Response
 		want   []time.Duration
 	}{
 		"a refusal":              {answer: answered("r", 503, "Retry-After", "4"), want: []time.Duration{4 * time.Second}},
@@ -120,7 +120,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			reader, got, _ := newReader(backend.DefaultDialect())
-			reader.Take(one.answer)
+			reader.Observe(one.answer)
 			require.Equal(t, one.want, got.pauses)
 		})
 	}
--- a/slots/client.go
+++ b/slots/client.go
@@ -20,9 +20,9 @@
 // will not get one.
 const ErrUnreachable = errors.ConstError("dispatcher unreachable")
 
-// ErrBehind: the dispatcher has not heard of the service, or of any back end of
+// ErrStaleDispatcher: the dispatcher has not heard of the service, or of any back end of
 // it: it has just started, or news has not reached it. The request has no place.
-const ErrBehind = errors.ConstError("dispatcher behind")
+const ErrStaleDispatcher = errors.ConstError("dispatcher behind")
 
 // Timing of requests for places.
 const (
--- a/slots/server.go
+++ b/slots/server.go
@@ -23,17 +23,17 @@
 // Server answers other daemons that ask for places.
 type Server struct {
 	services *service.Registry
-	rates    Rates
+	rates    ReportHandler
 }
 
-// Rates is what daemons that give out places tell each other of tenants. Hear takes in what
+// ReportHandler is what daemons that give out places tell each other of tenants. Hear takes in what
 // another one tells and returns what it is told in turn; it must not block.
-type Rates interface {
-	Hear(report ratelimit.Report) ratelimit.Report
+type ReportHandler interface {
+	HandleReport(report ratelimit.Report) ratelimit.Report
 }
 
 // NewServer returns a server for the places of the services; rates nil: tenants have none.
-func NewServer(services *service.Registry, rates Rates) *Server {
+func NewServer(services *service.Registry, rates ReportHandler) *Server {
 	return &Server{services: services, rates: rates}
 }
 
@@ -60,7 +60,7 @@
 		case request.Release != nil:
 			held.release(request.Id, request.Release)
 		case request.Uses != nil && s.rates != nil:
-			held.send(&peerpb.SlotReply{Id: request.Id, Uses: encodeReport(s.rates.Hear(decodeReport(request.Uses)))})
+			held.send(&peerpb.SlotReply{Id: request.Id, Uses: encodeReport(s.rates.HandleReport(decodeReport(request.Uses)))})
 		}
 	}
 }
@@ -133,7 +133,7 @@
 // wait waits for the request's place and tells what became of it.
 func (h *holdings) wait(ctx context.Context, id uint64, one *holding, kind retry.Kind, request dispatch.Request) {
 	notice := time.AfterFunc(waitingNotice, func() { h.send(&peerpb.SlotReply{Id: id, Waiting: true}) })
-	grant, err := one.service.Acquire(ctx, service.Dispatching(), kind, request)
+	grant, err := one.service.Acquire(ctx, service.AsDispatcher(), kind, request)
 	notice.Stop()
 	if err != nil {
 		h.forget(id)
--- a/slots/session.go
+++ b/slots/session.go
@@ -292,7 +292,7 @@
 	}
 	code := resultcode.Code(refused.Code)
 	if code.Lacks() {
-		return errors.Annotate(ErrBehind, refused.Detail)
+		return errors.Annotate(ErrStaleDispatcher, refused.Detail)
 	}
 	return &resultcode.Failure{Code: code, Detail: refused.Detail, RetryAfter: microseconds(refused.RetryAfterUs)}
 }
--- a/slots/slots_test.go
+++ b/slots/slots_test.go
@@ -153,7 +153,7 @@
 	require.Equal(t, resultcode.WaitExpired, failure.Code)
 	require.Positive(t, failure.RetryAfter)
 	_, err = client.Acquire(t.Context(), d.address, "unknown", retry.First, request(0))
-	require.ErrorIs(t, err, slots.ErrBehind)
+	require.ErrorIs(t, err, slots.ErrStaleDispatcher)
 }
 
 // TestSilentDispatcher gives up on one that takes connections and never answers.
--- a/slots/uses.go
+++ b/slots/uses.go
@@ -52,7 +52,7 @@
 func decodeReport(encoded *peerpb.TenantUses) ratelimit.Report {
 	report := ratelimit.Report{Grantor: encoded.Name, Epoch: encoded.Epoch, Settled: encoded.Settled, Retired: encoded.Retired, Age: time.Duration(encoded.AgeMs) * time.Millisecond}
 	for _, use := range encoded.Uses {
-		report.Uses = append(report.Uses, ratelimit.Use{Tenant: use.Tenant, Used: use.Used, Level: use.Level, Known: use.Known, Refused: use.Refused})
+		report.Uses = append(report.Uses, ratelimit.TenantUse{Tenant: use.Tenant, Used: use.Used, Level: use.Level, Known: use.Known, Refused: use.Refused})
 	}
 	return report
 }
