--- a/outlier/outlier.go
+++ b/outlier/outlier.go
@@ -16,22 +16,22 @@
 
 // Tuning of ejection.
 const (
-	// consecutiveLimit is the run of failures that ejects a back end.
-	consecutiveLimit = 3
+	// consecutiveThreshold is the run of failures that ejects a back end.
+	consecutiveThreshold = 3
 	// refusalLimit is the run of refused connections by which a back end has ended: one may be
 	// a full backlog, or a process that is starting.
-	refusalLimit = 2
+	refusalThreshold = 2
 	// rateWeight is the weight of a new answer in the failure rate.
-	rateWeight = 0.1
+	failureRateWeight = 0.1
 	// rateLimit is the failure rate that ejects a back end.
-	rateLimit = 0.6
+	failureRateThreshold = 0.6
 	// baseEjection is the length of the first ejection; each further one
 	// without a success between is twice as long, up to maxEjection.
 	baseEjection = 500 * time.Millisecond
 	maxEjection  = 8 * time.Second
 	// endedEjection is the length of the first ejection of a back end that has ended: a process
 	// takes about as long to start again, and a trial that is refused costs a retry.
-	endedEjection = 2 * time.Second
+	exitEjection = 2 * time.Second
 	// trialTimeout frees a trial whose outcome was never told.
 	trialTimeout = 2 * time.Second
 )
@@ -39,20 +39,20 @@
 // Detector follows one back end. The zero value is a back end in good health.
 // It is not safe for concurrent use.
 type Detector struct {
-	consecutive int
-	refusals    int // connections in a row
-	rate        float64
-	ejections   int
-	ejected     bool
-	ended       bool      // its process had, when it was ejected
-	until       time.Time // end of the ejection, when ejected
-	trialAt     time.Time // when the pending trial began; zero: none pending
+	consecutive  int
+	refusals     int // connections in a row
+	failureRate  float64
+	ejections    int
+	ejected      bool
+	exited       bool      // its process had, when it was ejected
+	ejectedUntil time.Time // end of the ejection, when ejected
+	trialStart   time.Time // when the pending trial began; zero: none pending
 }
 
 // RecordSuccess notes an answer.
 func (d *Detector) RecordSuccess() {
 	d.consecutive, d.refusals = 0, 0
-	d.rate -= d.rate * rateWeight
+	d.failureRate -= d.failureRate * failureRateWeight
 	if d.ejected {
 		*d = Detector{}
 	}
@@ -61,11 +61,11 @@
 // RecordFailure notes a failed request.
 func (d *Detector) RecordFailure(now time.Time) {
 	d.consecutive++
-	d.rate += (1 - d.rate) * rateWeight
-	if d.ejected && d.trialAt.IsZero() {
+	d.failureRate += (1 - d.failureRate) * failureRateWeight
+	if d.ejected && d.trialStart.IsZero() {
 		return // sent before the ejection
 	}
-	if d.ejected || d.consecutive >= consecutiveLimit || d.rate >= rateLimit {
+	if d.ejected || d.consecutive >= consecutiveThreshold || d.failureRate >= failureRateThreshold {
 		d.eject(now)
 	}
 }
@@ -74,15 +74,15 @@
 // was running. It is ejected at once, and stays out however many others are, until it answers.
 func (d *Detector) RecordExit(now time.Time) {
 	d.consecutive++
-	d.rate += (1 - d.rate) * rateWeight
+	d.failureRate += (1 - d.failureRate) * failureRateWeight
 	d.eject(now)
-	d.ended, d.until = true, clock.Later(d.until, now.Add(endedEjection))
+	d.exited, d.ejectedUntil = true, clock.Later(d.ejectedUntil, now.Add(exitEjection))
 }
 
 // RecordConnectionRefused notes that a connection was refused: nothing listens there. A few in a row mean that
 // the back end has ended.
 func (d *Detector) RecordConnectionRefused(now time.Time) {
-	if d.refusals++; d.ended || d.refusals >= refusalLimit {
+	if d.refusals++; d.exited || d.refusals >= refusalThreshold {
 		d.RecordExit(now)
 		return
 	}
@@ -91,15 +91,15 @@
 
 // HasExited says whether the back end is out as its process has ended.
 func (d *Detector) HasExited() bool {
-	return d.ended
+	return d.exited
 }
 
 func (d *Detector) eject(now time.Time) {
-	length := min(baseEjection<<min(d.ejections, 10), maxEjection)
+	duration := min(baseEjection<<min(d.ejections, 10), maxEjection)
 	d.ejected = true
 	d.ejections++
-	d.until = now.Add(length)
-	d.trialAt = time.Time{}
+	d.ejectedUntil = now.Add(duration)
+	d.trialStart = time.Time{}
 }
 
 // Ejected says whether the back end is out.
@@ -109,15 +109,15 @@
 
 // TrialDue says whether an ejected back end may get a trial request now.
 func (d *Detector) TrialDue(now time.Time) bool {
-	if !d.ejected || now.Before(d.until) {
+	if !d.ejected || now.Before(d.ejectedUntil) {
 		return false
 	}
-	return d.trialAt.IsZero() || now.Sub(d.trialAt) > trialTimeout
+	return d.trialStart.IsZero() || now.Sub(d.trialStart) > trialTimeout
 }
 
 // RecordTrial notes that a trial request was sent.
 func (d *Detector) RecordTrial(now time.Time) {
-	d.trialAt = now
+	d.trialStart = now
 }
 
 // MaxEjected returns how many of a group's back ends may be out at once for failing: half
--- a/outlier/outlier_test.go
+++ b/outlier/outlier_test.go
@@ -16,12 +16,12 @@
 	d.RecordExit(start)
 	require.True(t, d.Ejected(start))
 	require.True(t, d.HasExited())
-	require.False(t, d.TrialDue(start.Add(endedEjection-time.Millisecond)))
-	require.True(t, d.TrialDue(start.Add(endedEjection)))
-	d.RecordTrial(start.Add(endedEjection))
-	d.RecordConnectionRefused(start.Add(endedEjection))
+	require.False(t, d.TrialDue(start.Add(exitEjection-time.Millisecond)))
+	require.True(t, d.TrialDue(start.Add(exitEjection)))
+	d.RecordTrial(start.Add(exitEjection))
+	d.RecordConnectionRefused(start.Add(exitEjection))
 	require.True(t, d.HasExited())
-	require.False(t, d.TrialDue(start.Add(2*endedEjection-time.Millisecond)))
+	require.False(t, d.TrialDue(start.Add(2*exitEjection-time.Millisecond)))
 	d.RecordSuccess()
 	require.Equal(t, Detector{}, d)
 }
@@ -40,7 +40,7 @@
 // TestFailuresAreNoEnding: a back end that fails is ejected and not taken for ended.
 func TestFailuresAreNoEnding(t *testing.T) {
 	var d Detector
-	for range consecutiveLimit {
+	for range consecutiveThreshold {
 		require.False(t, d.Ejected(start))
 		d.RecordFailure(start)
 	}
--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -99,7 +99,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				now = now.Add(time.Millisecond)
-				group.probeCredit = probeCredit
+				group.probeCredit = maxProbeCredit
 				if target, wanted := group.LoadProbeTarget(now, 25*time.Millisecond, 0); wanted {
 					asked++
 					group.RecordLoadProbe(now, target, benchReport(asked))
--- a/routing/exclusion.go
+++ b/routing/exclusion.go
@@ -11,7 +11,7 @@
 }
 
 // inForce says whether the exclusion holds now.
-func (e Exclusion) inForce(now time.Time) bool {
+func (e Exclusion) active(now time.Time) bool {
 	return e.Until.IsZero() || e.Until.After(now)
 }
 
@@ -22,17 +22,17 @@
 
 // markExcluded marks the back ends that the request must not reach, until it is called for the next one.
 func (g *Group) markExcluded(now time.Time, request *Request) {
-	g.asked++
+	g.requestSequence++
 	for _, exclusion := range request.Excluded {
-		if state, known := g.byID[exclusion.Backend]; known && exclusion.inForce(now) {
-			state.excludedFor = g.asked
+		if state, known := g.byID[exclusion.Backend]; known && exclusion.active(now) {
+			state.excludedInRequest = g.requestSequence
 		}
 	}
 }
 
 // excludes says whether the request that markExcluded was called for must not reach a back end.
 func (g *Group) excludes(state *BackendState) bool {
-	return state.excludedFor == g.asked
+	return state.excludedInRequest == g.requestSequence
 }
 
 // AllExcluded says whether the request must not reach any back end that takes requests, and from when on it may reach
@@ -43,13 +43,13 @@
 	}
 	g.markExcluded(now, &request)
 	for _, state := range g.states {
-		if !g.out(state, now) && !g.excludes(state) {
+		if !g.unavailable(state, now) && !g.excludes(state) {
 			return time.Time{}, false
 		}
 	}
 	for _, exclusion := range request.Excluded {
 		state, known := g.byID[exclusion.Backend]
-		if !known || g.out(state, now) || exclusion.Until.IsZero() {
+		if !known || g.unavailable(state, now) || exclusion.Until.IsZero() {
 			continue
 		}
 		if until.IsZero() || exclusion.Until.Before(until) {
@@ -67,6 +67,6 @@
 }
 
 // spared says whether a back end gets no probes for fresher reports now.
-func (s *BackendState) spared(now time.Time) bool {
+func (s *BackendState) skipsLoadProbes(now time.Time) bool {
 	return s.limit.Limited || s.PausedUntil.After(now)
 }
--- a/routing/exclusion_test.go
+++ b/routing/exclusion_test.go
@@ -22,7 +22,7 @@
 		"the only one":          {backends: []Backend{excluded}},
 		"a retry":               {backends: []Backend{other, excluded}, request: Request{Tried: []string{"other"}, Repeatable: true}},
 		"bound to it":           {backends: []Backend{excluded}, request: Request{Session: "a"}},
-		"it has had no request": {backends: []Backend{other, excluded}, prepare: func(group *Group) { group.State("excluded").met = false }},
+		"it has had no request": {backends: []Backend{other, excluded}, prepare: func(group *Group) { group.State("excluded").used = false }},
 		"its trial is due": {backends: []Backend{excluded}, request: Request{Repeatable: true}, prepare: func(group *Group) {
 			group.State("excluded").health.RecordExit(start)
 		}},
@@ -102,7 +102,7 @@
 	group.SetPause("a", start.Add(time.Minute))
 	for second := range 60 {
 		now := start.Add(time.Duration(second) * time.Second)
-		group.probeCredit = probeCredit
+		group.probeCredit = maxProbeCredit
 		_, wanted := group.HealthProbeTarget(now, time.Second)
 		require.False(t, wanted)
 		group.earnProbes(origin{zone: "zone"})
--- a/routing/group.go
+++ b/routing/group.go
@@ -31,43 +31,43 @@
 
 // Group is one daemon's view of a service's back ends.
 type Group struct {
-	options Options
-	states  []*BackendState
-	working working
-	byID    map[string]*BackendState
-	zones   []string // of the back ends, each once
-	found   survey   // of the last request, kept for its memory
-	looks   int
-	asked   uint64 // requests for which a back end was looked for, to mark those that they must not reach
-	learned concurrency
-	short   bool // at the last pick at most one back end had a place
+	options         Options
+	states          []*BackendState
+	workingSet      workingSet
+	byID            map[string]*BackendState
+	zones           []string   // of the back ends, each once
+	scanned         scanResult // of the last request, kept for its memory
+	scanCount       int
+	requestSequence uint64 // requests for which a back end was looked for, to mark those that they must not reach
+	concurrency     concurrencyEstimator
+	capacityShort   bool // at the last pick at most one back end had a place
 	// boundsStale says that bounds may have been chosen since places were last short, which
 	// hold for then only.
-	boundsStale bool
-	common      common
+	boundsStale    bool
+	commonSlowdown commonSlowdown
 	// probeCredit is how many probes for fresher reports the last requests earned,
 	// and origins are those that requests had.
-	probeCredit float64
-	origins     []origin
-	bests       bests // kept for its memory
-	introduce   bool  // the last probe was for a first report, if any was wanted
-	probeWorth  probeWorth
-	following   []*BackendState // back ends that are to be asked what requests met, oldest first
+	probeCredit   float64
+	origins       []origin
+	bestTargets   bestTargets // kept for its memory
+	introducing   bool        // the last probe was for a first report, if any was wanted
+	reportAge     reportAgeEstimator
+	arrivalProbes []*BackendState // back ends that are to be asked what requests met, oldest first
 	// versionRule is what holds for a version, holdsVersions whether unfamiliar ones get nothing
 	// for a moment, and versionSeen since when each was seen; zero: from the beginning.
-	versionRule   VersionRule
-	holdsVersions bool
+	versionRule      VersionRule
+	holdsNewVersions bool
 	// shared: some back ends stand in other regions, whose dispatchers use those of this one, too.
-	shared  bool
-	triedAt time.Time // when a back end of another region was last tried
+	hasOtherRegions    bool
+	otherRegionTriedAt time.Time // when a back end of another region was last tried
 	// ofLimits is what this daemon may use of what limited back ends take, as of its last pick.
-	ofLimits    Share
-	versionSeen map[string]time.Time
+	limitShare       Share
+	versionFirstSeen map[string]time.Time
 }
 
 // NewGroup returns a group without back ends.
 func NewGroup(options Options) *Group {
-	return &Group{options: options, byID: make(map[string]*BackendState), ofLimits: soleSender.ofLimits}
+	return &Group{options: options, byID: make(map[string]*BackendState), limitShare: soleDispatcher.limitShare}
 }
 
 // SetBackends replaces the declared back ends. What is known of those that stay
@@ -75,53 +75,53 @@
 func (g *Group) SetBackends(now time.Time, backends []Backend) {
 	byID := make(map[string]*BackendState, len(backends))
 	states := make([]*BackendState, 0, len(backends))
-	first := len(g.states) == 0
+	initial := len(g.states) == 0
 	for _, backend := range backends {
-		g.noteVersion(now, backend.Version, first)
+		g.recordVersion(now, backend.Version, initial)
 		state, known := g.byID[backend.ID]
 		if known && state.Started != backend.Started {
 			known = false // it has started again: requests of the earlier run keep the earlier state
 		}
 		if !known {
 			// It must not get a request before it is said that it gets none.
-			state = &BackendState{root: math.Sqrt(initialLatency.Seconds()), Draining: backend.Drained}
+			state = &BackendState{latencyRoot: math.Sqrt(initialLatency.Seconds()), Draining: backend.Drained}
 			// Of those that were there before this daemon gave out places none is new to the
 			// service, unless it is cold: each would get a request at once, whatever its load.
-			state.met = first && backend.Warm
-			state.slowdown.common = &g.common
+			state.used = initial && backend.Warm
+			state.slowdown.common = &g.commonSlowdown
 		}
 		if state.Slots != backend.Slots || state.Window != backend.Window {
-			state.window = g.firstWindow(backend)
-			state.bound = g.learned.bound(backend.Window, g.short, g.options.Random)
+			state.window = g.initialWindow(backend)
+			state.bound = g.concurrency.chooseBound(backend.Window, g.capacityShort, g.options.Random)
 		}
 		wasWarm := known && state.Warm
-		returns := known && state.Draining && !backend.Drained
+		undrained := known && state.Draining && !backend.Drained
 		state.Backend, state.Draining = backend, backend.Drained
 		switch {
 		case backend.Warm && !wasWarm:
-			state.warmedUp()
-		case returns, !backend.Warm && (wasWarm || !known):
-			state.cool(now, backend.WarmUp.Duration)
+			state.setWarm()
+		case undrained, !backend.Warm && (wasWarm || !known):
+			state.setCold(now, backend.WarmUp.Duration)
 		}
 		state.setLimit(now, backend.Limit)
 		byID[backend.ID] = state
 		states = append(states, state)
 	}
 	g.states, g.byID = states, byID
-	g.shared = slices.ContainsFunc(states, func(state *BackendState) bool { return state.OtherRegion })
-	g.working.setAll(now, states)
-	g.following = slices.DeleteFunc(g.following, func(state *BackendState) bool { return byID[state.ID] != state })
+	g.hasOtherRegions = slices.ContainsFunc(states, func(state *BackendState) bool { return state.OtherRegion })
+	g.workingSet.setBackends(now, states)
+	g.arrivalProbes = slices.DeleteFunc(g.arrivalProbes, func(state *BackendState) bool { return byID[state.ID] != state })
 	g.boundsStale = true
-	g.numberZones()
+	g.indexZones()
 }
 
 // numberZones gives each zone of the back ends a number.
-func (g *Group) numberZones() {
+func (g *Group) indexZones() {
 	g.zones = g.zones[:0]
 	for _, state := range g.states {
-		state.zoneNumber = slices.Index(g.zones, state.Zone)
-		if state.zoneNumber < 0 {
-			state.zoneNumber = len(g.zones)
+		state.zoneIndex = slices.Index(g.zones, state.Zone)
+		if state.zoneIndex < 0 {
+			state.zoneIndex = len(g.zones)
 			g.zones = append(g.zones, state.Zone)
 		}
 	}
@@ -139,7 +139,7 @@
 
 // ScanCount returns how often all back ends were looked at for a request.
 func (g *Group) ScanCount() int {
-	return g.looks
+	return g.scanCount
 }
 
 // State returns a back end's state, or nil where it is not known.
@@ -150,16 +150,16 @@
 // ServiceInterval returns how long the back ends take for one request, all together, as far
 // as their latencies tell. It is 0 when no back end takes requests.
 func (g *Group) ServiceInterval(now time.Time) time.Duration {
-	perSecond := 0.0
+	serviceRate := 0.0
 	for _, state := range g.states {
-		if !g.out(state, now) {
-			perSecond += state.pace(now)
+		if !g.unavailable(state, now) {
+			serviceRate += state.serviceRate(now)
 		}
 	}
-	if perSecond == 0 {
+	if serviceRate == 0 {
 		return 0
 	}
-	return time.Duration(float64(time.Second) / perSecond)
+	return time.Duration(float64(time.Second) / serviceRate)
 }
 
 // SetDraining notes that a back end is to get no new requests, or gets them again. One that
@@ -167,7 +167,7 @@
 func (g *Group) SetDraining(now time.Time, id string, draining bool) {
 	if state, ok := g.byID[id]; ok {
 		if state.Draining && !draining {
-			state.cool(now, state.WarmUp.Duration)
+			state.setCold(now, state.WarmUp.Duration)
 		}
 		state.Draining = draining
 	}
@@ -182,7 +182,7 @@
 // Available says whether any back end could take a request, now or later.
 func (g *Group) Available() bool {
 	for _, state := range g.states {
-		if !state.Draining && !g.excluded(state) {
+		if !state.Draining && !g.versionExcluded(state) {
 			return true
 		}
 	}
@@ -213,64 +213,64 @@
 // Pick chooses a back end for a request and counts it as sent. It returns false
 // when every back end is full, draining or ejected, and the request must wait.
 func (g *Group) Pick(now time.Time, request Request) (PickResult, bool) {
-	g.ofLimits = request.sender().ofLimits
+	g.limitShare = request.dispatchRole().limitShare
 	g.markExcluded(now, &request)
-	g.look(now, request)
+	g.scan(now, request)
 	if request.Session != "" {
 		return g.pickSession(now, request)
 	}
-	if trial := g.found.trial; trial != nil {
+	if trial := g.scanned.trial; trial != nil {
 		trial.health.RecordTrial(now)
-		g.sent(trial, now)
-		return g.result(trial, ReasonTrial, 1, now), true
+		g.recordSend(trial, now)
+		return g.pickResult(trial, ReasonTrial, 1, now), true
 	}
-	if len(g.found.eligible) == 0 {
+	if len(g.scanned.eligible) == 0 {
 		return PickResult{}, false
 	}
-	if len(g.found.free) == 0 && g.rebound() {
-		g.look(now, request)
+	if len(g.scanned.free) == 0 && g.refreshStaleBounds() {
+		g.scan(now, request)
 	}
-	free := g.found.free
-	g.short = len(free) < 2
+	free := g.scanned.free
+	g.capacityShort = len(free) < 2
 	if len(free) == 0 {
-		if lender := g.lender(now, request.sender()); lender != nil {
-			g.sent(lender, now)
-			return g.result(lender, ReasonOtherRegion, 1, now), true
+		if borrowed := g.otherRegionTarget(now, request.dispatchRole()); borrowed != nil {
+			g.recordSend(borrowed, now)
+			return g.pickResult(borrowed, ReasonOtherRegion, 1, now), true
 		}
 		return PickResult{}, false
 	}
 	from := origin{zone: request.Zone, repeatable: request.Repeatable}
 	g.earnProbes(from)
-	if newcomer := g.newcomer(now, request); newcomer != nil {
-		g.sent(newcomer, now)
-		return g.result(newcomer, ReasonFirstRequest, len(free), now), true
+	if unused := g.firstRequestTarget(now, request); unused != nil {
+		g.recordSend(unused, now)
+		return g.pickResult(unused, ReasonFirstRequest, len(free), now), true
 	}
 	chosen := free[g.options.Picker.Pick(PickInfo{Now: now, Random: g.options.Random, Origin: from, Candidates: free})]
-	g.sent(chosen, now)
-	return g.result(chosen, ReasonLoad, len(free), now), true
+	g.recordSend(chosen, now)
+	return g.pickResult(chosen, ReasonLoad, len(free), now), true
 }
 
-func (g *Group) result(state *BackendState, reason Reason, candidates int, now time.Time) PickResult {
+func (g *Group) pickResult(state *BackendState, reason Reason, candidates int, now time.Time) PickResult {
 	return PickResult{
-		Backend: state, Reason: reason, Candidates: candidates, MostlyFull: 2*candidates < len(g.found.eligible), ReportAge: state.ReportAge(now),
-		slowdown: state.slowdown.expected(now), begun: state.occupancy,
-		BestInFlight: g.learned.known(state.Window),
+		Backend: state, Reason: reason, Candidates: candidates, MostlyFull: 2*candidates < len(g.scanned.eligible), ReportAge: state.ReportAge(now),
+		slowdownAtPick: state.slowdown.expected(now), occupancyAtPick: state.occupancy,
+		BestInFlight: g.concurrency.settledBest(state.Window),
 	}
 }
 
 // mostInFlight bounds this daemon's requests at a back end.
-func (g *Group) mostInFlight(state *BackendState, now time.Time) int {
-	return g.mostWithin(state, now, state.bound)
+func (g *Group) maxInFlight(state *BackendState, now time.Time) int {
+	return g.maxInFlightWithin(state, now, state.bound)
 }
 
 // mostWithin is mostInFlight where something else than what was learned bounds it.
-func (g *Group) mostWithin(state *BackendState, now time.Time, bound int) int {
-	limit := state.mostInFlight(g.options.SlowStart)
+func (g *Group) maxInFlightWithin(state *BackendState, now time.Time, bound int) int {
+	limit := state.maxInFlight(g.options.SlowStart)
 	switch {
 	case state.OtherRegion:
-		limit = min(limit, state.room(now))
-	case g.shared:
-		limit = min(limit, state.ownRoom(now))
+		limit = min(limit, state.otherRegionRoom(now))
+	case g.hasOtherRegions:
+		limit = min(limit, state.ownRegionRoom(now))
 	}
 	if state.Window == 0 {
 		return limit
@@ -280,16 +280,16 @@
 
 // learn takes in a request that succeeded, and chooses the bound of its back end anew
 // after some of them.
-func (g *Group) learn(picked PickResult) {
+func (g *Group) learnConcurrency(picked PickResult) {
 	state := picked.Backend
 	if state.Window == 0 {
 		return
 	}
-	if g.learned.observe(state.Window, state.occupancy.since(picked.begun)) {
-		g.chooseAll(state.Window)
+	if g.concurrency.observe(state.Window, state.occupancy.since(picked.occupancyAtPick)) {
+		g.resetBounds(state.Window)
 	}
-	if state.sinceBound++; state.sinceBound >= boundRounds*state.bound {
-		g.choose(state)
+	if state.answersSinceBound++; state.answersSinceBound >= boundRevisionRounds*state.bound {
+		g.resetBound(state)
 	}
 }
 
@@ -297,7 +297,7 @@
 // known; 0 where it is not known or has no bound.
 func (g *Group) BestInFlight(id string) int {
 	if state, known := g.byID[id]; known && state.Window > 0 {
-		return g.learned.best(state.Window)
+		return g.concurrency.best(state.Window)
 	}
 	return 0
 }
@@ -306,22 +306,22 @@
 // service until now, found that a back end does best.
 func (g *Group) SetConcurrencyHint(id string, inFlight int) {
 	if state, known := g.byID[id]; known && inFlight > 0 && inFlight <= state.Window {
-		g.learned.advise(state.Window, inFlight)
+		g.concurrency.setHint(state.Window, inFlight)
 	}
 }
 
 // rebound chooses the bounds of those back ends anew for which it was chosen before
 // places were short, and says whether there were any.
-func (g *Group) rebound() bool {
-	g.short = true
+func (g *Group) refreshStaleBounds() bool {
+	g.capacityShort = true
 	if !g.boundsStale {
 		return false
 	}
 	g.boundsStale = false
 	changed := false
 	for _, state := range g.states {
-		if state.Window > 0 && !state.boundShort {
-			g.choose(state)
+		if state.Window > 0 && !state.boundWhenShort {
+			g.resetBound(state)
 			changed = true
 		}
 	}
@@ -329,40 +329,40 @@
 }
 
 // chooseAll chooses the bounds of all back ends with so many slots.
-func (g *Group) chooseAll(slots int) {
+func (g *Group) resetBounds(slots int) {
 	for _, state := range g.states {
 		if state.Window == slots {
-			g.choose(state)
+			g.resetBound(state)
 		}
 	}
 }
 
 // choose chooses how many requests a back end is to hold from now on.
-func (g *Group) choose(state *BackendState) {
-	state.sinceBound, state.boundShort = 0, g.short
-	g.boundsStale = g.boundsStale || !g.short
-	state.bound = g.learned.bound(state.Window, g.short, g.options.Random)
+func (g *Group) resetBound(state *BackendState) {
+	state.answersSinceBound, state.boundWhenShort = 0, g.capacityShort
+	g.boundsStale = g.boundsStale || !g.capacityShort
+	state.bound = g.concurrency.chooseBound(state.Window, g.capacityShort, g.options.Random)
 }
 
 // pickSession chooses by rendezvous hashing, so that every daemon chooses alike
 // without any state. A bound back end may be sent more than its limit.
 func (g *Group) pickSession(now time.Time, request Request) (PickResult, bool) {
-	best := g.bound(request.Session)
+	best := g.sessionBackend(request.Session)
 	if best == nil {
 		return PickResult{}, false
 	}
-	if g.excludes(best) || !g.bears(best, now, request.sender()) {
+	if g.excludes(best) || !g.withinRateLimits(best, now, request.dispatchRole()) {
 		return PickResult{}, false // the request waits: only this one has its session
 	}
-	g.sent(best, now)
-	return g.result(best, ReasonSession, len(g.found.eligible), now), true
+	g.recordSend(best, now)
+	return g.pickResult(best, ReasonSession, len(g.scanned.eligible), now), true
 }
 
 // bound returns the back end that a session is bound to, of those that were found; nil: there is none.
-func (g *Group) bound(session string) *BackendState {
+func (g *Group) sessionBackend(session string) *BackendState {
 	var best *BackendState
 	var bestHash uint64
-	for _, state := range g.found.eligible {
+	for _, state := range g.scanned.eligible {
 		hash := xxhash.Sum64String(session + "\x00" + state.ID)
 		if best == nil || hash > bestHash {
 			best, bestHash = state, hash
@@ -377,39 +377,39 @@
 	if request.Session == "" {
 		return time.Time{}, false
 	}
-	state := g.bound(request.Session)
+	state := g.sessionBackend(request.Session)
 	if state == nil {
 		return time.Time{}, false
 	}
-	if index := slices.IndexFunc(request.Excluded, func(e Exclusion) bool { return e.Backend == state.ID && e.inForce(now) }); index >= 0 {
+	if index := slices.IndexFunc(request.Excluded, func(e Exclusion) bool { return e.Backend == state.ID && e.active(now) }); index >= 0 {
 		return request.Excluded[index].Until, true
 	}
 	if !state.limit.Limited {
 		return time.Time{}, false
 	}
-	return state.limit.pacing.next(state.limit.takes(), request.sender().ofLimits), true
+	return state.limit.pacing.dueAt(state.limit.rate(), request.dispatchRole().limitShare), true
 }
 
-func (g *Group) sent(state *BackendState, now time.Time) {
-	state.pass(now)
+func (g *Group) recordSend(state *BackendState, now time.Time) {
+	state.advanceOccupancy(now)
 	if state.InFlight == 0 {
-		state.quietSince = now
+		state.silentSince = now
 	}
 	state.InFlight++
-	state.met = true
-	g.working.began(now)
-	state.spend(now)
+	state.used = true
+	g.workingSet.requestStarted(now)
+	state.chargeRateLimits(now)
 }
 
 // firstWindow is the bound before any report.
-func (g *Group) firstWindow(backend Backend) float64 {
+func (g *Group) initialWindow(backend Backend) float64 {
 	if backend.Window > 0 {
 		return float64(backend.Window)
 	}
-	return g.leastWindow(backend.Slots)
+	return g.minWindow(backend.Slots)
 }
 
-func (g *Group) leastWindow(slots int) float64 {
+func (g *Group) minWindow(slots int) float64 {
 	return float64(slots + g.options.Overcommit(slots))
 }
 
@@ -426,35 +426,35 @@
 // RecordReport notes a load report of the back end. waiting says whether requests wait
 // for a place here.
 func (g *Group) RecordReport(state *BackendState, report Report, waiting bool, at time.Time) {
-	if at.Before(state.reportAt) {
+	if at.Before(state.reportedAt) {
 		return
 	}
 	if report.Slowdown > 0 {
 		if !state.slowdown.at.IsZero() {
-			g.probeWorth.told(state.slowdown.last, report.Slowdown, at.Sub(state.slowdown.at))
+			g.reportAge.recordReports(state.slowdown.last, report.Slowdown, at.Sub(state.slowdown.at))
 		}
-		g.common.report(report.Slowdown)
-		state.slowdown.report(at, report.Slowdown)
+		g.commonSlowdown.record(report.Slowdown)
+		state.slowdown.record(at, report.Slowdown)
 	}
 	if report.WarmUpLeft > 0 {
-		state.cool(at, report.WarmUpLeft)
+		state.setCold(at, report.WarmUpLeft)
 	}
 	inFlight := report.InFlight
-	state.learnWindow(inFlight, waiting, g.leastWindow(state.Slots))
-	state.reported = max(inFlight-state.InFlight, 0)
-	state.reportAt = at
+	state.adjustWindow(inFlight, waiting, g.minWindow(state.Slots))
+	state.reportedInFlight = max(inFlight-state.InFlight, 0)
+	state.reportedAt = at
 }
 
 // SetPeers notes what other daemons together have in flight at a back end.
 func (g *Group) SetPeers(id string, inFlight int, at time.Time) {
-	if state, ok := g.byID[id]; ok && at.After(state.peersAt) {
-		state.peers, state.peersAt = inFlight, at
+	if state, ok := g.byID[id]; ok && at.After(state.peerInFlightAt) {
+		state.peerInFlight, state.peerInFlightAt = inFlight, at
 	}
 }
 
 func contains(list []string, id string) bool {
-	for _, one := range list {
-		if one == id {
+	for _, entry := range list {
+		if entry == id {
 			return true
 		}
 	}
--- a/routing/hold.go
+++ b/routing/hold.go
@@ -10,11 +10,11 @@
 
 // held says whether no request should begin at a back end now. That ends by itself, as
 // the report that says so gets old.
-func (s *BackendState) held(now time.Time) bool {
+func (s *BackendState) deferred(now time.Time) bool {
 	if s.slowdown.reports == 0 {
 		return false
 	}
-	limit := DisturbedFactor * s.slowdown.usual()
+	threshold := DisturbedFactor * s.slowdown.baseline()
 	// What is expected lies between the last report and what is usual.
-	return s.slowdown.last > limit && s.slowdown.expected(now) > limit
+	return s.slowdown.last > threshold && s.slowdown.expected(now) > threshold
 }
--- a/routing/learning_test.go
+++ b/routing/learning_test.go
@@ -144,7 +144,7 @@
 			inFlight = append(inFlight, running{picked: picked, ends: now.Add(taken)})
 		}
 	}
-	require.Equal(t, 4, group.learned.bySlots[4].best)
+	require.Equal(t, 4, group.concurrency.bySlots[4].best)
 }
 
 // TestWindowIsKept never sends more to a back end than its declared window,
@@ -166,7 +166,7 @@
 	group := newTestGroup(Backend{ID: "silent", Slots: 3, Window: 3}, Backend{ID: "well", Slots: 3, Window: 3})
 	for _, state := range group.states {
 		group.RecordReport(state, Report{Slowdown: 1}, false, start)
-		state.observe(work, 1)
+		state.recordLatency(work, 1)
 	}
 	now, toSilent := start, 0
 	for range 200 {
@@ -244,12 +244,12 @@
 	for number := range 100 {
 		group.RecordReport(group.byID["other"], Report{Slowdown: []float64{1, 3}[number%2]}, false, start)
 		group.RecordReport(busy, Report{Slowdown: 1}, false, start)
-		busy.observe(work, 1)
+		busy.recordLatency(work, 1)
 	}
 	pick(t, group, start, "")
-	busy.quietSince = start
-	require.LessOrEqual(t, busy.stall(start.Add(work)), 1.0)
-	require.Greater(t, busy.stall(start.Add(2*work)), 1.5)
+	busy.silentSince = start
+	require.LessOrEqual(t, busy.stallSlowdown(start.Add(work)), 1.0)
+	require.Greater(t, busy.stallSlowdown(start.Add(2*work)), 1.5)
 }
 
 // TestNewcomersGetRequests lets requests come that others could serve by themselves: a
@@ -262,10 +262,10 @@
 		told       float64 // slowdown that a probe brings before newcomerWait; 0: none
 		within     time.Duration
 	}{
-		{"known to be well", false, 1, newcomerWait + 10*time.Millisecond},
-		{"known to be disturbed", true, 5, newcomerBlind + 10*time.Millisecond},
-		{"unknown", true, 0, newcomerBlind + 10*time.Millisecond},
-		{"unknown, no request can be hedged", false, 0, newcomerLimit + 10*time.Millisecond},
+		{"known to be well", false, 1, firstRequestDelay + 10*time.Millisecond},
+		{"known to be disturbed", true, 5, firstRequestHedgeableDelay + 10*time.Millisecond},
+		{"unknown", true, 0, firstRequestHedgeableDelay + 10*time.Millisecond},
+		{"unknown, no request can be hedged", false, 0, firstRequestMaxDelay + 10*time.Millisecond},
 	} {
 		t.Run(one.name, func(t *testing.T) {
 			group := newTestGroup(Backend{ID: "a", Slots: 3, Window: 3})
@@ -274,7 +274,7 @@
 			group.Done(picked, start, Success, work)
 			group.SetBackends(start, []Backend{{ID: "a", Slots: 3, Window: 3}, {ID: "new", Slots: 3, Window: 3, Warm: true}})
 			for now := start; now.Sub(start) <= one.within; now = now.Add(10 * time.Millisecond) {
-				if one.told > 0 && now.Sub(start) == newcomerWait-50*time.Millisecond {
+				if one.told > 0 && now.Sub(start) == firstRequestDelay-50*time.Millisecond {
 					group.RecordReport(group.byID["new"], Report{Slowdown: one.told}, false, now)
 				}
 				picked, ok := group.Pick(now, Request{Repeatable: one.repeatable})
@@ -340,9 +340,9 @@
 	group.SetConcurrencyHint("a", 0)
 	group.SetConcurrencyHint("a", 4)
 	require.Equal(t, 3, group.BestInFlight("a"))
-	for range 5 * concurrencyPrior {
-		group.learned.observe(3, met{taken: work, inFlight: 2})
-		group.learned.observe(3, met{taken: 2 * work, inFlight: 3})
+	for range 5 * latencyPriorSamples {
+		group.concurrency.observe(3, inFlightStats{duration: work, mean: 2})
+		group.concurrency.observe(3, inFlightStats{duration: 2 * work, mean: 3})
 	}
 	require.Equal(t, 2, group.BestInFlight("a"))
 }
--- a/routing/leftout.go
+++ b/routing/leftout.go
@@ -17,7 +17,7 @@
 
 // UnavailableReason says why no back end takes requests.
 func (g *Group) UnavailableReason() string {
-	evacuated := g.count(func(state *BackendState) bool { return state.Evacuated })
+	evacuated := g.countStates(func(state *BackendState) bool { return state.Evacuated })
 	if evacuated == 0 {
 		return "every back end is draining or none is placed"
 	}
@@ -27,23 +27,23 @@
 // RestrictionSummary says how many back ends take no requests, or few, for what they are; empty: none.
 func (g *Group) RestrictionSummary(now time.Time) string {
 	var parts []string
-	if evacuated := g.count(func(state *BackendState) bool { return state.Evacuated }); evacuated > 0 {
+	if evacuated := g.countStates(func(state *BackendState) bool { return state.Evacuated }); evacuated > 0 {
 		parts = append(parts, fmt.Sprintf("%d of %d %s", evacuated, len(g.states), PhraseEvacuated))
 	}
-	if cold := g.count(func(state *BackendState) bool { return !state.Draining && state.Cold(now) }); cold > 0 {
+	if cold := g.countStates(func(state *BackendState) bool { return !state.Draining && state.Cold(now) }); cold > 0 {
 		parts = append(parts, fmt.Sprintf("%d of %d %s", cold, len(g.states), PhraseCold))
 	}
-	if limited := g.count(func(state *BackendState) bool { return !state.Draining && state.limit.Limited }); limited > 0 {
+	if limited := g.countStates(func(state *BackendState) bool { return !state.Draining && state.limit.Limited }); limited > 0 {
 		parts = append(parts, fmt.Sprintf("%d of %d %s", limited, len(g.states), PhraseLimited))
 	}
 	return strings.Join(parts, ", ")
 }
 
 // count returns how many back ends are as asked for.
-func (g *Group) count(is func(state *BackendState) bool) int {
+func (g *Group) countStates(match func(state *BackendState) bool) int {
 	count := 0
 	for _, state := range g.states {
-		if is(state) {
+		if match(state) {
 			count++
 		}
 	}
--- a/routing/limit.go
+++ b/routing/limit.go
@@ -9,10 +9,10 @@
 
 // leastAsked is how many requests a second a back end gets that takes fewer, or none: one in 5 s. Only
 // an answer tells that its limit has ended, and nobody else would ask.
-const leastAsked = 0.2
+const minRequestRate = 0.2
 
 // usedSpan is over what time the requests to a limited back end are averaged, for operators.
-const usedSpan = 4 * time.Second
+const usedRateWindow = 4 * time.Second
 
 // requestLimit is what a back end says of how many requests it takes. The zero value takes any number.
 type requestLimit struct {
@@ -37,10 +37,10 @@
 	switch {
 	case limit.Limited && !s.limit.Limited:
 		s.limit = requestLimit{since: now}
-		s.limit.pacing.last = now
+		s.limit.pacing.lastSent = now
 	case !limit.Limited && s.limit.Limited:
 		s.limit = requestLimit{}
-		s.warmth = 0
+		s.slowStartAnswers = 0
 	}
 	if s.limit.Limit != limit {
 		s.limit.Limit, s.limit.since = limit, now
@@ -48,22 +48,22 @@
 }
 
 // takes returns how many requests a second a limited back end is sent.
-func (l *requestLimit) takes() float64 {
-	return max(l.PerSecond, leastAsked)
+func (l *requestLimit) rate() float64 {
+	return max(l.PerSecond, minRequestRate)
 }
 
 // permits says whether a daemon that may use a share of the limit may send something now.
 func (g *Group) permits(state *BackendState, now time.Time, share Share) bool {
-	return !state.limit.Limited || state.limit.pacing.due(now, state.limit.takes(), share, g.options.Random)
+	return !state.limit.Limited || state.limit.pacing.due(now, state.limit.rate(), share, g.options.Random)
 }
 
 // count notes a request or a probe that is sent to the back end.
-func (l *requestLimit) count(now time.Time) {
+func (l *requestLimit) recordSend(now time.Time) {
 	if !l.Limited {
 		return
 	}
-	l.pacing.sent(now)
-	l.used.Add(now, usedSpan, 1)
+	l.pacing.recordSend(now)
+	l.used.Add(now, usedRateWindow, 1)
 }
 
 // LimitStatus is what operators see of a back end's limit.
@@ -78,5 +78,5 @@
 	if !s.limit.Limited {
 		return nil
 	}
-	return &LimitStatus{PerSecond: s.limit.PerSecond, Used: s.limit.used.At(now, usedSpan), Age: now.Sub(s.limit.since)}
+	return &LimitStatus{PerSecond: s.limit.PerSecond, Used: s.limit.used.At(now, usedRateWindow), Age: now.Sub(s.limit.since)}
 }
--- a/routing/limit_test.go
+++ b/routing/limit_test.go
@@ -52,7 +52,7 @@
 		"the only one":            {backends: []Backend{limited}},
 		"a retry":                 {backends: []Backend{other, limited}, request: Request{Tried: []string{"other"}, Repeatable: true}},
 		"bound to it":             {backends: []Backend{limited}, request: Request{Session: "a"}},
-		"it has had no request":   {backends: []Backend{other, limited}, prepare: func(group *Group) { group.State("limited").met = false }},
+		"it has had no request":   {backends: []Backend{other, limited}, prepare: func(group *Group) { group.State("limited").used = false }},
 		"it is ejected, and back": {backends: []Backend{limited}, request: Request{Repeatable: true}, prepare: func(group *Group) { group.State("limited").health.RecordExit(start) }},
 		"its window is declared": {
 			backends: []Backend{other, {ID: "limited", Slots: 2, Window: 2, Warm: true}},
@@ -201,7 +201,7 @@
 	now := start.Add(30 * time.Second)
 	require.False(t, state.Ejected(now))
 	require.False(t, state.Cold(now))
-	require.Zero(t, state.quiet(now))
+	require.Zero(t, state.silence(now))
 }
 
 // TestFoundDaemonsMayHaveSent sends a limited back end nothing for a whole spacing after daemons were
@@ -215,7 +215,7 @@
 	require.True(t, sent)
 	found := start.Add(6 * time.Second)
 	request := Request{Session: "a", LimitShare: Share{Fraction: 1, Since: found}}
-	for now := found; now.Sub(found) < spacingOf(limit); now = now.Add(50 * time.Millisecond) {
+	for now := found; now.Sub(found) < sendInterval(limit); now = now.Add(50 * time.Millisecond) {
 		_, sent := group.Pick(now, request)
 		require.False(t, sent)
 		_, wanted := group.HealthProbeTarget(now, time.Second)
@@ -223,7 +223,7 @@
 	}
 	next, bound := group.SessionBlockedUntil(start, request)
 	require.True(t, bound)
-	require.Equal(t, found.Add(spacingOf(limit)), next)
+	require.Equal(t, found.Add(sendInterval(limit)), next)
 	_, sent = group.Pick(next, request)
 	require.True(t, sent)
 }
--- a/routing/outcome.go
+++ b/routing/outcome.go
@@ -29,29 +29,29 @@
 // Done notes the end of a request that Pick counted as sent.
 func (g *Group) Done(picked PickResult, now time.Time, outcome Outcome, latency time.Duration) {
 	state := picked.Backend
-	state.pass(now)
+	state.advanceOccupancy(now)
 	state.InFlight--
-	g.working.ended()
+	g.workingSet.requestEnded()
 	if outcome == Canceled {
-		state.gaveUp(now)
+		state.recordAbandoned(now)
 	} else {
-		state.heard, state.quietSince = now, now
+		state.heardAt, state.silentSince = now, now
 	}
 	if state.InFlight == 0 {
-		state.quietSince = time.Time{}
+		state.silentSince = time.Time{}
 	}
 	switch outcome {
 	case Success:
 		state.health.RecordSuccess()
-		state.warmth++
-		state.observe(latency, picked.slowdown)
-		g.probeWorth.work = averaged(g.probeWorth.work, state.work)
-		g.learn(picked)
+		state.slowStartAnswers++
+		state.recordLatency(latency, picked.slowdownAtPick)
+		g.reportAge.baseLatency = ewma(g.reportAge.baseLatency, state.baseLatency)
+		g.learnConcurrency(picked)
 	case ErrorResponse, Unserved:
 		state.health.RecordFailure(now)
 	case PushedBack:
 		state.health.RecordFailure(now)
-		state.warmth = 0 // it begins with one request at a time, so that not all come back together
+		state.slowStartAnswers = 0 // it begins with one request at a time, so that not all come back together
 	case ProcessExited:
 		// Where one back end after another ended, ten a service and one each 300 ms,
 		// 0.84 of the requests were answered while those that had ended were tried on
@@ -66,31 +66,31 @@
 // gaveUp notes that a request was given up on before its answer: by its caller, or
 // because another back end answered first. How long the back end has been silent
 // is all that this tells.
-func (s *BackendState) gaveUp(now time.Time) {
+func (s *BackendState) recordAbandoned(now time.Time) {
 	if !s.slowdown.known() {
 		return
 	}
-	stall := s.stall(now)
+	stall := s.stallSlowdown(now)
 	if stall > s.slowdown.expected(now) {
 		s.slowdown.last, s.slowdown.at = stall, now
 	}
-	if s.latency > 0 && s.quiet(now) > stallLimit*s.latency {
+	if s.latency > 0 && s.silence(now) > maxSilenceLatencies*s.latency {
 		s.health.RecordFailure(now)
 	}
 }
 
 // observe takes in the latency of an answer, and the slowdown that was expected when
 // its request was sent.
-func (s *BackendState) observe(latency time.Duration, slowdown float64) {
-	s.latency = averaged(s.latency, latency)
-	s.work = averaged(s.work, time.Duration(float64(latency)/max(slowdown, 1)))
-	s.root = math.Sqrt(s.latency.Seconds())
+func (s *BackendState) recordLatency(latency time.Duration, slowdown float64) {
+	s.latency = ewma(s.latency, latency)
+	s.baseLatency = ewma(s.baseLatency, time.Duration(float64(latency)/max(slowdown, 1)))
+	s.latencyRoot = math.Sqrt(s.latency.Seconds())
 }
 
 // averaged moves an average, 0 before the first value, towards a value.
-func averaged(average, value time.Duration) time.Duration {
-	if average == 0 {
+func ewma(mean, value time.Duration) time.Duration {
+	if mean == 0 {
 		return value
 	}
-	return average + time.Duration(latencyWeight*float64(value-average))
+	return mean + time.Duration(latencyWeight*float64(value-mean))
 }
--- a/routing/picker.go
+++ b/routing/picker.go
@@ -49,8 +49,8 @@
 	// learned; 0: that is not known yet.
 	BestInFlight int
 
-	slowdown float64   // expected when it was picked
-	begun    occupancy // of the back end when it was picked
+	slowdownAtPick  float64   // expected when it was picked
+	occupancyAtPick occupancy // of the back end when it was picked
 }
 
 // LeastLoad picks the candidate with the smallest load, counted in requests a
@@ -70,15 +70,15 @@
 
 // LowestScore returns the index of the candidate with the smallest score, at random
 // among equals. score may return anything above most where the score is above it.
-func LowestScore(info PickInfo, score func(candidate *BackendState, most float64) float64) int {
+func LowestScore(info PickInfo, score func(candidate *BackendState, bound float64) float64) int {
 	best, ties := 0, 0
-	least := math.Inf(1)
+	lowest := math.Inf(1)
 	for index, candidate := range info.Candidates {
-		value := score(candidate, least)
+		value := score(candidate, lowest)
 		switch {
-		case value < least:
-			best, least, ties = index, value, 1
-		case value == least:
+		case value < lowest:
+			best, lowest, ties = index, value, 1
+		case value == lowest:
 			ties++
 			if info.Random.IntN(ties) == 0 {
 				best = index
--- a/routing/probe_test.go
+++ b/routing/probe_test.go
@@ -88,7 +88,7 @@
 				now = now.Add(time.Duration(rapid.IntRange(1, 60).Draw(t, "ms")) * time.Millisecond)
 			},
 			"": func(t *rapid.T) {
-				require.LessOrEqual(t, probes, probesPerPick*picks)
+				require.LessOrEqual(t, probes, probeCreditPerPick*picks)
 			},
 		})
 	})
@@ -119,7 +119,7 @@
 		now = now.Add(spacing)
 	}
 	require.Positive(t, asked["b"])
-	require.GreaterOrEqual(t, asked["c"], introductions)
-	require.Equal(t, introductions, group.byID["c"].introduced)
-	require.False(t, group.byID["b"].reportAt.IsZero())
+	require.GreaterOrEqual(t, asked["c"], maxIntroductions)
+	require.Equal(t, maxIntroductions, group.byID["c"].introductions)
+	require.False(t, group.byID["b"].reportedAt.IsZero())
 }
--- a/routing/slowdown.go
+++ b/routing/slowdown.go
@@ -10,54 +10,54 @@
 const (
 	// slowdownMemory is the age at which a report of it counts 1/e; the
 	// neighbours that cause it come and go within a fraction of a second.
-	slowdownMemory = 150 * time.Millisecond
+	slowdownDecayTime = 150 * time.Millisecond
 	// slowdownForgotten is the age at which a report counts less than 1/20,000, and is
 	// left out: that spares reckoning it.
-	slowdownForgotten = 10 * slowdownMemory
+	slowdownMaxAge = 10 * slowdownDecayTime
 	// usualWeight is the weight of a new report in what is usual at its back end.
-	usualWeight = 0.02
+	ownWeight = 0.02
 	// commonWeight is the weight of a new report in what is usual at all back ends.
 	commonWeight = 0.01
 	// commonStart is what is taken for usual at first.
-	commonStart = 1.5
+	initialCommonSlowdown = 1.5
 	// commonSamples is for how many reports commonStart counts among those of all.
-	commonSamples = 5
+	initialCommonSamples = 5
 	// ownSamples is for how many reports of a back end what is usual at all counts.
-	ownSamples = 50
+	commonPriorSamples = 50
 )
 
 // common is the slowdown that the back ends of a service usually tell. It is expected
 // of those that have told nothing, or hardly anything. The zero value has heard none.
-type common struct {
+type commonSlowdown struct {
 	value   float64
 	reports int
 }
 
 // report takes in what any back end told.
-func (c *common) report(value float64) {
+func (c *commonSlowdown) record(value float64) {
 	if c.reports == 0 {
-		c.value = commonStart
+		c.value = initialCommonSlowdown
 	}
 	c.reports++
-	weight := max(commonWeight, 1/float64(c.reports+commonSamples))
+	weight := max(commonWeight, 1/float64(c.reports+initialCommonSamples))
 	c.value += weight * (value - c.value)
 }
 
 // slowdown is what is known of how much longer work takes at a back end than
 // usually. The zero value is a back end that has told nothing.
 type slowdown struct {
-	last    float64
-	at      time.Time
-	own     float64 // moving average of what it told
-	reports int
-	common  *common // of all back ends of the service; nil: there are no others
+	last       float64
+	at         time.Time
+	ownAverage float64 // moving average of what it told
+	reports    int
+	common     *commonSlowdown // of all back ends of the service; nil: there are no others
 }
 
 // report takes in what the back end told.
-func (s *slowdown) report(now time.Time, value float64) {
+func (s *slowdown) record(now time.Time, value float64) {
 	s.reports++
-	weight := max(usualWeight, 1/float64(s.reports))
-	s.own += weight * (value - s.own)
+	weight := max(ownWeight, 1/float64(s.reports))
+	s.ownAverage += weight * (value - s.ownAverage)
 	s.last, s.at = value, now
 }
 
@@ -68,12 +68,12 @@
 
 // usual is the slowdown to be expected without a recent report: what is usual at all
 // back ends, which gives way to what is usual here with the number of reports.
-func (s *slowdown) usual() float64 {
+func (s *slowdown) baseline() float64 {
 	if s.common == nil || s.common.reports == 0 {
-		return s.own
+		return s.ownAverage
 	}
-	weight := float64(s.reports) / float64(s.reports+ownSamples)
-	return s.common.value + weight*(s.own-s.common.value)
+	weight := float64(s.reports) / float64(s.reports+commonPriorSamples)
+	return s.common.value + weight*(s.ownAverage-s.common.value)
 }
 
 // expected returns the slowdown to be expected now: the last report, which
@@ -82,26 +82,26 @@
 	if !s.known() {
 		return 1
 	}
-	usual := s.usual()
+	baseline := s.baseline()
 	if s.at.IsZero() {
-		return usual
+		return baseline
 	}
 	age := now.Sub(s.at)
-	if age > slowdownForgotten {
-		return usual
+	if age > slowdownMaxAge {
+		return baseline
 	}
-	weight := recent.Decay(age, slowdownMemory)
-	return usual + weight*(s.last-usual)
+	weight := recent.Decay(age, slowdownDecayTime)
+	return baseline + weight*(s.last-baseline)
 }
 
 // least is a bound below expected that costs less to reckon.
-func (s *slowdown) least() float64 {
+func (s *slowdown) lowerBound() float64 {
 	if !s.known() {
 		return 1
 	}
-	usual := s.usual()
+	baseline := s.baseline()
 	if s.at.IsZero() {
-		return usual
+		return baseline
 	}
-	return min(usual, s.last)
+	return min(baseline, s.last)
 }
--- a/routing/state.go
+++ b/routing/state.go
@@ -53,58 +53,58 @@
 // BackendState is what one daemon knows of one back end.
 type BackendState struct {
 	Backend
-	zoneNumber int    // of its zone in the group
-	order      uint64 // in which back ends are drawn on; 0: not reckoned yet
+	zoneIndex int    // of its zone in the group
+	hashOrder uint64 // in which back ends are drawn on; 0: not reckoned yet
 	// InFlight counts this daemon's requests at the back end.
 	InFlight int
 	// Draining back ends get no new requests.
 	Draining bool
 
-	latency  time.Duration // moving average over answers; 0: none yet
-	work     time.Duration // the same without the slowdown that was expected
-	root     float64       // square root of the latency, in seconds
-	reported int           // requests of other daemons, from the last report
-	reportAt time.Time
-	peers    int // requests of other daemons, as told by them
-	peersAt  time.Time
-	warmth   int // answers since the back end appeared or came back
-	health   outlier.Detector
-	heard    time.Time // of the last answer or probe
-	window   float64   // most requests of this daemon at the back end
-	slowdown slowdown
-	warmUp   warmUp
-	limit    requestLimit
+	latency          time.Duration // moving average over answers; 0: none yet
+	baseLatency      time.Duration // the same without the slowdown that was expected
+	latencyRoot      float64       // square root of the latency, in seconds
+	reportedInFlight int           // requests of other daemons, from the last report
+	reportedAt       time.Time
+	peerInFlight     int // requests of other daemons, as told by them
+	peerInFlightAt   time.Time
+	slowStartAnswers int // answers since the back end appeared or came back
+	health           outlier.Detector
+	heardAt          time.Time // of the last answer or probe
+	window           float64   // most requests of this daemon at the back end
+	slowdown         slowdown
+	warmUp           warmUp
+	limit            requestLimit
 	// bound is how many requests it is to hold at most, of those with a declared window.
-	bound      int
-	sinceBound int  // requests that succeeded since it was chosen
-	boundShort bool // places were short then
-	occupancy  occupancy
-	probing    bool      // a probe for a fresher report is under way
-	followed   time.Time // when the last request began of which it is to be learned what it met; zero: none
-	probedAt   time.Time
+	bound             int
+	answersSinceBound int  // requests that succeeded since it was chosen
+	boundWhenShort    bool // places were short then
+	occupancy         occupancy
+	loadProbing       bool      // a probe for a fresher report is under way
+	arrivalProbeSince time.Time // when the last request began of which it is to be learned what it met; zero: none
+	loadProbedAt      time.Time
 	// introduced is how often it was asked for its first report.
-	introduced  int
-	seenAt      time.Time // when it could first have got a request; zero: never yet
-	met         bool      // it has got one
-	excludedFor uint64    // the request, by its number in the group, that must not reach it
+	introductions     int
+	eligibleSince     time.Time // when it could first have got a request; zero: never yet
+	used              bool      // it has got one
+	excludedInRequest uint64    // the request, by its number in the group, that must not reach it
 	// quietSince is since when the back end holds requests and has answered
 	// none; zero: it holds none.
-	quietSince time.Time
+	silentSince time.Time
 }
 
 // PeerInFlight estimates the requests of other daemons at the back end from the
 // freshest source, which counts less the older it is.
 func (s *BackendState) PeerInFlight(now time.Time) float64 {
-	if s.peers == 0 && s.reported == 0 {
+	if s.peerInFlight == 0 && s.reportedInFlight == 0 {
 		return 0
 	}
-	if s.peersAt.After(s.reportAt) {
-		return decay(s.peers, now.Sub(s.peersAt), peerHalfLife)
+	if s.peerInFlightAt.After(s.reportedAt) {
+		return decay(s.peerInFlight, now.Sub(s.peerInFlightAt), peerHalfLife)
 	}
-	if s.reportAt.IsZero() {
+	if s.reportedAt.IsZero() {
 		return 0
 	}
-	return decay(s.reported, now.Sub(s.reportAt), reportHalfLife)
+	return decay(s.reportedInFlight, now.Sub(s.reportedAt), reportHalfLife)
 }
 
 // decay halves the count for each half-life of age, by straight lines between
@@ -127,33 +127,33 @@
 // score is what the back end costs a request from an origin: its load, weighed by the
 // latency or, where the back end tells it, by how much longer work takes there now, and
 // then by its zone. Where it would be most or more, anything from most on is returned.
-func (s *BackendState) score(now time.Time, from origin, most float64) float64 {
-	load := s.load(now) * s.farther()
+func (s *BackendState) score(now time.Time, from origin, bound float64) float64 {
+	load := s.load(now) * s.regionWeight()
 	if !s.slowdown.known() {
-		return load * s.root
+		return load * s.latencyRoot
 	}
 	if from.zone != s.Zone {
-		load *= from.otherZone()
+		load *= from.otherZoneWeight()
 	}
-	return s.slowed(now, load, most)
+	return s.slowdownScore(now, load, bound)
 }
 
 // nearScore is the score for a request from the back end's own zone.
-func (s *BackendState) nearScore(now time.Time, most float64) float64 {
-	load := s.load(now) * s.farther()
+func (s *BackendState) sameZoneScore(now time.Time, bound float64) float64 {
+	load := s.load(now) * s.regionWeight()
 	if !s.slowdown.known() {
-		return load * s.root
+		return load * s.latencyRoot
 	}
-	return s.slowed(now, load, most)
+	return s.slowdownScore(now, load, bound)
 }
 
 // slowed is a load times the slowdown that is to be expected. Most back ends are known to
 // be no better than the best so far before that is reckoned.
-func (s *BackendState) slowed(now time.Time, load, most float64) float64 {
-	if least := load * s.slowdown.least(); least > most {
-		return least
+func (s *BackendState) slowdownScore(now time.Time, load, bound float64) float64 {
+	if lower := load * s.slowdown.lowerBound(); lower > bound {
+		return lower
 	}
-	return load * max(s.slowdown.expected(now), s.stall(now))
+	return load * max(s.slowdown.expected(now), s.stallSlowdown(now))
 }
 
 // load is the load with one more request. Where slowdowns are told, slots that are free
@@ -168,17 +168,17 @@
 
 // pace returns how many requests the back end finishes in a second, as far as its latency
 // and what it bears tell.
-func (s *BackendState) pace(now time.Time) float64 {
+func (s *BackendState) serviceRate(now time.Time) float64 {
 	places := s.Slots
 	if s.OtherRegion {
-		places = s.room(now)
+		places = s.otherRegionRoom(now)
 	}
 	perSecond := float64(places) / s.Latency().Seconds()
-	if s.spares(now) {
+	if s.limitedByWarmUp(now) {
 		perSecond = min(perSecond, s.WarmUp.PerSecond)
 	}
 	if s.limit.Limited {
-		perSecond = min(perSecond, s.limit.takes())
+		perSecond = min(perSecond, s.limit.rate())
 	}
 	return perSecond
 }
@@ -190,41 +190,41 @@
 }
 
 // otherZone is how much a back end in another zone counts more for the request.
-func (o origin) otherZone() float64 {
+func (o origin) otherZoneWeight() float64 {
 	if o.repeatable {
-		return otherZone
+		return otherZoneWeight
 	}
-	return otherZoneOnce
+	return otherZoneOnceWeight
 }
 
 // stall is the slowdown that the back end's silence tells: it holds requests and
 // has not answered any for so many times the time that they take undisturbed.
-func (s *BackendState) stall(now time.Time) float64 {
-	if s.work == 0 {
+func (s *BackendState) stallSlowdown(now time.Time) float64 {
+	if s.baseLatency == 0 {
 		return 0
 	}
-	return float64(s.quiet(now)) / float64(s.work)
+	return float64(s.silence(now)) / float64(s.baseLatency)
 }
 
 // quiet returns for how long the back end has held requests and answered none.
-func (s *BackendState) quiet(now time.Time) time.Duration {
-	if s.quietSince.IsZero() {
+func (s *BackendState) silence(now time.Time) time.Duration {
+	if s.silentSince.IsZero() {
 		return 0
 	}
-	return now.Sub(s.quietSince)
+	return now.Sub(s.silentSince)
 }
 
 // stallLimit is for how many times its latency a back end may be quiet, before a
 // request that was given up on counts as failed.
-const stallLimit = 4
+const maxSilenceLatencies = 4
 
 // otherZone is how much a back end in another zone counts more: its wire is longer
 // and its bytes cost, but a free or undisturbed one is worth more than a near one.
-const otherZone = 1.9
+const otherZoneWeight = 1.9
 
 // otherZoneOnce is the same for a request that may run once only: it cannot be sent to
 // a second back end when the first turns out to be slow.
-const otherZoneOnce = 1.2
+const otherZoneOnceWeight = 1.2
 
 // slotWeight is how much a slot's load counts while slots are free, against the time that
 // work takes: of two slots the second costs 1.4 times as much as the first. At 0.5 it cost a
@@ -235,42 +235,42 @@
 const slotWeight = 1.5
 
 // mostInFlight bounds this daemon's requests at the back end.
-func (s *BackendState) mostInFlight(slowStart bool) int {
+func (s *BackendState) maxInFlight(slowStart bool) int {
 	full := int(s.window)
 	if !slowStart {
 		return full
 	}
-	return min(full, 1+s.warmth)
+	return min(full, 1+s.slowStartAnswers)
 }
 
 // Bounds and steps of the window; see learnWindow.
 const (
-	windowFactor = 8 // most requests a slot
-	windowUp     = 0.25
-	windowDown   = 0.05
-	windowExcess = 2 // queued requests at the back end that narrow the window
+	maxWindowPerSlot     = 8 // most requests a slot
+	windowIncrement      = 0.25
+	windowDecrement      = 0.05
+	windowQueueThreshold = 2 // queued requests at the back end that narrow the window
 )
 
 // learnWindow widens the window of a back end that has a free slot while
 // requests wait for it here, as the wire is long against its work, and narrows
 // it again when its queue grows.
-func (s *BackendState) learnWindow(inFlight int, waiting bool, least float64) {
+func (s *BackendState) adjustWindow(inFlight int, waiting bool, minWindow float64) {
 	switch {
 	case s.Window > 0:
 		s.window = float64(s.Window)
 	case waiting && inFlight < s.Slots:
-		s.window = min(s.window+windowUp, float64(windowFactor*s.Slots))
-	case inFlight > s.Slots+windowExcess:
-		s.window = max(s.window-windowDown, least)
+		s.window = min(s.window+windowIncrement, float64(maxWindowPerSlot*s.Slots))
+	case inFlight > s.Slots+windowQueueThreshold:
+		s.window = max(s.window-windowDecrement, minWindow)
 	}
 }
 
 // ReportAge returns the age of the last report, or -1 when there was none.
 func (s *BackendState) ReportAge(now time.Time) time.Duration {
-	if s.reportAt.IsZero() {
+	if s.reportedAt.IsZero() {
 		return -1
 	}
-	return now.Sub(s.reportAt)
+	return now.Sub(s.reportedAt)
 }
 
 // Ejected says whether the back end is out for failing.
--- a/routing/version.go
+++ b/routing/version.go
@@ -31,7 +31,7 @@
 // unfamiliarTime is for how long a version that was not seen before gets no requests where versions
 // are rolled out by order: the order may be on its way. News that a deaf watch misses comes
 // within 1.4 s.
-const unfamiliarTime = 5 * time.Second
+const newVersionHold = 5 * time.Second
 
 // SetVersionRule sets what holds from now on.
 func (g *Group) SetVersionRule(rule VersionRule) {
@@ -40,27 +40,27 @@
 
 // SetHoldNewVersions lets versions that were not seen before get nothing for a moment.
 func (g *Group) SetHoldNewVersions(hold bool) {
-	g.holdsVersions = hold
+	g.holdsNewVersions = hold
 }
 
 // noteVersion notes that there are back ends of a version. first: they are the first back ends
 // that the group has, so that all versions are as familiar.
-func (g *Group) noteVersion(now time.Time, version string, first bool) {
-	if _, seen := g.versionSeen[version]; seen {
+func (g *Group) recordVersion(now time.Time, version string, initial bool) {
+	if _, seen := g.versionFirstSeen[version]; seen {
 		return
 	}
-	if g.versionSeen == nil {
-		g.versionSeen = make(map[string]time.Time)
+	if g.versionFirstSeen == nil {
+		g.versionFirstSeen = make(map[string]time.Time)
 	}
-	if first {
+	if initial {
 		now = time.Time{}
 	}
-	g.versionSeen[version] = now
+	g.versionFirstSeen[version] = now
 }
 
 // out says whether a back end gets no requests, for it leaves or for its version.
-func (g *Group) out(state *BackendState, now time.Time) bool {
-	return state.Draining || g.excluded(state) || g.unfamiliar(state, now)
+func (g *Group) unavailable(state *BackendState, now time.Time) bool {
+	return state.Draining || g.versionExcluded(state) || g.versionHeld(state, now)
 }
 
 // ExcludesVersion says whether a version gets no requests, not even to be judged by.
@@ -75,7 +75,7 @@
 }
 
 // excluded says whether a back end's version gets no requests but those it may be judged by.
-func (g *Group) excluded(state *BackendState) bool {
+func (g *Group) versionExcluded(state *BackendState) bool {
 	switch g.versionRule.Use {
 	case CanaryVersion, ExcludedVersion:
 		return state.Version == g.versionRule.Version
@@ -85,12 +85,12 @@
 	return false
 }
 
-func (g *Group) unfamiliar(state *BackendState, now time.Time) bool {
-	if !g.holdsVersions || g.versionRule.Use != AnyVersion && g.versionRule.Version == state.Version {
+func (g *Group) versionHeld(state *BackendState, now time.Time) bool {
+	if !g.holdsNewVersions || g.versionRule.Use != AnyVersion && g.versionRule.Version == state.Version {
 		return false // what holds for the version is known
 	}
-	seen := g.versionSeen[state.Version]
-	return !seen.IsZero() && now.Sub(seen) < unfamiliarTime
+	seen := g.versionFirstSeen[state.Version]
+	return !seen.IsZero() && now.Sub(seen) < newVersionHold
 }
 
 // turnMultiplier spreads the turns over all bits of a hash: 2^64 by the golden ratio (Fibonacci hashing).
@@ -108,7 +108,7 @@
 	g.markExcluded(now, &request)
 	for _, state := range g.states {
 		if state.Version != version || state.Draining || g.excludes(state) || state.Ejected(now) || contains(request.Tried, state.ID) ||
-			state.InFlight >= g.mostWithin(state, now, max(state.bound, state.Slots)) || !g.bears(state, now, request.sender()) {
+			state.InFlight >= g.maxInFlightWithin(state, now, max(state.bound, state.Slots)) || !g.withinRateLimits(state, now, request.dispatchRole()) {
 			continue
 		}
 		candidates++
@@ -123,10 +123,10 @@
 	if best == nil {
 		return PickResult{}, false
 	}
-	g.sent(best, now)
+	g.recordSend(best, now)
 	return PickResult{
 		Backend: best, Reason: ReasonCanary, Candidates: candidates, ReportAge: best.ReportAge(now),
-		slowdown: best.slowdown.expected(now), begun: best.occupancy, BestInFlight: g.learned.known(best.Window),
+		slowdownAtPick: best.slowdown.expected(now), occupancyAtPick: best.occupancy, BestInFlight: g.concurrency.settledBest(best.Window),
 	}, true
 }
 
--- a/routing/warmup.go
+++ b/routing/warmup.go
@@ -11,28 +11,28 @@
 // warmUp bounds the requests that a cold back end gets from this daemon. The zero value
 // is warm.
 type warmUp struct {
-	until  time.Time // it counts as cold until then
-	pacing pacing
+	coldUntil time.Time // it counts as cold until then
+	pacing    pacing
 }
 
 // Cold says whether the back end has to be spared, as it has not run for long.
 func (s *BackendState) Cold(now time.Time) bool {
-	return now.Before(s.warmUp.until)
+	return now.Before(s.warmUp.coldUntil)
 }
 
 // cool notes that the back end may have turned cold now, and how long that lasts at most.
-func (s *BackendState) cool(now time.Time, left time.Duration) {
-	s.warmth = 0
-	s.warmUp.until = now.Add(left)
+func (s *BackendState) setCold(now time.Time, left time.Duration) {
+	s.slowStartAnswers = 0
+	s.warmUp.coldUntil = now.Add(left)
 }
 
 // warmedUp notes that the back end is known to have run for a while.
-func (s *BackendState) warmedUp() {
+func (s *BackendState) setWarm() {
 	s.warmUp = warmUp{}
-	s.warmth = s.Slots * windowFactor
+	s.slowStartAnswers = s.Slots * maxWindowPerSlot
 }
 
 // spares says whether the back end is cold, and bears only so much.
-func (s *BackendState) spares(now time.Time) bool {
+func (s *BackendState) limitedByWarmUp(now time.Time) bool {
 	return s.WarmUp.PerSecond > 0 && s.Cold(now)
 }
--- a/routing/warmup_test.go
+++ b/routing/warmup_test.go
@@ -132,7 +132,7 @@
 	group := warmUpGroup(1, Backend{ID: "a", Slots: 2, Window: 2, WarmUp: bearing})
 	_, ok := group.Pick(start, Request{})
 	require.True(t, ok)
-	group.State("a").reportAt = start.Add(-time.Second)
+	group.State("a").reportedAt = start.Add(-time.Second)
 	_, wanted := group.LoadProbeTarget(start.Add(10*time.Millisecond), 25*time.Millisecond, 0)
 	require.False(t, wanted)
 }
--- a/routing/working.go
+++ b/routing/working.go
@@ -16,124 +16,124 @@
 const (
 	// reserve is how many slots the working set has for each request in flight at the peak of the
 	// last seconds.
-	reserve = 8
+	slotsPerInFlight = 8
 	// leastWorking is how many back ends are always in it: a walk over as many takes 15 us, and in
 	// smaller services the zones of a region would have few of them each.
-	leastWorking = 256
+	minWorkingSet = 256
 	// peakSpan is over what time the peak of requests in flight fades.
-	peakSpan = 10 * time.Second
+	peakDecayTime = 10 * time.Second
 	// enoughFree is the part of the set that must be free; it grows by growBy where less is.
-	enoughFree = 0.25
-	growBy     = 1.25
+	minFreeFraction = 0.25
+	growFactor      = 1.25
 	// shrinkEvery and shrinkBy are how it shrinks that is larger than it need be.
-	shrinkEvery = time.Second
-	shrinkBy    = 0.95
+	shrinkInterval = time.Second
+	shrinkFactor   = 0.95
 	// newcomersLooked is how many back ends that have had no request yet are looked at for a
 	// request, besides the set.
-	newcomersLooked = 8
+	maxUnusedScanned = 8
 	// newcomerTurns is for one request in how many they are looked at where they are many: each
 	// request would go to one otherwise, for as long as it takes.
-	newcomerTurns = 4
+	unusedScanInterval = 4
 )
 
 // working is the working set of a group. The zero value has no back ends.
-type working struct {
-	order     []*BackendState // all, in the order in which they are drawn on
-	size      int
-	turns     int             // requests for which newcomers were to be looked at
-	newcomers []*BackendState // that have had no request yet and came after the first, oldest first
-	inFlight  int
-	peak      float64
-	peakAt    time.Time
-	shrunk    time.Time
+type workingSet struct {
+	order           []*BackendState // all, in the order in which they are drawn on
+	size            int
+	unusedScanTurns int             // requests for which newcomers were to be looked at
+	unused          []*BackendState // that have had no request yet and came after the first, oldest first
+	inFlight        int
+	peak            float64
+	peakAt          time.Time
+	shrunkAt        time.Time
 }
 
 // setAll sets the back ends. The order is that of their hashes, so that the set has back ends of all
 // zones and a change of the list hardly moves it.
-func (w *working) setAll(now time.Time, states []*BackendState) {
+func (w *workingSet) setBackends(now time.Time, states []*BackendState) {
 	w.order = slices.Clone(states)
 	for _, state := range states {
-		if state.order == 0 {
-			state.order = xxhash.Sum64String(state.ID)
+		if state.hashOrder == 0 {
+			state.hashOrder = xxhash.Sum64String(state.ID)
 		}
 	}
-	slices.SortFunc(w.order, func(a, b *BackendState) int { return cmp.Compare(a.order, b.order) })
+	slices.SortFunc(w.order, func(a, b *BackendState) int { return cmp.Compare(a.hashOrder, b.hashOrder) })
 	w.inFlight = 0
-	w.newcomers = w.newcomers[:0]
+	w.unused = w.unused[:0]
 	for _, state := range states {
 		w.inFlight += state.InFlight
-		if !state.met {
-			w.newcomers = append(w.newcomers, state)
+		if !state.used {
+			w.unused = append(w.unused, state)
 		}
 	}
-	if len(w.newcomers) > newcomersLooked {
+	if len(w.unused) > maxUnusedScanned {
 		// Not all are looked at soon: their time begins now.
-		for _, state := range w.newcomers {
-			if state.seenAt.IsZero() {
-				state.seenAt = now
+		for _, state := range w.unused {
+			if state.eligibleSince.IsZero() {
+				state.eligibleSince = now
 			}
 		}
 	}
-	w.size = min(max(w.size, leastWorking), len(w.order))
+	w.size = min(max(w.size, minWorkingSet), len(w.order))
 }
 
 // began and ended count a request.
-func (w *working) began(now time.Time) {
+func (w *workingSet) requestStarted(now time.Time) {
 	w.inFlight++
-	w.peak = max(w.peakNow(now), float64(w.inFlight))
+	w.peak = max(w.decayedPeak(now), float64(w.inFlight))
 	w.peakAt = now
 }
 
-func (w *working) ended() {
+func (w *workingSet) requestEnded() {
 	w.inFlight = max(w.inFlight-1, 0)
 }
 
-func (w *working) peakNow(now time.Time) float64 {
+func (w *workingSet) decayedPeak(now time.Time) float64 {
 	if w.peakAt.IsZero() {
 		return 0
 	}
-	return w.peak * recent.Decay(now.Sub(w.peakAt), peakSpan)
+	return w.peak * recent.Decay(now.Sub(w.peakAt), peakDecayTime)
 }
 
 // set returns the back ends that a request may go to now, without the newcomers.
-func (w *working) set(now time.Time) []*BackendState {
-	if len(w.order) <= leastWorking {
+func (w *workingSet) members(now time.Time) []*BackendState {
+	if len(w.order) <= minWorkingSet {
 		return w.order
 	}
 	slots := 0
-	for _, state := range w.order[:leastWorking] {
+	for _, state := range w.order[:minWorkingSet] {
 		slots += state.Slots
 	}
-	perBackend := float64(slots) / leastWorking
-	needed := min(max(int(math.Ceil(reserve*w.peakNow(now)/perBackend)), leastWorking), len(w.order))
+	perBackend := float64(slots) / minWorkingSet
+	needed := min(max(int(math.Ceil(slotsPerInFlight*w.decayedPeak(now)/perBackend)), minWorkingSet), len(w.order))
 	switch {
 	case needed >= w.size:
 		w.size = needed
-	case now.Sub(w.shrunk) >= shrinkEvery:
-		w.size = max(int(shrinkBy*float64(w.size)), needed)
-		w.shrunk = now
+	case now.Sub(w.shrunkAt) >= shrinkInterval:
+		w.size = max(int(shrinkFactor*float64(w.size)), needed)
+		w.shrunkAt = now
 	}
 	return w.order[:w.size]
 }
 
 // grow makes the set larger, as too little of it is free, and says whether it could.
-func (w *working) grow() bool {
+func (w *workingSet) grow() bool {
 	if w.size >= len(w.order) {
 		return false
 	}
-	w.size = min(int(growBy*float64(w.size))+1, len(w.order))
+	w.size = min(int(growFactor*float64(w.size))+1, len(w.order))
 	return true
 }
 
 // nextNewcomers returns some back ends that have had no request yet and takes those off the list
 // that have had one meanwhile.
-func (w *working) nextNewcomers() []*BackendState {
-	w.newcomers = slices.DeleteFunc(w.newcomers, func(state *BackendState) bool { return state.met })
-	if len(w.newcomers) <= newcomersLooked {
-		return w.newcomers
+func (w *workingSet) unusedToScan() []*BackendState {
+	w.unused = slices.DeleteFunc(w.unused, func(state *BackendState) bool { return state.used })
+	if len(w.unused) <= maxUnusedScanned {
+		return w.unused
 	}
-	if w.turns++; w.turns%newcomerTurns != 0 {
+	if w.unusedScanTurns++; w.unusedScanTurns%unusedScanInterval != 0 {
 		return nil
 	}
-	return w.newcomers[:newcomersLooked]
+	return w.unused[:maxUnusedScanned]
 }
--- a/routing/working_test.go
+++ b/routing/working_test.go
@@ -48,20 +48,20 @@
 	group, _ := manyBackends(3000)
 	now := time.Unix(1001, 0)
 	calm := play(t, group, now, 400, 120*time.Millisecond, 20*time.Second)
-	require.LessOrEqual(t, len(calm), leastWorking)
+	require.LessOrEqual(t, len(calm), minWorkingSet)
 	now = now.Add(20 * time.Second)
 	loaded := play(t, group, now, 4000, 120*time.Millisecond, 5*time.Second)
 	require.Greater(t, len(loaded), 1000)
 	now = now.Add(5 * time.Second)
 	play(t, group, now, 400, 120*time.Millisecond, 90*time.Second)
 	now = now.Add(90 * time.Second)
-	require.LessOrEqual(t, len(play(t, group, now, 400, 120*time.Millisecond, 5*time.Second)), leastWorking)
+	require.LessOrEqual(t, len(play(t, group, now, 400, 120*time.Millisecond, 5*time.Second)), minWorkingSet)
 }
 
 // TestWorkingSetOfFewIsAll uses all back ends where there are few.
 func TestWorkingSetOfFewIsAll(t *testing.T) {
-	group, _ := manyBackends(leastWorking)
-	require.Len(t, play(t, group, time.Unix(1001, 0), 400, 120*time.Millisecond, 10*time.Second), leastWorking)
+	group, _ := manyBackends(minWorkingSet)
+	require.Len(t, play(t, group, time.Unix(1001, 0), 400, 120*time.Millisecond, 10*time.Second), minWorkingSet)
 }
 
 // TestWorkingSetReplacesWhatLeaves takes away most of the working set, zone by zone and by name: requests
--- a/routing/worth.go
+++ b/routing/worth.go
@@ -5,22 +5,22 @@
 // Bounds of how old a report may be that a back end is chosen by.
 const (
 	// leastFreshness is as often as it is looked whether a report is too old.
-	leastFreshness = 5 * time.Millisecond
+	minReportAge = 5 * time.Millisecond
 	// mostFreshness is for how long a back end that was well a moment ago is taken for well,
 	// where nothing was seen to change.
-	mostFreshness = 250 * time.Millisecond
+	maxReportAge = 250 * time.Millisecond
 )
 
 // Tuning of what probes are worth.
 const (
 	// driftMemory is over how much time between two reports of a back end the drift is
 	// averaged: several hundred pairs where requests come quickly.
-	driftMemory = 10 * time.Second
+	driftAveragingTime = 10 * time.Second
 	// driftLeast is from when on the drift counts as known.
-	driftLeast = 500 * time.Millisecond
+	minDriftTime = 500 * time.Millisecond
 	// driftSpan is the longest time between two reports that tells how quickly the back end
 	// changes. Over longer ones it may have changed and changed back.
-	driftSpan = 100 * time.Millisecond
+	maxReportGap = 100 * time.Millisecond
 )
 
 // probeWorth learns how old the report may be by which a back end is chosen, so that a
@@ -30,34 +30,34 @@
 //
 // With 25 ms for every service, 0.106 of the requests of a quiet day at 257 back ends were
 // late, and 0.080 with 8 ms; at 39 back ends 0.040 and 0.037 (one play each).
-type probeWorth struct {
-	passed time.Duration // between pairs of reports
-	worse  float64       // by how much the slowdowns told grew meanwhile
-	work   time.Duration // of a request on an undisturbed back end, average
-	cost   time.Duration // of a probe, average
+type reportAgeEstimator struct {
+	observed    time.Duration // between pairs of reports
+	increase    float64       // by how much the slowdowns told grew meanwhile
+	baseLatency time.Duration // of a request on an undisturbed back end, average
+	probeCost   time.Duration // of a probe, average
 }
 
 // told takes in two reports of a back end, one after the other.
-func (p *probeWorth) told(before, after float64, passed time.Duration) {
-	if passed <= 0 || passed > driftSpan {
+func (p *reportAgeEstimator) recordReports(before, after float64, elapsed time.Duration) {
+	if elapsed <= 0 || elapsed > maxReportGap {
 		return
 	}
-	if excess := p.passed + passed - driftMemory; excess > 0 {
-		kept := 1 - float64(excess)/float64(driftMemory)
-		p.passed, p.worse = time.Duration(kept*float64(p.passed)), kept*p.worse
+	if excess := p.observed + elapsed - driftAveragingTime; excess > 0 {
+		kept := 1 - float64(excess)/float64(driftAveragingTime)
+		p.observed, p.increase = time.Duration(kept*float64(p.observed)), kept*p.increase
 	}
-	p.passed += passed
-	p.worse += max(after-before, 0)
+	p.observed += elapsed
+	p.increase += max(after-before, 0)
 }
 
 // freshness returns how old a report may be; otherwise where that is not known yet.
-func (p *probeWorth) freshness(otherwise time.Duration) time.Duration {
-	if p.passed < driftLeast || p.work == 0 || p.cost == 0 {
-		return otherwise
+func (p *reportAgeEstimator) maxAge(fallback time.Duration) time.Duration {
+	if p.observed < minDriftTime || p.baseLatency == 0 || p.probeCost == 0 {
+		return fallback
 	}
-	perSecond := p.worse / p.passed.Seconds() * p.work.Seconds() // slot time lost for each second of age
-	if perSecond*mostFreshness.Seconds() <= p.cost.Seconds() {
-		return mostFreshness
+	lossRate := p.increase / p.observed.Seconds() * p.baseLatency.Seconds() // slot time lost for each second of age
+	if lossRate*maxReportAge.Seconds() <= p.probeCost.Seconds() {
+		return maxReportAge
 	}
-	return max(time.Duration(p.cost.Seconds()/perSecond*float64(time.Second)), leastFreshness)
+	return max(time.Duration(p.probeCost.Seconds()/lossRate*float64(time.Second)), minReportAge)
 }
--- a/routing/worth_test.go
+++ b/routing/worth_test.go
@@ -13,7 +13,7 @@
 // be by which a back end is chosen.
 func learnedFreshness(state time.Duration, share, times float64, work, cost time.Duration) time.Duration {
 	random := rand.New(rand.NewPCG(1, 1))
-	p := probeWorth{work: work, cost: cost}
+	p := reportAgeEstimator{baseLatency: work, probeCost: cost}
 	const gap = 20 * time.Millisecond
 	before := 1.0
 	for range 2000 {
@@ -24,10 +24,10 @@
 				after = times
 			}
 		}
-		p.told(before, after, gap)
+		p.recordReports(before, after, gap)
 		before = after
 	}
-	return p.freshness(25 * time.Millisecond)
+	return p.maxAge(25 * time.Millisecond)
 }
 
 // TestProbesAreWorthTheirCost plays services whose probes and disturbances differ: reports
@@ -42,20 +42,20 @@
 	require.Less(t, learnedFreshness(150*time.Millisecond, 0.3, 5, 4*work, cost), usual, "requests are long")
 	require.Greater(t, learnedFreshness(150*time.Millisecond, 0.3, 5, work, 4*cost), 2*usual, "probes are dear")
 	require.Greater(t, learnedFreshness(700*time.Millisecond, 0.3, 5, work, cost), 2*usual, "they change seldom")
-	require.Equal(t, mostFreshness, learnedFreshness(time.Second, 0, 5, work, cost), "nothing changes")
-	require.Equal(t, 25*time.Millisecond, new(probeWorth).freshness(25*time.Millisecond), "nothing is known")
+	require.Equal(t, maxReportAge, learnedFreshness(time.Second, 0, 5, work, cost), "nothing changes")
+	require.Equal(t, 25*time.Millisecond, new(reportAgeEstimator).maxAge(25*time.Millisecond), "nothing is known")
 }
 
 // TestDriftIsForgotten follows back ends that calm down.
 func TestDriftIsForgotten(t *testing.T) {
-	p := probeWorth{work: 100 * time.Millisecond, cost: 5 * time.Millisecond}
+	p := reportAgeEstimator{baseLatency: 100 * time.Millisecond, probeCost: 5 * time.Millisecond}
 	for range 1000 {
-		p.told(1, 2, 20*time.Millisecond)
-		p.told(2, 1, 20*time.Millisecond)
+		p.recordReports(1, 2, 20*time.Millisecond)
+		p.recordReports(2, 1, 20*time.Millisecond)
 	}
-	disturbed := p.freshness(0)
+	disturbed := p.maxAge(0)
 	for range 3000 {
-		p.told(1, 1, 20*time.Millisecond)
+		p.recordReports(1, 1, 20*time.Millisecond)
 	}
-	require.Greater(t, p.freshness(0), 10*disturbed)
+	require.Greater(t, p.maxAge(0), 10*disturbed)
 }
