--- a/outlier/outlier.go
+++ b/outlier/outlier.go
@@ -1,11 +1,11 @@
-// Package outlier decides when a back end that fails is left out, and when it
-// is let back in.
+// Package outlier detects failing back ends: it decides when a back end is ejected and when it is
+// reinstated.
 //
-// A back end that rejects everything at once has few requests in flight and
-// short latencies, so by load alone it would draw all traffic. Its failures are
-// counted instead: after a run of failures, or when most of its recent answers
-// failed, it is ejected. After the ejection has run out it gets one trial
-// request at a time; a success lets it back in, a failure ejects it for longer.
+// A back end that rejects every request immediately has few requests in flight and low latency, so
+// a policy that looks at load alone would send it all traffic. The detector counts failures
+// instead: a run of consecutive failures, or a high failure rate among recent responses, ejects the
+// back end. When the ejection expires, it gets one trial request at a time; a success reinstates
+// it, a failure ejects it for longer.
 package outlier
 
 import (
@@ -14,42 +14,42 @@
 	"github.com/tuliphall/tuliphall/clock"
 )
 
-// Tuning of ejection.
+// Thresholds and durations of ejection.
 const (
-	// consecutiveThreshold is the run of failures that ejects a back end.
+	// consecutiveThreshold is the number of consecutive failures that ejects a back end.
 	consecutiveThreshold = 3
-	// refusalLimit is the run of refused connections by which a back end has ended: one may be
-	// a full backlog, or a process that is starting.
+	// refusalThreshold is the number of consecutive refused connections after which the process
+	// counts as exited: a single one may be due to a full backlog or a process that is starting.
 	refusalThreshold = 2
-	// rateWeight is the weight of a new answer in the failure rate.
+	// failureRateWeight is the weight of a new response in the moving average of failures.
 	failureRateWeight = 0.1
-	// rateLimit is the failure rate that ejects a back end.
+	// failureRateThreshold is the failure rate that ejects a back end.
 	failureRateThreshold = 0.6
-	// baseEjection is the length of the first ejection; each further one
-	// without a success between is twice as long, up to maxEjection.
+	// baseEjection is the duration of the first ejection; each further one without a success in
+	// between lasts twice as long, up to maxEjection.
 	baseEjection = 500 * time.Millisecond
 	maxEjection  = 8 * time.Second
-	// endedEjection is the length of the first ejection of a back end that has ended: a process
-	// takes about as long to start again, and a trial that is refused costs a retry.
+	// exitEjection is the minimum ejection of a back end whose process has exited: a restart takes
+	// about as long, and a trial that is refused costs a retry.
 	exitEjection = 2 * time.Second
-	// trialTimeout frees a trial whose outcome was never told.
+	// trialTimeout permits another trial when the outcome of the last one was never recorded.
 	trialTimeout = 2 * time.Second
 )
 
-// Detector follows one back end. The zero value is a back end in good health.
-// It is not safe for concurrent use.
+// Detector tracks the failures of one back end. The zero value is a healthy back end. A Detector is
+// not safe for concurrent use.
 type Detector struct {
 	consecutive  int
-	refusals     int // connections in a row
+	refusals     int // consecutive refused connections
 	failureRate  float64
 	ejections    int
 	ejected      bool
-	exited       bool      // its process had, when it was ejected
-	ejectedUntil time.Time // end of the ejection, when ejected
-	trialStart   time.Time // when the pending trial began; zero: none pending
+	exited       bool      // the ejection is due to an exit of the process
+	ejectedUntil time.Time // end of the ejection, if ejected
+	trialStart   time.Time // start of the pending trial; zero: none is pending
 }
 
-// RecordSuccess notes an answer.
+// RecordSuccess records a successful response, which reinstates an ejected back end.
 func (d *Detector) RecordSuccess() {
 	d.consecutive, d.refusals = 0, 0
 	d.failureRate -= d.failureRate * failureRateWeight
@@ -58,20 +58,21 @@
 	}
 }
 
-// RecordFailure notes a failed request.
+// RecordFailure records a failed request.
 func (d *Detector) RecordFailure(now time.Time) {
 	d.consecutive++
 	d.failureRate += (1 - d.failureRate) * failureRateWeight
 	if d.ejected && d.trialStart.IsZero() {
-		return // sent before the ejection
+		return // the request was sent before the ejection
 	}
 	if d.ejected || d.consecutive >= consecutiveThreshold || d.failureRate >= failureRateThreshold {
 		d.eject(now)
 	}
 }
 
-// RecordExit notes that the process of the back end has ended, on the word of somebody whose request it
-// was running. It is ejected at once, and stays out however many others are, until it answers.
+// RecordExit records that the process of the back end has exited, as observed by the sender of a
+// request that it was running. The back end is ejected at once, however many others are, until it
+// answers again.
 func (d *Detector) RecordExit(now time.Time) {
 	d.consecutive++
 	d.failureRate += (1 - d.failureRate) * failureRateWeight
@@ -79,8 +80,8 @@
 	d.exited, d.ejectedUntil = true, clock.Later(d.ejectedUntil, now.Add(exitEjection))
 }
 
-// RecordConnectionRefused notes that a connection was refused: nothing listens there. A few in a row mean that
-// the back end has ended.
+// RecordConnectionRefused records a refused connection: nothing listens at the address. Several in
+// a row mean that the process has exited.
 func (d *Detector) RecordConnectionRefused(now time.Time) {
 	if d.refusals++; d.exited || d.refusals >= refusalThreshold {
 		d.RecordExit(now)
@@ -89,7 +90,7 @@
 	d.RecordFailure(now)
 }
 
-// HasExited says whether the back end is out as its process has ended.
+// HasExited reports whether the back end is ejected because its process has exited.
 func (d *Detector) HasExited() bool {
 	return d.exited
 }
@@ -102,12 +103,12 @@
 	d.trialStart = time.Time{}
 }
 
-// Ejected says whether the back end is out.
+// Ejected reports whether the back end is ejected.
 func (d *Detector) Ejected(time.Time) bool {
 	return d.ejected
 }
 
-// TrialDue says whether an ejected back end may get a trial request now.
+// TrialDue reports whether an ejected back end may get a trial request now.
 func (d *Detector) TrialDue(now time.Time) bool {
 	if !d.ejected || now.Before(d.ejectedUntil) {
 		return false
@@ -115,14 +116,14 @@
 	return d.trialStart.IsZero() || now.Sub(d.trialStart) > trialTimeout
 }
 
-// RecordTrial notes that a trial request was sent.
+// RecordTrial records that a trial request was sent.
 func (d *Detector) RecordTrial(now time.Time) {
 	d.trialStart = now
 }
 
-// MaxEjected returns how many of a group's back ends may be out at once for failing: half
-// of them, so that a fault that all share does not empty the group. Those whose processes have
-// ended do not count.
+// MaxEjected returns how many back ends of a group may be ejected for failures at once: half of
+// them, so that a fault that all of them share does not empty the group. Back ends whose processes
+// have exited do not count.
 func MaxEjected(backends int) int {
 	return backends / 2
 }
--- a/outlier/outlier_test.go
+++ b/outlier/outlier_test.go
@@ -9,8 +9,8 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// TestEndedIsOutAtOnce leaves a back end out whose process has ended, until a trial after as long
-// as a start takes, or an answer.
+// A back end whose process has exited is ejected at once, until an answer or, after the time that a
+// restart takes, a trial.
 func TestEndedIsOutAtOnce(t *testing.T) {
 	var d Detector
 	d.RecordExit(start)
@@ -26,7 +26,7 @@
 	require.Equal(t, Detector{}, d)
 }
 
-// TestRefusalsInARow take a back end for ended after the second, unless it answered in between.
+// Two refused connections in a row count as an exit, unless the back end answered in between.
 func TestRefusalsInARow(t *testing.T) {
 	var d Detector
 	d.RecordConnectionRefused(start)
@@ -37,7 +37,7 @@
 	require.True(t, d.HasExited())
 }
 
-// TestFailuresAreNoEnding: a back end that fails is ejected and not taken for ended.
+// A back end that answers with failures is ejected but does not count as exited.
 func TestFailuresAreNoEnding(t *testing.T) {
 	var d Detector
 	for range consecutiveThreshold {
--- a/routing/bearing.go
+++ b/routing/bearing.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// sender is as what a daemon sends requests of the service.
+// dispatchRole is the share of the back ends' request rates that a daemon uses.
 type dispatchRole struct {
-	// choosers is how many daemons choose at the same time, each by itself.
+	// independentDaemons is how many daemons pick at the same time, each independently.
 	independentDaemons int
-	// ofLimits is what it may use of what limited back ends take.
+	// limitShare is the daemon's share of the request limits of back ends.
 	limitShare Share
 }
 
-// soleSender gives out all places of the service.
+// soleDispatcher hands out all permits of the service.
 var soleDispatcher = dispatchRole{independentDaemons: 1, limitShare: Share{Fraction: 1}}
 
-// sender returns as what the daemon sends the request.
+// dispatchRole returns the role in which the daemon sends the request.
 func (r *Request) dispatchRole() dispatchRole {
 	role := dispatchRole{independentDaemons: max(r.IndependentDaemons, 1), limitShare: r.LimitShare}
 	if role.limitShare.Fraction == 0 {
@@ -22,14 +22,14 @@
 	return role
 }
 
-// ofWarmUps is what the sender may use of what cold back ends bear. Since when is reckoned only while some back
-// end is limited.
+// warmUpShare is the daemon's share of the request rate of cold back ends. Its Since is maintained
+// only while some back end has a request limit.
 func (s dispatchRole) warmUpShare() Share {
 	return Share{Fraction: 1 / float64(s.independentDaemons), Since: s.limitShare.Since}
 }
 
-// bears says whether the back end can take a request now without getting more than it bears while it
-// is cold, or more than it says that it takes.
+// withinRateLimits reports whether the back end can be sent a request now without exceeding its
+// rate while cold or the request limit that it announced.
 func (g *Group) withinRateLimits(state *BackendState, now time.Time, role dispatchRole) bool {
 	if state.limitedByWarmUp(now) && !state.warmUp.pacing.due(now, state.WarmUp.PerSecond, role.warmUpShare(), g.options.Random) {
 		return false
@@ -37,7 +37,7 @@
 	return g.permits(state, now, role.limitShare)
 }
 
-// spend notes something that is sent to the back end.
+// chargeRateLimits counts a request or probe sent to the back end.
 func (s *BackendState) chargeRateLimits(now time.Time) {
 	if s.limitedByWarmUp(now) {
 		s.warmUp.pacing.recordSend(now)
--- a/routing/concurrency.go
+++ b/routing/concurrency.go
@@ -5,45 +5,47 @@
 	"math/rand/v2"
 )
 
-// Tuning of the learned concurrency.
+// Parameters of the learned concurrency.
 const (
-	// concurrencyMemory is how many requests of each number in flight are remembered:
-	// their mean is right to 1/28 where single ones differ by half.
+	// maxLatencySamples is how many recent requests of each number in flight the mean latency
+	// covers: it is accurate to 1/28 where single latencies vary by half.
 	maxLatencySamples = 200
-	// concurrencyPrior is for how many requests the assumption counts that one more in
-	// flight slows nothing down. The mean of as few is wrong by a sixth.
+	// latencyPriorSamples is the weight, in requests, of the prior assumption that one more request
+	// in flight does not increase latency. The mean of as few requests is off by a sixth.
 	latencyPriorSamples = 10
-	// concurrencyVariance is how much the number in flight may have varied while a
-	// request was, for it to tell of their average: by about a half in both directions.
+	// maxInFlightVariance is the maximum variance of the number in flight during a request for
+	// which the latency counts as a sample of the mean number: about one half in both directions.
 	maxInFlightVariance = 0.36
-	// exploreUnknown is the share of the back ends that try fewer in flight than is best,
-	// while little is known of that.
+	// exploreUnknownShare is the share of the back ends that try fewer requests in flight than the
+	// best number while some of the lower numbers have too few samples.
 	exploreUnknownShare = 1.0 / 8
-	// exploreShare is the share of the back ends that try another number in flight than
-	// the best, so that what is known of it stays true.
+	// exploreKnownShare is the share of the back ends that try a number in flight other than the
+	// best, to keep the estimates current.
 	exploreKnownShare = 1.0 / 16
-	// fewSlots are all used from the start; see firstBound.
+	// fullUseSlots: back ends with at most so many slots use all of them from the start; see
+	// initialBound.
 	fullUseSlots = 3
-	// boundRounds is how often each place at a back end is used before its bound is
-	// chosen again: requests that began under another one tell little.
+	// boundRevisionRounds is how many requests per permit of a back end's bound succeed before the
+	// bound is chosen again: requests that began under the previous bound say little about this
+	// one.
 	boundRevisionRounds = 3
 )
 
-// concurrency learns how many requests in flight are best at the back ends of a service:
-// the number with the most throughput for its latency. That quotient, Kleinrock's power
-// (Power and deterministic rules of thumb for probabilistic problems in computer
-// communications, 1979), falls where one more in flight slows down the others by more
-// than it brings. The zero value has seen none. Back ends with a different number of slots
-// are kept apart.
+// concurrencyEstimator learns how many requests in flight are best at the back ends of a service:
+// the number with the highest throughput for its latency. That quotient, Kleinrock's power (Power
+// and deterministic rules of thumb for probabilistic problems in computer communications, 1979),
+// falls where one more request in flight slows down the others by more than it adds. The zero value
+// has no samples. Back ends with different numbers of slots are estimated separately.
 //
-// Two thirds of the slots are used at first, of three and fewer all. As soon as places are short, one more is
-// tried, until it is known whether it is better; from then on, now and then another number.
+// At first two thirds of the slots are used, or all where there are at most three. As soon as
+// capacity is short, some back ends try one more until it is known whether that is better; from
+// then on they try other numbers occasionally.
 type concurrencyEstimator struct {
 	bySlots map[int]*latencyCurve
 }
 
-// observe takes in what a request that succeeded met at a back end, and says whether the
-// bounds should be chosen anew for what it tells.
+// observe records the latency of a successful request and what was in flight meanwhile. It reports
+// whether the bounds should be chosen again.
 func (c *concurrencyEstimator) observe(slots int, seen inFlightStats) bool {
 	inFlight := int(math.Round(seen.mean))
 	if seen.duration <= 0 || seen.variance > maxInFlightVariance || inFlight < 1 || inFlight > slots {
@@ -56,7 +58,7 @@
 	return curve.best != best || curve.settled() != settled
 }
 
-// of returns what is known of back ends with so many slots.
+// forSlots returns the latencies of back ends with so many slots.
 func (c *concurrencyEstimator) forSlots(slots int) *latencyCurve {
 	curve, known := c.bySlots[slots]
 	if !known {
@@ -69,7 +71,7 @@
 	return curve
 }
 
-// known returns the best number in flight, once one more has been tried; 0 before.
+// settledBest returns the best number in flight once one more has been tried, 0 before that.
 func (c *concurrencyEstimator) settledBest(slots int) int {
 	if curve, known := c.bySlots[slots]; known && curve.settled() {
 		return curve.best
@@ -77,7 +79,7 @@
 	return 0
 }
 
-// best returns the best number in flight as far as is known.
+// best returns the best number in flight according to the samples so far.
 func (c *concurrencyEstimator) best(slots int) int {
 	if curve, known := c.bySlots[slots]; known {
 		return curve.best
@@ -85,20 +87,19 @@
 	return initialBound(slots)
 }
 
-// advise takes in the best number in flight as learned elsewhere. It counts until enough
-// has been seen here.
+// setHint sets the best number in flight as learned by another daemon. It applies until there are
+// enough samples here.
 func (c *concurrencyEstimator) setHint(slots, hint int) {
 	curve := c.forSlots(slots)
 	curve.hint = hint
 	curve.best = curve.mostPowerful()
 }
 
-// bound chooses how many requests a back end with so many slots is to hold next. Others
-// than the best are tried only while places are short: otherwise fewer in flight cost
-// nothing.
+// chooseBound chooses the next bound of a back end with so many slots. Numbers other than the best
+// are tried only while capacity is short: otherwise fewer requests in flight cost nothing.
 func (c *concurrencyEstimator) chooseBound(slots int, capacityShort bool, random *rand.Rand) int {
 	if slots == 0 {
-		return 0 // nothing is declared
+		return 0 // no number of slots is declared
 	}
 	curve := c.forSlots(slots)
 	if !capacityShort {
@@ -111,11 +112,11 @@
 	return curve.best
 }
 
-// toTry returns the numbers besides the best that some back ends try, and the share of
-// those.
+// explorationCandidates returns the numbers other than the best that some back ends try, and the
+// share of those back ends.
 func (l *latencyCurve) explorationCandidates() (candidates []int, share float64) {
 	if !l.settled() {
-		// That share is what could be gained.
+		// The share equals the possible gain.
 		return []int{l.best + 1}, 1 / float64(l.best)
 	}
 	low, high := minBound(len(l.byInFlight)), min(l.best+1, len(l.byInFlight))
@@ -135,32 +136,32 @@
 	return candidates, exploreKnownShare
 }
 
-// settled says whether one more in flight than the best is known to be worse.
+// settled reports whether one more request in flight is known to be worse than the best number.
 func (l *latencyCurve) settled() bool {
 	return l.best == l.hint || l.best == len(l.byInFlight) || l.hasSamples(l.best+1)
 }
 
-// seen says whether enough is known of a number in flight.
+// hasSamples reports whether a number in flight has enough samples.
 func (l *latencyCurve) hasSamples(inFlight int) bool {
 	return l.byInFlight[inFlight-1].count >= latencyPriorSamples
 }
 
-// firstBound is the bound of a back end before anything is known: two thirds of its
-// slots. Where it is too low, the first requests that wait raise it. At back ends that slow
-// down beyond four of six slots, beginning with half or three quarters of them cost 0.01 of
-// the requests in time, mean of 15 runs of 50 s under faults. Few slots are used at once:
-// two of three, where nothing slows down, cost 0.01 of the requests in time of a quiet day,
-// and a third more bytes between zones, as back ends nearby count as full.
+// initialBound is the bound of a back end without any samples: two thirds of its slots. If it is
+// too low, the first requests that wait raise it. At back ends that slow down beyond four of six
+// slots, starting with a half or three quarters of the slots lost 0.01 of the requests in time
+// (mean of 15 runs of 50 s under faults). Back ends with few slots start with all: using two of
+// three where nothing slows down lost 0.01 of the requests in time of a quiet day and sent a third
+// more bytes between zones, as nearby back ends counted as full.
 func initialBound(slots int) int {
 	return max((2*slots+2)/3, min(slots, fullUseSlots))
 }
 
-// leastBound is the lowest bound of a back end: half of its slots.
+// minBound is the lowest bound of a back end: half of its slots.
 func minBound(slots int) int {
 	return (slots + 1) / 2
 }
 
-// average is the mean of the last values, in seconds.
+// runningMean is the mean of the most recent values, in seconds.
 type runningMean struct {
 	value float64
 	count float64
@@ -171,21 +172,21 @@
 	a.value += (value - a.value) / a.count
 }
 
-// latencies is what is known of back ends with the same number of slots.
+// latencyCurve holds the latencies by number in flight of back ends with the same number of slots.
 type latencyCurve struct {
-	byInFlight        []runningMean // by the number in flight, from 1 on
-	hint              int           // best as learned elsewhere; 0: nobody said
+	byInFlight        []runningMean // indexed by the number in flight minus one
+	hint              int           // best number as learned by another daemon; 0: none
 	best              int
-	pools             []pool    // of expected, kept from call to call
-	expectedLatencies []float64 // what expected returned last
+	pools             []pool    // scratch space of expected, reused between calls
+	expectedLatencies []float64 // result of the last call of expected
 }
 
 func newLatencyCurve(slots int) *latencyCurve {
 	return &latencyCurve{byInFlight: make([]runningMean, slots), best: initialBound(slots)}
 }
 
-// choose returns the number in flight with the most power, of those that enough is known
-// of, from the lowest bound on. The first bound counts as known.
+// mostPowerful returns the number in flight with the highest power, at least minBound, among those
+// with enough samples. The initial bound counts as sampled.
 func (l *latencyCurve) mostPowerful() int {
 	low, initial, maxPower := minBound(len(l.byInFlight)), initialBound(len(l.byInFlight)), 0.0
 	best := initial
@@ -204,11 +205,10 @@
 	return best
 }
 
-// expected returns how long a request is expected to take by the number in flight. A
-// number of which little is known counts as taking about as long as the one before it,
-// so that it is tried. More in flight never make each one faster: where it looks so, the
-// two count as alike (isotonic regression by pooling adjacent violators). The result is
-// valid until the next call.
+// expected returns the expected latency of a request by number in flight. A number with few samples
+// is expected to take about as long as the one before it, so that it is tried. More requests in
+// flight never make each one faster: where the samples say so, the numbers share one estimate
+// (isotonic regression by pooling adjacent violators). The result is valid until the next call.
 func (l *latencyCurve) expected() []float64 {
 	pools := l.pools[:0]
 	for _, measured := range l.byInFlight {
@@ -223,21 +223,21 @@
 		pools = append(pools, next)
 	}
 	l.pools, l.expectedLatencies = pools, l.expectedLatencies[:0]
-	for _, measured := range pools {
-		for range measured.levels {
-			l.expectedLatencies = append(l.expectedLatencies, measured.value)
+	for _, shared := range pools {
+		for range shared.levels {
+			l.expectedLatencies = append(l.expectedLatencies, shared.value)
 		}
 	}
 	return l.expectedLatencies
 }
 
-// pool is an average that several numbers in flight share.
+// pool is a mean shared by several adjacent numbers in flight.
 type pool struct {
 	runningMean
 	levels int
 }
 
-// with joins two pools.
+// merge joins two pools.
 func (p pool) merge(next pool) pool {
 	joined := pool{runningMean: runningMean{count: p.count + next.count}, levels: p.levels + next.levels}
 	if joined.count > 0 {
--- a/routing/exclusion.go
+++ b/routing/exclusion.go
@@ -2,25 +2,27 @@
 
 import "time"
 
-// Exclusion is a back end that a request must not reach, though others may: its daemon was asked by the back end for a
-// pause, or knows that it is leaving before this one does.
+// Exclusion is a back end that a request must not be sent to, although requests of other daemons
+// may: the back end asked the request's daemon for a pause, or that daemon knows that the back end
+// is leaving before this one does.
 type Exclusion struct {
 	Backend string
-	// Until is when it ends; zero: not while the request waits.
+	// Until is the end of the exclusion; zero: it does not end while the request waits.
 	Until time.Time
 }
 
-// inForce says whether the exclusion holds now.
+// active reports whether the exclusion applies now.
 func (e Exclusion) active(now time.Time) bool {
 	return e.Until.IsZero() || e.Until.After(now)
 }
 
-// IsRestricted says whether some back ends are left out for the request that others may have.
+// IsRestricted reports whether the request must not be sent to some back ends that other requests
+// may be sent to.
 func (r *Request) IsRestricted() bool {
 	return len(r.Tried) > 0 || len(r.Excluded) > 0
 }
 
-// markExcluded marks the back ends that the request must not reach, until it is called for the next one.
+// markExcluded marks the back ends that the request must not be sent to, until the next call.
 func (g *Group) markExcluded(now time.Time, request *Request) {
 	g.requestSequence++
 	for _, exclusion := range request.Excluded {
@@ -30,13 +32,13 @@
 	}
 }
 
-// excludes says whether the request that markExcluded was called for must not reach a back end.
+// excludes reports whether the request of the last markExcluded must not be sent to a back end.
 func (g *Group) excludes(state *BackendState) bool {
 	return state.excludedInRequest == g.requestSequence
 }
 
-// AllExcluded says whether the request must not reach any back end that takes requests, and from when on it may reach
-// one; zero: that is not known.
+// AllExcluded reports whether the request is excluded from all back ends that take requests, and
+// the earliest end of an exclusion; zero: the end is not known.
 func (g *Group) AllExcluded(now time.Time, request Request) (until time.Time, all bool) {
 	if len(request.Excluded) == 0 {
 		return time.Time{}, false
@@ -59,14 +61,14 @@
 	return until, true
 }
 
-// SetPause notes until when this daemon must not probe a back end, which asked it for a pause.
+// SetPause sets until when this daemon must not probe a back end that asked it for a pause.
 func (g *Group) SetPause(id string, until time.Time) {
 	if state, known := g.byID[id]; known {
 		state.PausedUntil = until
 	}
 }
 
-// spared says whether a back end gets no probes for fresher reports now.
+// skipsLoadProbes reports whether the back end gets no load probes now.
 func (s *BackendState) skipsLoadProbes(now time.Time) bool {
 	return s.limit.Limited || s.PausedUntil.After(now)
 }
--- a/routing/follow.go
+++ b/routing/follow.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// arrival is how long after a place was given its request has reached the back end: the
-// longest way to the daemon that sends it and on. A probe that is sent then finds the back
-// end as the request found it.
+// arrivalDelay is the time after a permit is granted within which its request reaches the back end:
+// the longest path to the daemon that sends it and on to the back end. A probe sent then finds the
+// back end in the state in which the request found it.
 const arrivalDelay = 3 * time.Millisecond
 
-// ScheduleArrivalProbe lets a back end be asked how it is as soon as a request has reached it. A cold one
-// is spared that, a limited one, and one of a service whose back ends tell nothing of it.
+// ScheduleArrivalProbe schedules a load probe of a back end for when a request has reached it. Cold
+// back ends, those with a request limit and those of services that do not report slowdown are not
+// probed.
 func (g *Group) ScheduleArrivalProbe(now time.Time, state *BackendState) {
 	if state.Cold(now) || state.limit.Limited || !state.slowdown.known() {
 		return
@@ -21,12 +22,12 @@
 	state.arrivalProbeSince = now
 }
 
-// arrived returns a back end that a request has just reached and that is to be asked, or
-// nil.
+// dueArrivalProbe returns a back end that a request has just reached and whose load probe is due,
+// or nil.
 func (g *Group) dueArrivalProbe(now time.Time, interval time.Duration) *BackendState {
 	for _, state := range g.arrivalProbes {
 		if now.Sub(state.arrivalProbeSince) < arrivalDelay {
-			return nil // later ones came later
+			return nil // the list is ordered by time
 		}
 		if !state.loadProbing && !state.Draining && !state.skipsLoadProbes(now) && !state.Ejected(now) && now.Sub(state.loadProbedAt) >= interval {
 			return state
@@ -35,8 +36,8 @@
 	return nil
 }
 
-// unfollow notes that a back end has told how it is since the last request reached it, or
-// need not any more.
+// cancelArrivalProbe removes the scheduled probe of a back end, as it has reported since the last
+// request reached it or no report is needed any more.
 func (g *Group) cancelArrivalProbe(state *BackendState) {
 	state.arrivalProbeSince = time.Time{}
 	if index := slices.Index(g.arrivalProbes, state); index >= 0 {
@@ -44,8 +45,8 @@
 	}
 }
 
-// Disturbed says whether the last report of a back end tells that what begins there takes
-// much longer than usually.
+// Disturbed reports whether, according to the last report, a request that begins at the back end
+// now takes much longer than usual.
 func (s *BackendState) Disturbed() bool {
 	return s.slowdown.reports > 0 && s.slowdown.last > DisturbedFactor*s.slowdown.baseline()
 }
--- a/routing/group.go
+++ b/routing/group.go
@@ -9,58 +9,59 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Options are a Group's settings.
+// Options are the settings of a Group.
 type Options struct {
 	Picker Picker
 	Random *rand.Rand
-	// Overcommit is how many requests beyond its slots a back end may hold from
-	// this daemon, before its reports say that it could do with more.
+	// Overcommit is how many requests beyond its slots a back end may hold from this daemon before
+	// its reports show that it could use more.
 	Overcommit func(slots int) int
-	// SlowStart lets a cold back end begin with a single request and gives it
-	// one more with each answer.
+	// SlowStart lets a cold back end start with one request in flight and adds one with each
+	// response.
 	SlowStart bool
 }
 
-// DefaultOvercommit keeps as many requests again, and one more, at hand before a
-// back end's slots, so that they do not idle while answers are under way. It is
-// the smallest that costs nothing at 95% load over a wire of 1.5 ms; see
-// docs/ROUNDS.md.
+// DefaultOvercommit keeps one more request than there are slots queued at a back end, so that its
+// slots do not idle while responses are under way. It is the smallest value that costs nothing at
+// 95% load and a round trip of 1.5 ms; see docs/ROUNDS.md.
 func DefaultOvercommit(slots int) int {
 	return slots + 1
 }
 
-// Group is one daemon's view of a service's back ends.
+// Group is one daemon's view of the back ends of a service.
 type Group struct {
 	options         Options
 	states          []*BackendState
 	workingSet      workingSet
 	byID            map[string]*BackendState
-	zones           []string   // of the back ends, each once
-	scanned         scanResult // of the last request, kept for its memory
+	zones           []string   // distinct zones of the back ends
+	scanned         scanResult // result of the last scan, kept to reuse its memory
 	scanCount       int
-	requestSequence uint64 // requests for which a back end was looked for, to mark those that they must not reach
+	requestSequence uint64 // number of the request being picked for, which marks the back ends that it is excluded from
 	concurrency     concurrencyEstimator
-	capacityShort   bool // at the last pick at most one back end had a place
-	// boundsStale says that bounds may have been chosen since places were last short, which
-	// hold for then only.
+	capacityShort   bool // the last pick found at most one back end with free capacity
+	// boundsStale: some bounds may have been chosen while capacity was not short and do not apply
+	// when it is.
 	boundsStale    bool
 	commonSlowdown commonSlowdown
-	// probeCredit is how many probes for fresher reports the last requests earned,
-	// and origins are those that requests had.
+	// probeCredit is how many load probes the recent requests have earned, and origins are the
+	// origins of those requests.
 	probeCredit   float64
 	origins       []origin
-	bestTargets   bestTargets // kept for its memory
-	introducing   bool        // the last probe was for a first report, if any was wanted
+	bestTargets   bestTargets // kept to reuse its memory
+	introducing   bool        // the last load probe was for a first report, if any was missing
 	reportAge     reportAgeEstimator
-	arrivalProbes []*BackendState // back ends that are to be asked what requests met, oldest first
-	// versionRule is what holds for a version, holdsVersions whether unfamiliar ones get nothing
-	// for a moment, and versionSeen since when each was seen; zero: from the beginning.
+	arrivalProbes []*BackendState // back ends with a scheduled arrival probe, oldest first
+	// versionRule restricts one version. If holdsNewVersions is set, new versions get no requests
+	// for newVersionHold; versionFirstSeen is when each version was first seen; zero: with the
+	// first back ends.
 	versionRule      VersionRule
 	holdsNewVersions bool
-	// shared: some back ends stand in other regions, whose dispatchers use those of this one, too.
+	// hasOtherRegions: some back ends are in other regions, whose dispatchers also use those of
+	// this region.
 	hasOtherRegions    bool
-	otherRegionTriedAt time.Time // when a back end of another region was last tried
-	// ofLimits is what this daemon may use of what limited back ends take, as of its last pick.
+	otherRegionTriedAt time.Time // last attempt at a back end of another region whose capacity is unknown
+	// limitShare is this daemon's share of the request limits of back ends, as of its last pick.
 	limitShare       Share
 	versionFirstSeen map[string]time.Time
 }
@@ -70,8 +71,8 @@
 	return &Group{options: options, byID: make(map[string]*BackendState), limitShare: soleDispatcher.limitShare}
 }
 
-// SetBackends replaces the declared back ends. What is known of those that stay
-// is kept; requests in flight at those that go are still counted when finished.
+// SetBackends replaces the declared back ends. The state of those that stay is kept; requests in
+// flight at removed ones are still counted when they finish.
 func (g *Group) SetBackends(now time.Time, backends []Backend) {
 	byID := make(map[string]*BackendState, len(backends))
 	states := make([]*BackendState, 0, len(backends))
@@ -80,13 +81,14 @@
 		g.recordVersion(now, backend.Version, initial)
 		state, known := g.byID[backend.ID]
 		if known && state.Started != backend.Started {
-			known = false // it has started again: requests of the earlier run keep the earlier state
+			known = false // restarted: requests of the earlier process keep the earlier state
 		}
 		if !known {
-			// It must not get a request before it is said that it gets none.
+			// A drained back end must not get a request before the field below is set.
 			state = &BackendState{latencyRoot: math.Sqrt(initialLatency.Seconds()), Draining: backend.Drained}
-			// Of those that were there before this daemon gave out places none is new to the
-			// service, unless it is cold: each would get a request at once, whatever its load.
+			// Of the back ends present before this daemon handed out permits, none is new to the
+			// service unless it is cold: otherwise each would get a request at once, whatever its
+			// load.
 			state.used = initial && backend.Warm
 			state.slowdown.common = &g.commonSlowdown
 		}
@@ -115,7 +117,7 @@
 	g.indexZones()
 }
 
-// numberZones gives each zone of the back ends a number.
+// indexZones assigns each zone of the back ends an index.
 func (g *Group) indexZones() {
 	g.zones = g.zones[:0]
 	for _, state := range g.states {
@@ -127,28 +129,28 @@
 	}
 }
 
-// States returns the back ends' states. The caller must not change them.
+// States returns the states of the back ends. The caller must not change them.
 func (g *Group) States() []*BackendState {
 	return g.states
 }
 
-// Busy says whether any back end has a request of this daemon's.
+// Busy reports whether any back end holds a request of this daemon.
 func (g *Group) Busy() bool {
 	return slices.ContainsFunc(g.states, func(state *BackendState) bool { return state.InFlight > 0 })
 }
 
-// ScanCount returns how often all back ends were looked at for a request.
+// ScanCount returns how often all back ends were scanned for a request.
 func (g *Group) ScanCount() int {
 	return g.scanCount
 }
 
-// State returns a back end's state, or nil where it is not known.
+// State returns the state of a back end, or nil if it is not known.
 func (g *Group) State(id string) *BackendState {
 	return g.byID[id]
 }
 
-// ServiceInterval returns how long the back ends take for one request, all together, as far
-// as their latencies tell. It is 0 when no back end takes requests.
+// ServiceInterval returns the mean time between two requests that the back ends together can serve,
+// estimated from their latencies. It is 0 if no back end takes requests.
 func (g *Group) ServiceInterval(now time.Time) time.Duration {
 	serviceRate := 0.0
 	for _, state := range g.states {
@@ -162,8 +164,8 @@
 	return time.Duration(float64(time.Second) / serviceRate)
 }
 
-// SetDraining notes that a back end is to get no new requests, or gets them again. One that
-// comes back may have turned cold, whatever was heard of it last.
+// SetDraining sets whether a back end is draining. One that takes requests again may have turned
+// cold, whatever was last reported.
 func (g *Group) SetDraining(now time.Time, id string, draining bool) {
 	if state, ok := g.byID[id]; ok {
 		if state.Draining && !draining {
@@ -173,13 +175,13 @@
 	}
 }
 
-// AcceptsRequests says whether a back end is known and not leaving.
+// AcceptsRequests reports whether a back end is known and takes new requests.
 func (g *Group) AcceptsRequests(id string) bool {
 	state, known := g.byID[id]
 	return known && !state.Draining && !g.ExcludesVersion(state.Version)
 }
 
-// Available says whether any back end could take a request, now or later.
+// Available reports whether any back end can take a request, now or later.
 func (g *Group) Available() bool {
 	for _, state := range g.states {
 		if !state.Draining && !g.versionExcluded(state) {
@@ -189,29 +191,29 @@
 	return false
 }
 
-// Request is what routing needs to know of a request.
+// Request holds what routing needs to know about a request.
 type Request struct {
-	// Session binds requests with the same text to one back end; empty: no
-	// binding.
+	// Session binds requests with the same value to one back end; empty: not bound.
 	Session string
-	// Tried holds the back ends that already failed the request.
+	// Tried are the back ends that already failed the request.
 	Tried []string
-	// Repeatable requests may be used to try an ejected back end.
+	// Repeatable: the request may be run more than once, so that it may serve as the trial of an
+	// ejected back end.
 	Repeatable bool
-	// Zone is that of the daemon that sends the request.
+	// Zone is the zone of the daemon that sends the request.
 	Zone string
-	// LimitShare is what the daemon that chooses may use of what limited back ends take; a part of 0:
-	// all of it.
+	// LimitShare is the picking daemon's share of the request limits of back ends; a Fraction of 0:
+	// all of them.
 	LimitShare Share
-	// Excluded are the back ends that it must not reach, though others may.
+	// Excluded are the back ends that this request must not be sent to, although others may.
 	Excluded []Exclusion
-	// IndependentDaemons is how many daemons may choose for requests of the service just now, each by
-	// itself; 0 or 1: one dispatcher for all.
+	// IndependentDaemons is how many daemons may currently pick for requests of the service, each
+	// independently; 0 or 1: one dispatcher picks for all.
 	IndependentDaemons int
 }
 
-// Pick chooses a back end for a request and counts it as sent. It returns false
-// when every back end is full, draining or ejected, and the request must wait.
+// Pick chooses a back end for a request and counts the request as sent. It returns false if every
+// back end is full, draining or ejected, so that the request must wait.
 func (g *Group) Pick(now time.Time, request Request) (PickResult, bool) {
 	g.limitShare = request.dispatchRole().limitShare
 	g.markExcluded(now, &request)
@@ -258,12 +260,12 @@
 	}
 }
 
-// mostInFlight bounds this daemon's requests at a back end.
+// maxInFlight is the bound on this daemon's requests at a back end.
 func (g *Group) maxInFlight(state *BackendState, now time.Time) int {
 	return g.maxInFlightWithin(state, now, state.bound)
 }
 
-// mostWithin is mostInFlight where something else than what was learned bounds it.
+// maxInFlightWithin is maxInFlight with a bound other than the learned one.
 func (g *Group) maxInFlightWithin(state *BackendState, now time.Time, bound int) int {
 	limit := state.maxInFlight(g.options.SlowStart)
 	switch {
@@ -278,8 +280,8 @@
 	return min(limit, bound)
 }
 
-// learn takes in a request that succeeded, and chooses the bound of its back end anew
-// after some of them.
+// learnConcurrency records a successful request and after some of them chooses the bound of its
+// back end again.
 func (g *Group) learnConcurrency(picked PickResult) {
 	state := picked.Backend
 	if state.Window == 0 {
@@ -293,8 +295,8 @@
 	}
 }
 
-// BestInFlight returns with how many requests in flight a back end does best, as far as is
-// known; 0 where it is not known or has no bound.
+// BestInFlight returns the number of requests in flight that a back end does best with, as far as
+// is known; 0 if it is not known or has no bound.
 func (g *Group) BestInFlight(id string) int {
 	if state, known := g.byID[id]; known && state.Window > 0 {
 		return g.concurrency.best(state.Window)
@@ -302,16 +304,16 @@
 	return 0
 }
 
-// SetConcurrencyHint takes in with how many requests in flight another daemon, which dispatched the
-// service until now, found that a back end does best.
+// SetConcurrencyHint sets the number of requests in flight that a back end does best with, as
+// learned by the previous dispatcher of the service.
 func (g *Group) SetConcurrencyHint(id string, inFlight int) {
 	if state, known := g.byID[id]; known && inFlight > 0 && inFlight <= state.Window {
 		g.concurrency.setHint(state.Window, inFlight)
 	}
 }
 
-// rebound chooses the bounds of those back ends anew for which it was chosen before
-// places were short, and says whether there were any.
+// refreshStaleBounds chooses the bounds again that were chosen before capacity was short, and
+// reports whether there were any.
 func (g *Group) refreshStaleBounds() bool {
 	g.capacityShort = true
 	if !g.boundsStale {
@@ -328,7 +330,7 @@
 	return changed
 }
 
-// chooseAll chooses the bounds of all back ends with so many slots.
+// resetBounds chooses the bounds of all back ends with so many slots again.
 func (g *Group) resetBounds(slots int) {
 	for _, state := range g.states {
 		if state.Window == slots {
@@ -337,28 +339,29 @@
 	}
 }
 
-// choose chooses how many requests a back end is to hold from now on.
+// resetBound chooses the bound of a back end again.
 func (g *Group) resetBound(state *BackendState) {
 	state.answersSinceBound, state.boundWhenShort = 0, g.capacityShort
 	g.boundsStale = g.boundsStale || !g.capacityShort
 	state.bound = g.concurrency.chooseBound(state.Window, g.capacityShort, g.options.Random)
 }
 
-// pickSession chooses by rendezvous hashing, so that every daemon chooses alike
-// without any state. A bound back end may be sent more than its limit.
+// pickSession picks by rendezvous hashing, so that all daemons choose the same back end without
+// shared state. The back end of a session may be sent more requests than its bound.
 func (g *Group) pickSession(now time.Time, request Request) (PickResult, bool) {
 	best := g.sessionBackend(request.Session)
 	if best == nil {
 		return PickResult{}, false
 	}
 	if g.excludes(best) || !g.withinRateLimits(best, now, request.dispatchRole()) {
-		return PickResult{}, false // the request waits: only this one has its session
+		return PickResult{}, false // the request waits: only this back end holds its session
 	}
 	g.recordSend(best, now)
 	return g.pickResult(best, ReasonSession, len(g.scanned.eligible), now), true
 }
 
-// bound returns the back end that a session is bound to, of those that were found; nil: there is none.
+// sessionBackend returns the back end of a session among the eligible ones, or nil if there are
+// none.
 func (g *Group) sessionBackend(session string) *BackendState {
 	var best *BackendState
 	var bestHash uint64
@@ -371,8 +374,9 @@
 	return best
 }
 
-// SessionBlockedUntil returns when the back end that a request is bound to by its session takes one again, and false
-// where the request is not bound or may be sent now. It is called after Pick has found no place.
+// SessionBlockedUntil returns when the back end that a request's session is bound to takes a
+// request again. It returns false if the request is not bound or may be sent now. It must be called
+// after Pick has returned false for the request.
 func (g *Group) SessionBlockedUntil(now time.Time, request Request) (time.Time, bool) {
 	if request.Session == "" {
 		return time.Time{}, false
@@ -401,7 +405,7 @@
 	state.chargeRateLimits(now)
 }
 
-// firstWindow is the bound before any report.
+// initialWindow is the window of a back end without a report.
 func (g *Group) initialWindow(backend Backend) float64 {
 	if backend.Window > 0 {
 		return float64(backend.Window)
@@ -413,18 +417,17 @@
 	return float64(slots + g.options.Overcommit(slots))
 }
 
-// Report is what a back end tells of its load.
+// Report is a back end's load report.
 type Report struct {
-	InFlight int // requests it holds, of every daemon
-	// Slowdown is how much longer work takes there now than usually; 0: not
-	// told.
+	InFlight int // requests that it holds, of all daemons
+	// Slowdown is how much longer work currently takes there than usual; 0: not reported.
 	Slowdown float64
-	// WarmUpLeft is for how long it remains cold; 0: not told.
+	// WarmUpLeft is for how long the back end remains cold; 0: not reported.
 	WarmUpLeft time.Duration
 }
 
-// RecordReport notes a load report of the back end. waiting says whether requests wait
-// for a place here.
+// RecordReport records a load report of a back end. waiting says whether requests wait here for a
+// permit.
 func (g *Group) RecordReport(state *BackendState, report Report, waiting bool, at time.Time) {
 	if at.Before(state.reportedAt) {
 		return
@@ -445,7 +448,7 @@
 	state.reportedAt = at
 }
 
-// SetPeers notes what other daemons together have in flight at a back end.
+// SetPeers sets how many requests other daemons together have in flight at a back end.
 func (g *Group) SetPeers(id string, inFlight int, at time.Time) {
 	if state, ok := g.byID[id]; ok && at.After(state.peerInFlightAt) {
 		state.peerInFlight, state.peerInFlightAt = inFlight, at
--- a/routing/leftout.go
+++ b/routing/leftout.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Phrases of refusals that tell which back ends are left out, by which package explain knows
-// them again.
+// Phrases in the causes of refused requests that name the restricted back ends; package explain
+// matches them.
 const (
 	PhraseEvacuated = "back ends are in evacuated zones"
 	PhraseCold      = "back ends are cold"
@@ -15,7 +15,7 @@
 	PhrasePaused    = "back ends have asked the daemon for a pause"
 )
 
-// UnavailableReason says why no back end takes requests.
+// UnavailableReason describes why no back end takes requests.
 func (g *Group) UnavailableReason() string {
 	evacuated := g.countStates(func(state *BackendState) bool { return state.Evacuated })
 	if evacuated == 0 {
@@ -24,7 +24,8 @@
 	return fmt.Sprintf("%d of %d %s, the others draining", evacuated, len(g.states), PhraseEvacuated)
 }
 
-// RestrictionSummary says how many back ends take no requests, or few, for what they are; empty: none.
+// RestrictionSummary describes how many back ends take no or few requests because they are
+// evacuated, cold or limited; empty: none.
 func (g *Group) RestrictionSummary(now time.Time) string {
 	var parts []string
 	if evacuated := g.countStates(func(state *BackendState) bool { return state.Evacuated }); evacuated > 0 {
@@ -39,7 +40,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// count returns how many back ends are as asked for.
+// countStates returns how many back ends match.
 func (g *Group) countStates(match func(state *BackendState) bool) int {
 	count := 0
 	for _, state := range g.states {
--- a/routing/limit.go
+++ b/routing/limit.go
@@ -7,32 +7,33 @@
 	"github.com/tuliphall/tuliphall/recent"
 )
 
-// leastAsked is how many requests a second a back end gets that takes fewer, or none: one in 5 s. Only
-// an answer tells that its limit has ended, and nobody else would ask.
+// minRequestRate is the request rate at a back end whose limit is lower, or zero: one in 5 s. Only
+// a response shows that the limit has ended, and nothing else would ask for one.
 const minRequestRate = 0.2
 
-// usedSpan is over what time the requests to a limited back end are averaged, for operators.
+// usedRateWindow is the time over which the rate of requests to a limited back end is averaged for
+// operators.
 const usedRateWindow = 4 * time.Second
 
-// requestLimit is what a back end says of how many requests it takes. The zero value takes any number.
+// requestLimit is the request limit that a back end announced. The zero value is no limit.
 type requestLimit struct {
 	backendlimit.Limit
-	since  time.Time // when this daemon's picture of the back end got it
+	since  time.Time // when this daemon's record of the limit last changed
 	pacing pacing
 	used   recent.Rate
 }
 
-// SetLimit notes how many requests a back end takes.
+// SetLimit sets the request limit of a back end.
 func (g *Group) SetLimit(now time.Time, id string, limit backendlimit.Limit) {
 	if state, known := g.byID[id]; known {
 		state.setLimit(now, limit)
 	}
 }
 
-// setLimit notes how many requests the back end takes. What others sent it until now is not known and
-// counts as all that it takes: the next request goes there a whole spacing later. One that is not
-// limited any more begins with one request at a time, as after a failure: all that waits would go there
-// together.
+// setLimit sets the request limit of the back end. What other daemons have sent it so far is not
+// known and counts as all that the limit permits, so that the next request is sent a whole interval
+// later. A back end whose limit ends starts with one request at a time, as after a failure, because
+// all waiting requests would go there at once.
 func (s *BackendState) setLimit(now time.Time, limit backendlimit.Limit) {
 	switch {
 	case limit.Limited && !s.limit.Limited:
@@ -47,17 +48,17 @@
 	}
 }
 
-// takes returns how many requests a second a limited back end is sent.
+// rate returns the requests per second to send to a limited back end.
 func (l *requestLimit) rate() float64 {
 	return max(l.PerSecond, minRequestRate)
 }
 
-// permits says whether a daemon that may use a share of the limit may send something now.
+// permits reports whether a daemon with a share of the limit may send something now.
 func (g *Group) permits(state *BackendState, now time.Time, share Share) bool {
 	return !state.limit.Limited || state.limit.pacing.due(now, state.limit.rate(), share, g.options.Random)
 }
 
-// count notes a request or a probe that is sent to the back end.
+// recordSend counts a request or probe sent to the back end.
 func (l *requestLimit) recordSend(now time.Time) {
 	if !l.Limited {
 		return
@@ -66,14 +67,14 @@
 	l.used.Add(now, usedRateWindow, 1)
 }
 
-// LimitStatus is what operators see of a back end's limit.
+// LimitStatus is the status of a back end's limit as shown to operators.
 type LimitStatus struct {
 	PerSecond float64       `json:"per_second"`
-	Used      float64       `json:"used_per_second"` // by places that this daemon gave out, over the last seconds
+	Used      float64       `json:"used_per_second"` // by permits of this daemon, over the last seconds
 	Age       time.Duration `json:"age_ns"`
 }
 
-// Limit returns how many requests the back end takes; nil: any number.
+// Limit returns the request limit of the back end; nil: none.
 func (s *BackendState) Limit(now time.Time) *LimitStatus {
 	if !s.limit.Limited {
 		return nil
--- a/routing/newcomer.go
+++ b/routing/newcomer.go
@@ -2,21 +2,23 @@
 
 import "time"
 
-// When a back end gets its first request. By load alone it might get none while others
-// that have just told of themselves suffice.
+// When a back end gets its first request. Chosen by load alone, it might never get one while others
+// with recent reports suffice.
 const (
-	// newcomerFresh is how old a newcomer's good report may be.
+	// firstRequestReportAge is the maximum age of a good report that qualifies a back end for its
+	// first request.
 	firstRequestReportAge = 100 * time.Millisecond
-	// newcomerWait is when it gets a request if its last report is good.
+	// firstRequestDelay is when it gets a request if its last report is good.
 	firstRequestDelay = time.Second
-	// newcomerBlind is when it gets one that can be hedged, whatever it told.
+	// firstRequestHedgeableDelay is when it gets a request that can be hedged, whatever it
+	// reported.
 	firstRequestHedgeableDelay = 2 * time.Second
-	// newcomerLimit is when it gets any request.
+	// firstRequestMaxDelay is when it gets any request.
 	firstRequestMaxDelay = 3 * time.Second
 )
 
-// newcomer returns a back end that has a place, has had no request yet and should get
-// this one, or nil.
+// firstRequestTarget returns a back end with free capacity that has had no request yet and should
+// get this one, or nil.
 func (g *Group) firstRequestTarget(now time.Time, request Request) *BackendState {
 	for _, state := range g.scanned.unused {
 		if state.eligibleSince.IsZero() {
@@ -29,7 +31,7 @@
 	return nil
 }
 
-// welcome says whether a back end that has had no request yet should get one now.
+// firstRequestDue reports whether a back end that has had no request yet should get one now.
 func (s *BackendState) firstRequestDue(now time.Time, repeatable bool) bool {
 	switch waited := now.Sub(s.eligibleSince); {
 	case waited >= firstRequestMaxDelay:
--- a/routing/occupancy.go
+++ b/routing/occupancy.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// occupancy sums up what was in flight at a back end, so that the difference between two
-// moments tells what a request met between them.
+// occupancy holds integrals of the number of requests in flight at a back end, so that the
+// difference between two times gives the mean and variance between them.
 type occupancy struct {
 	at              time.Time
-	inFlightSeconds float64 // requests in flight, times seconds
-	squaredSeconds  float64 // the same of their squares
+	inFlightSeconds float64 // integral of the number in flight
+	squaredSeconds  float64 // integral of the square of the number in flight
 }
 
-// pass brings the occupancy up to now. It is called before what is in flight changes.
+// advanceOccupancy extends the integrals to now. It is called before the number in flight changes.
 func (s *BackendState) advanceOccupancy(now time.Time) {
 	if elapsed := now.Sub(s.occupancy.at).Seconds(); !s.occupancy.at.IsZero() && elapsed > 0 {
 		inFlight := float64(s.InFlight)
@@ -20,14 +20,14 @@
 	s.occupancy.at = now
 }
 
-// met is what a request met at a back end.
+// inFlightStats describes the requests in flight at a back end during one request.
 type inFlightStats struct {
 	duration time.Duration
-	mean     float64 // on average
-	variance float64 // of what was in flight
+	mean     float64 // number in flight, averaged over duration
+	variance float64 // of the number in flight
 }
 
-// since returns what a request met that began at an earlier occupancy of the same back
+// since returns the statistics of a request that began at an earlier occupancy of the same back
 // end.
 func (o occupancy) since(earlier occupancy) inFlightStats {
 	duration := o.at.Sub(earlier.at)
--- a/routing/outcome.go
+++ b/routing/outcome.go
@@ -5,28 +5,29 @@
 	"time"
 )
 
-// Outcome says how a request at a back end ended.
+// Outcome is how a request at a back end ended.
 type Outcome int
 
-// The outcomes.
+// Outcomes of a request.
 const (
 	// Success: the back end answered.
 	Success Outcome = iota
-	// ErrorResponse: an error answer. Its latency says nothing about load.
+	// ErrorResponse: the back end answered with an error. The latency says nothing about load.
 	ErrorResponse
-	// Canceled: the caller left or the deadline passed; nothing is learned.
+	// Canceled: the caller left or the deadline passed; nothing is learned from it.
 	Canceled
-	// ProcessExited: the back end's process ended while it ran the request.
+	// ProcessExited: the process of the back end exited while it ran the request.
 	ProcessExited
-	// ConnectionRefused: no connection was opened, as nothing listens there.
+	// ConnectionRefused: no connection was opened, as nothing listens at the address.
 	ConnectionRefused
-	// Unserved: no answer, part of one, or that the request was not run.
+	// Unserved: there was no response, an incomplete one, or one that says that the request was not
+	// run.
 	Unserved
-	// PushedBack: the back end turned the request away and asked for a pause.
+	// PushedBack: the back end rejected the request and asked for a pause.
 	PushedBack
 )
 
-// Done notes the end of a request that Pick counted as sent.
+// Done records the end of a request that Pick counted as sent.
 func (g *Group) Done(picked PickResult, now time.Time, outcome Outcome, latency time.Duration) {
 	state := picked.Backend
 	state.advanceOccupancy(now)
@@ -51,11 +52,10 @@
 		state.health.RecordFailure(now)
 	case PushedBack:
 		state.health.RecordFailure(now)
-		state.slowStartAnswers = 0 // it begins with one request at a time, so that not all come back together
+		state.slowStartAnswers = 0 // restart with one request at a time, so that waiting requests do not all return at once
 	case ProcessExited:
-		// Where one back end after another ended, ten a service and one each 300 ms,
-		// 0.84 of the requests were answered while those that had ended were tried on
-		// (TestBystandersAreServed).
+		// With ten back ends a service of which one exited every 300 ms, only 0.84 of the requests
+		// were answered while exited back ends continued to be tried (TestBystandersAreServed).
 		state.health.RecordExit(now)
 	case ConnectionRefused:
 		state.health.RecordConnectionRefused(now)
@@ -63,9 +63,8 @@
 	}
 }
 
-// gaveUp notes that a request was given up on before its answer: by its caller, or
-// because another back end answered first. How long the back end has been silent
-// is all that this tells.
+// recordAbandoned records a request that was given up before its response, by its caller or because
+// another back end answered first. It shows only how long the back end has been silent.
 func (s *BackendState) recordAbandoned(now time.Time) {
 	if !s.slowdown.known() {
 		return
@@ -79,15 +78,15 @@
 	}
 }
 
-// observe takes in the latency of an answer, and the slowdown that was expected when
-// its request was sent.
+// recordLatency records the latency of a response, and the slowdown expected when its request was
+// sent.
 func (s *BackendState) recordLatency(latency time.Duration, slowdown float64) {
 	s.latency = ewma(s.latency, latency)
 	s.baseLatency = ewma(s.baseLatency, time.Duration(float64(latency)/max(slowdown, 1)))
 	s.latencyRoot = math.Sqrt(s.latency.Seconds())
 }
 
-// averaged moves an average, 0 before the first value, towards a value.
+// ewma moves an exponentially weighted average, 0 before the first value, towards a value.
 func ewma(mean, value time.Duration) time.Duration {
 	if mean == 0 {
 		return value
--- a/routing/pacing.go
+++ b/routing/pacing.go
@@ -7,32 +7,32 @@
 	"github.com/tuliphall/tuliphall/clock"
 )
 
-// pacing spaces what is sent to one back end evenly: several requests that come together would have
-// to be worked on together, by a back end that can bear only a few. The zero value has sent nothing.
+// pacing spaces the requests to one back end evenly: several that arrive together would be worked
+// on at the same time by a back end that can take only a few. The zero value has sent nothing.
 type pacing struct {
-	lastSent time.Time // of what was sent last; zero: nothing was
-	// alone is the same for a daemon that may use only a part of the rate, as others send by
-	// themselves; zero: its turn is not drawn yet.
+	lastSent time.Time // zero: nothing was sent
+	// lastOwnTurn is the time of the last request for a daemon that has only a fraction of the rate
+	// while others send independently; zero: the phase is not drawn yet.
 	lastOwnTurn time.Time
 }
 
-// Share is what a daemon may use of a rate that all daemons have together.
+// Share is a daemon's share of a rate that all daemons have together.
 type Share struct {
 	Fraction float64 // of the rate, at most 1
-	// Since is when the daemon last found others again that had sent by themselves; zero: it never has.
-	// What they sent is not known, and counts as all that there was.
+	// Since is when the daemon last regained contact with others that had sent independently; zero:
+	// never. What they sent is not known and counts as the whole rate.
 	Since time.Time
 }
 
-// spacingOf is the time between two requests at so many a second.
+// sendInterval is the time between two requests at a rate.
 func sendInterval(perSecond float64) time.Duration {
 	return time.Duration(float64(time.Second) / perSecond)
 }
 
-// due says whether something may be sent now to a back end that takes so many a second from all
-// daemons, of which this one may use a share. Of several daemons that choose by themselves each sends
-// at times of its own: 20 daemons that lost their dispatcher sent a cold back end 15 requests in a
-// second where each decided by chance, and 3 so (TestColdWorkersWithoutDispatcher).
+// due reports whether something may be sent now to a back end with a given rate for all daemons, of
+// which this one has a share. Daemons that pick independently each send at a phase of their own: 20
+// daemons without a dispatcher sent a cold back end 15 requests in one second when each decided at
+// random, and 3 with phases (TestColdWorkersWithoutDispatcher).
 func (p *pacing) due(now time.Time, perSecond float64, share Share, random *rand.Rand) bool {
 	if lastKnown := clock.Later(p.lastSent, share.Since); !lastKnown.IsZero() && now.Sub(lastKnown) < sendInterval(perSecond) {
 		return false
@@ -47,7 +47,7 @@
 	return now.Sub(p.lastOwnTurn) >= own
 }
 
-// next returns when something may be sent at the earliest; see due.
+// dueAt returns the earliest time at which something may be sent; see due.
 func (p *pacing) dueAt(perSecond float64, share Share) time.Time {
 	earliest := clock.Later(p.lastSent, share.Since).Add(sendInterval(perSecond))
 	if own := p.lastOwnTurn.Add(sendInterval(perSecond * share.Fraction)); share.Fraction < 1 && !p.lastOwnTurn.IsZero() && own.After(earliest) {
@@ -56,7 +56,7 @@
 	return earliest
 }
 
-// sent notes that something is sent.
+// recordSend records that something is sent.
 func (p *pacing) recordSend(now time.Time) {
 	p.lastSent, p.lastOwnTurn = now, now
 }
--- a/routing/picker.go
+++ b/routing/picker.go
@@ -6,70 +6,69 @@
 	"time"
 )
 
-// PickInfo is what a Picker sees of one request.
+// PickInfo is what a Picker is given for one request.
 type PickInfo struct {
 	Now    time.Time
 	Random *rand.Rand
 	Origin origin // of the request
-	// Candidates may all take the request now; there is at least one.
+	// Candidates can all take the request now; there is at least one.
 	Candidates []*BackendState
 }
 
-// Picker chooses one candidate. A Group calls it for each request; it must not
-// block, keep the candidates, or change them.
+// Picker chooses one candidate. A Group calls it for each request; it must not block, and must
+// neither retain nor change the candidates.
 type Picker interface {
 	// Pick returns the index of the chosen candidate.
 	Pick(info PickInfo) int
 }
 
-// Reason says why a back end was chosen.
+// Reason is why a back end was chosen.
 type Reason string
 
-// The reasons.
+// Reasons for a choice.
 const (
 	ReasonLoad    Reason = "least-load"
 	ReasonSession Reason = "session"
-	ReasonTrial   Reason = "trial" // an ejected back end gets one request to show itself
-	// ReasonFirstRequest: a back end gets its first request.
+	ReasonTrial   Reason = "trial" // trial request of an ejected back end
+	// ReasonFirstRequest: the back end gets its first request.
 	ReasonFirstRequest Reason = "newcomer"
-	// ReasonOtherRegion: a back end of another region is tried, as the own ones have no place.
+	// ReasonOtherRegion: a back end of another region is tried, as the region's own ones are full.
 	ReasonOtherRegion Reason = "lender"
-	// ReasonCanary: a new version of the service is judged by the request.
+	// ReasonCanary: the request is used to compare a new version of the service.
 	ReasonCanary Reason = "judged-version"
 )
 
-// PickResult is a choice with what is logged about it.
+// PickResult is a choice and what is logged about it.
 type PickResult struct {
 	Backend    *BackendState
 	Reason     Reason
-	Candidates int           // candidates weighed
-	MostlyFull bool          // most back ends had no place
-	ReportAge  time.Duration // age of the back end's last report; -1: none yet
-	// BestInFlight is with how many requests back ends with as many slots do best, as
-	// learned; 0: that is not known yet.
+	Candidates int           // number of candidates
+	MostlyFull bool          // most back ends had no free capacity
+	ReportAge  time.Duration // age of the back end's last report; -1: none
+	// BestInFlight is the learned number of requests in flight that back ends with as many slots do
+	// best with; 0: not known yet.
 	BestInFlight int
 
-	slowdownAtPick  float64   // expected when it was picked
-	occupancyAtPick occupancy // of the back end when it was picked
+	slowdownAtPick  float64   // expected at the time of the pick
+	occupancyAtPick occupancy // of the back end at the time of the pick
 }
 
-// LeastLoad picks the candidate with the smallest load, counted in requests a
-// slot and weighed by the square root of the back end's latency: among back ends
-// that are about equally loaded, the one that has lately been faster, or is
-// nearer, goes first. Weighing by the latency itself follows every long request;
-// docs/ROUNDS.md has the measurements. Ties are broken at random, so that daemons
-// do not follow each other.
+// LeastLoad picks the candidate with the lowest load, in requests per slot, weighted by the square
+// root of the back end's latency: of back ends that are about equally loaded, the one that has
+// recently been faster, or is nearer, is preferred. Weighting by the latency itself reacts to every
+// long request; docs/ROUNDS.md has the measurements. Ties are broken at random, so that daemons do
+// not all choose the same back end.
 type LeastLoad struct{}
 
 // Pick implements Picker.
 func (LeastLoad) Pick(info PickInfo) int {
-	return LowestScore(info, func(candidate *BackendState, most float64) float64 {
-		return candidate.score(info.Now, info.Origin, most)
+	return LowestScore(info, func(candidate *BackendState, bound float64) float64 {
+		return candidate.score(info.Now, info.Origin, bound)
 	})
 }
 
-// LowestScore returns the index of the candidate with the smallest score, at random
-// among equals. score may return anything above most where the score is above it.
+// LowestScore returns the index of the candidate with the lowest score, chosen at random among
+// equals. score may return any value above its second argument if the score is above it.
 func LowestScore(info PickInfo, score func(candidate *BackendState, bound float64) float64) int {
 	best, ties := 0, 0
 	lowest := math.Inf(1)
--- a/routing/probe.go
+++ b/routing/probe.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// HealthProbeTarget returns the back end whose state is most worth asking for: an
-// ejected one whose trial is due, else the one unheard of for longest, if that is
-// longer than silence. A limited one is returned only when it takes a probe now; Probing is called
-// next where it is made.
+// HealthProbeTarget returns the back end that a health probe would tell most about: an ejected one
+// whose trial is due, otherwise the one not heard from for longest, if that is longer than silence.
+// A back end with a request limit is returned only if it can take a probe now. If the probe is
+// made, RecordHealthProbeStart must be called next.
 func (g *Group) HealthProbeTarget(now time.Time, silence time.Duration) (string, bool) {
 	var quietest *BackendState
 	for _, state := range g.states {
@@ -28,15 +28,16 @@
 	return quietest.ID, true
 }
 
-// RecordHealthProbeStart notes that a back end is being probed: what it says that it takes counts probes, too.
+// RecordHealthProbeStart records that a back end is being probed, as probes count against its
+// request limit.
 func (g *Group) RecordHealthProbeStart(now time.Time, id string) {
 	if state, known := g.byID[id]; known {
 		state.limit.recordSend(now)
 	}
 }
 
-// RecordHealthProbe takes in the outcome of a probe; report is nil where the back end did
-// not report its load.
+// RecordHealthProbe records the result of a health probe; report is nil if the back end did not
+// report its load.
 func (g *Group) RecordHealthProbe(now time.Time, id string, healthy bool, report *Report) {
 	state, known := g.byID[id]
 	if !known {
@@ -49,7 +50,7 @@
 		return
 	}
 	if state.Ejected(now) {
-		state.slowStartAnswers = 0 // it may have failed because it got too much at once
+		state.slowStartAnswers = 0 // it may have failed because it was overloaded
 		state.health.RecordSuccess()
 	}
 	if report != nil {
@@ -57,14 +58,14 @@
 	}
 }
 
-// probesPerPick is how many probes a request earns: the back ends that it could have
-// gone to are asked, and not those that nobody will choose.
+// probeCreditPerPick is how many load probes a request earns: probes go to the back ends that it
+// could have been sent to, and not to those that would not be chosen.
 const probeCreditPerPick = 3
 
-// probeCredit is how many probes can be earned in advance.
+// maxProbeCredit is the maximum number of load probes earned in advance.
 const maxProbeCredit = 10
 
-// earnProbes notes a request that a back end was chosen for.
+// earnProbes credits a request that a back end was chosen for.
 func (g *Group) earnProbes(from origin) {
 	g.probeCredit = min(g.probeCredit+probeCreditPerPick, maxProbeCredit)
 	if !slices.Contains(g.origins, from) {
@@ -72,20 +73,20 @@
 	}
 }
 
-// introductions is how often a back end is asked for its first report. A service
-// may have back ends that tell none.
+// maxIntroductions is how often a back end is asked for its first report. A service may have back
+// ends that do not report.
 const maxIntroductions = 3
 
-// MaxReportAge returns how old the report may be that a back end is chosen by, as learned;
-// otherwise as long as that is not known.
+// MaxReportAge returns the learned maximum age of the report by which a back end is chosen, or
+// fallback until it is known.
 func (g *Group) MaxReportAge(fallback time.Duration) time.Duration {
 	return g.reportAge.maxAge(fallback)
 }
 
-// LoadProbeTarget returns a back end that would get the next request of some origin, if its
-// report is older than is worth it, or than freshness as long as that is not known; every other time one that has told nothing yet, if
-// there is any. It is not returned again before interval has passed, nor before
-// Refreshed or Unprobed was called for it.
+// LoadProbeTarget returns a back end that would get the next request of some origin, if its report
+// is older than MaxReportAge; every other time it prefers a back end that has not reported yet, if
+// there is any. The same back end is not returned again before interval has passed, nor before
+// RecordLoadProbe or RecordLoadProbeFailure has been called for it.
 func (g *Group) LoadProbeTarget(now time.Time, fallback, interval time.Duration) (string, bool) {
 	if g.probeCredit < 1 {
 		return "", false
@@ -107,7 +108,7 @@
 		g.scanBestTargets(now)
 	}
 	for range g.origins {
-		// They take turns.
+		// The origins take turns.
 		next := g.origins[0]
 		g.origins = append(g.origins[1:], next)
 		best := g.bestTargets.forOrigin(next)
@@ -120,7 +121,7 @@
 	return "", false
 }
 
-// unintroduced returns a back end that has told nothing yet and may be asked, or nil.
+// introductionTarget returns a back end that has not reported yet and may be asked, or nil.
 func (g *Group) introductionTarget(now time.Time, interval time.Duration) *BackendState {
 	for _, state := range g.workingSet.members(now) {
 		if state.reportedAt.IsZero() && state.introductions < maxIntroductions && !state.Draining && !state.skipsLoadProbes(now) && !state.Ejected(now) &&
@@ -131,20 +132,20 @@
 	return nil
 }
 
-// probe notes that a back end is being probed.
+// startLoadProbe records that a load probe of a back end starts.
 func (g *Group) startLoadProbe(state *BackendState, now time.Time) {
 	g.probeCredit--
 	state.loadProbing, state.loadProbedAt = true, now
 }
 
-// RecordLoadProbeFailure notes that a probe of a back end told nothing.
+// RecordLoadProbeFailure records that a load probe of a back end brought no report.
 func (g *Group) RecordLoadProbeFailure(id string) {
 	if state, known := g.byID[id]; known {
 		state.loadProbing = false
 	}
 }
 
-// RecordLoadProbe takes in the report that a probe for a fresher one brought.
+// RecordLoadProbe records the report that a load probe brought.
 func (g *Group) RecordLoadProbe(now time.Time, id string, report Report) {
 	state, known := g.byID[id]
 	if !known {
--- a/routing/region.go
+++ b/routing/region.go
@@ -6,27 +6,31 @@
 )
 
 const (
-	// otherRegion is how much a back end of another region counts more than one of another zone of the own:
-	// it is for what the own ones cannot work on. Its wire is tens of milliseconds longer and its bytes are
-	// the dearest.
+	// otherRegionWeight multiplies the load of a back end of another region, on top of the weight
+	// of another zone: it is meant for what the region's own back ends cannot serve. Its round trip
+	// is tens of milliseconds longer, and its traffic is the most expensive.
 	otherRegionWeight = 2.0
-	// lendingTrust is for how long a report says that a back end of another region has room: as long as a
-	// request or two take there. Its own region sends it requests meanwhile that are not known here.
+	// roomReportMaxAge is for how long a report of free slots at a back end of another region is
+	// valid: as long as one or two requests take there. Meanwhile its own region sends it requests
+	// that are not known here.
 	roomReportMaxAge = 250 * time.Millisecond
-	// lendingReserve is how many slots are left to the back end's own region. Of an idle one any is lent: a
-	// region that has lost its back ends would else get next to nothing of those with one slot.
+	// reservedSlots is how many slots are left to the back end's own region. An idle back end may
+	// lend any slot: otherwise a region that has lost its back ends would get next to nothing from
+	// those with one slot.
 	reservedSlots = 1
-	// mostBorrowed is how many requests of this daemon's such a back end holds at most: its own region may
-	// fill it while they are on their way.
+	// maxBorrowed is the maximum number of this daemon's requests at a back end of another region:
+	// its own region may fill it while they are on their way.
 	maxBorrowed = 1
-	// tryInterval is the time between two requests to back ends of other regions of which nothing is known,
-	// while the own ones have no place: twenty a second find those with room, and hardly burden those without.
+	// otherRegionTryInterval is the time between two requests to back ends of other regions without
+	// a valid report, while the region's own ones are full: twenty a second find those with free
+	// slots and hardly burden those without.
 	otherRegionTryInterval = 50 * time.Millisecond
 )
 
-// room is how many requests of this daemon's a back end of another region may hold: mostBorrowed if it has told
-// of late that it is idle or has slots free beyond the reserve, else none. Dispatchers of three regions that each used all slots had
-// nine requests at back ends of three, twice the load that all could bear (TestRegionsShareSlots).
+// otherRegionRoom is how many requests of this daemon a back end of another region may hold:
+// maxBorrowed if it has recently reported that it is idle or has more than the reserved slots free,
+// otherwise none. When the dispatchers of three regions each used all slots, back ends with three
+// slots held nine requests at twice the load that all could serve (TestRegionsShareSlots).
 func (s *BackendState) otherRegionRoom(now time.Time) int {
 	idle := s.reportedInFlight == 0
 	if s.roomUnknown(now) || !idle && s.reportedInFlight+reservedSlots >= s.Slots {
@@ -35,8 +39,8 @@
 	return maxBorrowed
 }
 
-// ownRoom is how many requests of this daemon's a back end of the own region may hold: what other regions
-// have there by its last report would have to be worked on before a further one.
+// ownRegionRoom is how many requests of this daemon a back end of the own region may hold: the
+// requests that other regions have there by its last report are served before any further one.
 func (s *BackendState) ownRegionRoom(now time.Time) int {
 	if s.roomUnknown(now) {
 		return s.Slots
@@ -44,12 +48,12 @@
 	return max(s.Slots-s.reportedInFlight, 1)
 }
 
-// unheardOf says whether nothing is known of the room at a back end.
+// roomUnknown reports whether there is no valid report of free slots at a back end.
 func (s *BackendState) roomUnknown(now time.Time) bool {
 	return s.reportedAt.IsZero() || now.Sub(s.reportedAt) > roomReportMaxAge
 }
 
-// farther is how much the back end counts more for standing in another region.
+// regionWeight multiplies the load of the back end for its region.
 func (s *BackendState) regionWeight() float64 {
 	if s.OtherRegion {
 		return otherRegionWeight
@@ -57,8 +61,9 @@
 	return 1
 }
 
-// lender returns a back end of another region that is tried although nothing is known of its room, as no back
-// end has a place, or nil: now and then, or at any time where the own region has no back ends at all.
+// otherRegionTarget returns a back end of another region without a valid report to be tried when no
+// back end has free capacity, or nil: once per otherRegionTryInterval, or at any time if the own
+// region has no back ends.
 func (g *Group) otherRegionTarget(now time.Time, role dispatchRole) *BackendState {
 	if !g.hasOtherRegions {
 		return nil
--- a/routing/slowdown.go
+++ b/routing/slowdown.go
@@ -6,34 +6,35 @@
 	"github.com/tuliphall/tuliphall/recent"
 )
 
-// Tuning of the estimate of a back end's slowdown.
+// Parameters of the estimate of a back end's slowdown.
 const (
-	// slowdownMemory is the age at which a report of it counts 1/e; the
-	// neighbours that cause it come and go within a fraction of a second.
+	// slowdownDecayTime is the age at which a report of it has the weight 1/e; the neighbours that
+	// cause slowdown come and go within a fraction of a second.
 	slowdownDecayTime = 150 * time.Millisecond
-	// slowdownForgotten is the age at which a report counts less than 1/20,000, and is
-	// left out: that spares reckoning it.
+	// slowdownMaxAge is the age at which a report has a weight below 1/20,000 and is ignored, which
+	// saves computing it.
 	slowdownMaxAge = 10 * slowdownDecayTime
-	// usualWeight is the weight of a new report in what is usual at its back end.
+	// ownWeight is the weight of a new report in the average of its back end.
 	ownWeight = 0.02
-	// commonWeight is the weight of a new report in what is usual at all back ends.
+	// commonWeight is the weight of a new report in the average of all back ends.
 	commonWeight = 0.01
-	// commonStart is what is taken for usual at first.
+	// initialCommonSlowdown is the initial average of all back ends.
 	initialCommonSlowdown = 1.5
-	// commonSamples is for how many reports commonStart counts among those of all.
+	// initialCommonSamples is the weight of initialCommonSlowdown, in reports.
 	initialCommonSamples = 5
-	// ownSamples is for how many reports of a back end what is usual at all counts.
+	// commonPriorSamples is the weight of the common average in the baseline of a back end, in
+	// reports.
 	commonPriorSamples = 50
 )
 
-// common is the slowdown that the back ends of a service usually tell. It is expected
-// of those that have told nothing, or hardly anything. The zero value has heard none.
+// commonSlowdown is the average slowdown that the back ends of a service report. It is the baseline
+// of those with no or few reports. The zero value has no reports.
 type commonSlowdown struct {
 	value   float64
 	reports int
 }
 
-// report takes in what any back end told.
+// record adds the report of any back end.
 func (c *commonSlowdown) record(value float64) {
 	if c.reports == 0 {
 		c.value = initialCommonSlowdown
@@ -43,17 +44,17 @@
 	c.value += weight * (value - c.value)
 }
 
-// slowdown is what is known of how much longer work takes at a back end than
-// usually. The zero value is a back end that has told nothing.
+// slowdown estimates how much longer work takes at a back end than usual. The zero value is a back
+// end without reports.
 type slowdown struct {
 	last       float64
 	at         time.Time
-	ownAverage float64 // moving average of what it told
+	ownAverage float64 // moving average of its reports
 	reports    int
 	common     *commonSlowdown // of all back ends of the service; nil: there are no others
 }
 
-// report takes in what the back end told.
+// record adds a report of the back end.
 func (s *slowdown) record(now time.Time, value float64) {
 	s.reports++
 	weight := max(ownWeight, 1/float64(s.reports))
@@ -61,13 +62,13 @@
 	s.last, s.at = value, now
 }
 
-// known says whether any back end of the service has told its slowdown.
+// known reports whether any back end of the service has reported its slowdown.
 func (s *slowdown) known() bool {
 	return s.reports > 0 || s.common != nil && s.common.reports > 0
 }
 
-// usual is the slowdown to be expected without a recent report: what is usual at all
-// back ends, which gives way to what is usual here with the number of reports.
+// baseline is the slowdown expected without a recent report: the common average, which is replaced
+// by the back end's own as its reports accumulate.
 func (s *slowdown) baseline() float64 {
 	if s.common == nil || s.common.reports == 0 {
 		return s.ownAverage
@@ -76,8 +77,8 @@
 	return s.common.value + weight*(s.ownAverage-s.common.value)
 }
 
-// expected returns the slowdown to be expected now: the last report, which
-// gives way to the usual value with age.
+// expected returns the slowdown to be expected now: the last report, which decays to the baseline
+// with age.
 func (s *slowdown) expected(now time.Time) float64 {
 	if !s.known() {
 		return 1
@@ -94,7 +95,7 @@
 	return baseline + weight*(s.last-baseline)
 }
 
-// least is a bound below expected that costs less to reckon.
+// lowerBound is a lower bound of expected that is cheaper to compute.
 func (s *slowdown) lowerBound() float64 {
 	if !s.known() {
 		return 1
--- a/routing/state.go
+++ b/routing/state.go
@@ -7,93 +7,92 @@
 	"github.com/tuliphall/tuliphall/outlier"
 )
 
-// Tuning of the estimates; see docs/ROUNDS.md for the measurements behind them.
+// Parameters of the estimates; see docs/ROUNDS.md for the measurements behind them.
 const (
 	// latencyWeight is the weight of a new latency in the moving average.
 	latencyWeight = 0.2
-	// reportHalfLife is the age at which a report counts half.
+	// reportHalfLife is the age at which a report has half its weight.
 	reportHalfLife = 10 * time.Millisecond
-	// peerHalfLife is the age at which the in-flight count told by peers
-	// counts half.
+	// peerHalfLife is the age at which the number in flight reported by peers has half its weight.
 	peerHalfLife = 20 * time.Millisecond
-	// initialLatency is assumed of a back end that has not answered yet.
+	// initialLatency is assumed for a back end that has not answered yet.
 	initialLatency = time.Millisecond
 )
 
-// Backend is what is declared of a back end.
+// Backend is the declaration of a back end.
 type Backend struct {
 	ID   string
 	Zone string
-	// Version is that of its software; see VersionRule.
+	// Version is the version of its software; see VersionRule.
 	Version string
-	Slots   int // requests worked on at once; at least 1
-	// Window bounds this daemon's requests at the back end; 0: it is learned.
+	Slots   int // requests it works on at once; at least 1
+	// Window bounds this daemon's requests at the back end; 0: the bound is learned.
 	Window int
-	// Warm: the back end is known to have run for a while, so that it needs no
-	// slow start although this daemon meets it for the first time.
+	// Warm: the back end is known to have run for a while, so that it needs no slow start although
+	// it is new to this daemon.
 	Warm bool
-	// WarmUp is what it bears while it is not.
+	// WarmUp is the rate that it can take while it is not warm.
 	WarmUp WarmUp
 	// Drained: by declaration it gets no new requests.
 	Drained bool
-	// Evacuated: that is because its zone gets none.
+	// Evacuated: it is drained because its zone is evacuated.
 	Evacuated bool
-	// Started tells one run of the back end from the next: what was learned of one does not
-	// speak for the other.
+	// Started identifies one run of the back end's process: what was learned about one run does not
+	// apply to the next.
 	Started int64
-	// OtherRegion: it stands in another region, whose dispatcher gives out its places, too.
+	// OtherRegion: it is in another region, whose dispatcher also hands out its permits.
 	OtherRegion bool
-	// Limit is how many requests it says that it takes.
+	// Limit is the request limit that it announced.
 	Limit backendlimit.Limit
-	// PausedUntil is until when it wants no probes of this daemon. Requests of each daemon say by themselves which back
-	// ends they must not reach.
+	// PausedUntil is until when this daemon must not probe it. Which back ends a request must not
+	// be sent to is stated in the request.
 	PausedUntil time.Time
 }
 
-// BackendState is what one daemon knows of one back end.
+// BackendState is what one daemon knows about one back end.
 type BackendState struct {
 	Backend
-	zoneIndex int    // of its zone in the group
-	hashOrder uint64 // in which back ends are drawn on; 0: not reckoned yet
+	zoneIndex int    // index of its zone in the group
+	hashOrder uint64 // hash that defines the order of the working set; 0: not computed yet
 	// InFlight counts this daemon's requests at the back end.
 	InFlight int
 	// Draining back ends get no new requests.
 	Draining bool
 
-	latency          time.Duration // moving average over answers; 0: none yet
-	baseLatency      time.Duration // the same without the slowdown that was expected
+	latency          time.Duration // moving average over responses; 0: none yet
+	baseLatency      time.Duration // the same, divided by the slowdown expected at the time
 	latencyRoot      float64       // square root of the latency, in seconds
 	reportedInFlight int           // requests of other daemons, from the last report
 	reportedAt       time.Time
-	peerInFlight     int // requests of other daemons, as told by them
+	peerInFlight     int // requests of other daemons, as reported by them
 	peerInFlightAt   time.Time
-	slowStartAnswers int // answers since the back end appeared or came back
+	slowStartAnswers int // responses since the back end appeared, was reinstated or turned cold
 	health           outlier.Detector
-	heardAt          time.Time // of the last answer or probe
-	window           float64   // most requests of this daemon at the back end
+	heardAt          time.Time // time of the last response or health probe
+	window           float64   // maximum number of this daemon's requests at the back end
 	slowdown         slowdown
 	warmUp           warmUp
 	limit            requestLimit
-	// bound is how many requests it is to hold at most, of those with a declared window.
+	// bound is the learned maximum of requests in flight, if a window is declared.
 	bound             int
-	answersSinceBound int  // requests that succeeded since it was chosen
-	boundWhenShort    bool // places were short then
+	answersSinceBound int  // requests that succeeded since bound was chosen
+	boundWhenShort    bool // bound was chosen while capacity was short
 	occupancy         occupancy
-	loadProbing       bool      // a probe for a fresher report is under way
-	arrivalProbeSince time.Time // when the last request began of which it is to be learned what it met; zero: none
+	loadProbing       bool      // a load probe is under way
+	arrivalProbeSince time.Time // start of the last request that an arrival probe is scheduled for; zero: none
 	loadProbedAt      time.Time
-	// introduced is how often it was asked for its first report.
+	// introductions is how often the back end was asked for its first report.
 	introductions     int
 	eligibleSince     time.Time // when it could first have got a request; zero: never yet
-	used              bool      // it has got one
-	excludedInRequest uint64    // the request, by its number in the group, that must not reach it
-	// quietSince is since when the back end holds requests and has answered
-	// none; zero: it holds none.
+	used              bool      // it has had a request
+	excludedInRequest uint64    // sequence number of the request that must not be sent to it
+	// silentSince is since when the back end has held requests without answering any; zero: it
+	// holds none.
 	silentSince time.Time
 }
 
-// PeerInFlight estimates the requests of other daemons at the back end from the
-// freshest source, which counts less the older it is.
+// PeerInFlight estimates the requests of other daemons at the back end from the most recent source,
+// whose weight decreases with its age.
 func (s *BackendState) PeerInFlight(now time.Time) float64 {
 	if s.peerInFlight == 0 && s.reportedInFlight == 0 {
 		return 0
@@ -107,8 +106,7 @@
 	return decay(s.reportedInFlight, now.Sub(s.reportedAt), reportHalfLife)
 }
 
-// decay halves the count for each half-life of age, by straight lines between
-// the halvings.
+// decay halves the count after one half-life and reduces it hyperbolically with age.
 func decay(count int, age, halfLife time.Duration) float64 {
 	if count == 0 || age < 0 {
 		return float64(count)
@@ -116,7 +114,7 @@
 	return float64(count) / (1 + float64(age)/float64(halfLife))
 }
 
-// Latency returns the moving average of answers' latencies.
+// Latency returns the moving average of response latencies.
 func (s *BackendState) Latency() time.Duration {
 	if s.latency == 0 {
 		return initialLatency
@@ -124,9 +122,9 @@
 	return s.latency
 }
 
-// score is what the back end costs a request from an origin: its load, weighed by the
-// latency or, where the back end tells it, by how much longer work takes there now, and
-// then by its zone. Where it would be most or more, anything from most on is returned.
+// score is the cost of sending a request from an origin to the back end: its load, weighted by the
+// latency or, if the back end reports it, by the slowdown expected there, and then by its zone. If
+// the score is at least bound, any value from bound on may be returned.
 func (s *BackendState) score(now time.Time, from origin, bound float64) float64 {
 	load := s.load(now) * s.regionWeight()
 	if !s.slowdown.known() {
@@ -138,7 +136,7 @@
 	return s.slowdownScore(now, load, bound)
 }
 
-// nearScore is the score for a request from the back end's own zone.
+// sameZoneScore is the score for a request from the back end's own zone.
 func (s *BackendState) sameZoneScore(now time.Time, bound float64) float64 {
 	load := s.load(now) * s.regionWeight()
 	if !s.slowdown.known() {
@@ -147,8 +145,8 @@
 	return s.slowdownScore(now, load, bound)
 }
 
-// slowed is a load times the slowdown that is to be expected. Most back ends are known to
-// be no better than the best so far before that is reckoned.
+// slowdownScore is a load multiplied by the expected slowdown. For most back ends the cheaper lower
+// bound already exceeds the best score so far, so that the slowdown need not be computed.
 func (s *BackendState) slowdownScore(now time.Time, load, bound float64) float64 {
 	if lower := load * s.slowdown.lowerBound(); lower > bound {
 		return lower
@@ -156,8 +154,8 @@
 	return load * max(s.slowdown.expected(now), s.stallSlowdown(now))
 }
 
-// load is the load with one more request. Where slowdowns are told, slots that are free
-// count less than those that are not.
+// load is the load with one more request. If slowdowns are reported, free slots have less weight
+// than occupied ones.
 func (s *BackendState) load(now time.Time) float64 {
 	load := (float64(s.InFlight) + s.PeerInFlight(now) + 1) / float64(s.Slots)
 	if !s.slowdown.known() {
@@ -166,8 +164,8 @@
 	return slotWeight*min(load, 1) + max(load, 1)
 }
 
-// pace returns how many requests the back end finishes in a second, as far as its latency
-// and what it bears tell.
+// serviceRate returns how many requests per second the back end can serve according to its latency
+// and its rate limits.
 func (s *BackendState) serviceRate(now time.Time) float64 {
 	places := s.Slots
 	if s.OtherRegion {
@@ -183,13 +181,13 @@
 	return perSecond
 }
 
-// origin is what of a request its score at a back end depends on.
+// origin is the part of a request that its score at a back end depends on.
 type origin struct {
-	zone       string // of the daemon that sends it
+	zone       string // zone of the daemon that sends the request
 	repeatable bool
 }
 
-// otherZone is how much a back end in another zone counts more for the request.
+// otherZoneWeight multiplies the load of a back end in another zone for the request.
 func (o origin) otherZoneWeight() float64 {
 	if o.repeatable {
 		return otherZoneWeight
@@ -197,8 +195,8 @@
 	return otherZoneOnceWeight
 }
 
-// stall is the slowdown that the back end's silence tells: it holds requests and
-// has not answered any for so many times the time that they take undisturbed.
+// stallSlowdown is the slowdown implied by the back end's silence: the time for which it has held
+// requests without answering any, relative to its latency when undisturbed.
 func (s *BackendState) stallSlowdown(now time.Time) float64 {
 	if s.baseLatency == 0 {
 		return 0
@@ -206,7 +204,7 @@
 	return float64(s.silence(now)) / float64(s.baseLatency)
 }
 
-// quiet returns for how long the back end has held requests and answered none.
+// silence returns for how long the back end has held requests without answering any.
 func (s *BackendState) silence(now time.Time) time.Duration {
 	if s.silentSince.IsZero() {
 		return 0
@@ -214,27 +212,27 @@
 	return now.Sub(s.silentSince)
 }
 
-// stallLimit is for how many times its latency a back end may be quiet, before a
-// request that was given up on counts as failed.
+// maxSilenceLatencies is for how many times its latency a back end may be silent before an
+// abandoned request counts as failed.
 const maxSilenceLatencies = 4
 
-// otherZone is how much a back end in another zone counts more: its wire is longer
-// and its bytes cost, but a free or undisturbed one is worth more than a near one.
+// otherZoneWeight multiplies the load of a back end in another zone: its round trip is longer and
+// its traffic costs money, but a free or undisturbed back end is worth more than a near one.
 const otherZoneWeight = 1.9
 
-// otherZoneOnce is the same for a request that may run once only: it cannot be sent to
-// a second back end when the first turns out to be slow.
+// otherZoneOnceWeight is the same for a request that may run only once: it cannot be sent to a
+// second back end when the first turns out to be slow.
 const otherZoneOnceWeight = 1.2
 
-// slotWeight is how much a slot's load counts while slots are free, against the time that
-// work takes: of two slots the second costs 1.4 times as much as the first. At 0.5 it cost a
-// fifth more, so that back ends that had just answered were sent a second request while others
-// stood idle that had told nothing of late. Of the requests of 8 days at 257 back ends 0.128
-// were late with 0.5 and 0.119 with 2; at their capacity (load pattern capacity) 0.881 were in
-// time with 0.5, 0.873 with 1.5 and 0.861 with 2.
+// slotWeight is the weight of the load while slots are free, relative to the time that work takes:
+// of two slots the second costs 1.4 times as much as the first. At 0.5 it cost a fifth more, so
+// that back ends that had just answered got a second request while others without a recent report
+// were idle. Of the requests of 8 days at 257 back ends 0.128 were late with 0.5 and 0.119 with 2;
+// at full capacity (load pattern capacity) 0.881 were in time with 0.5, 0.873 with 1.5 and 0.861
+// with 2.
 const slotWeight = 1.5
 
-// mostInFlight bounds this daemon's requests at the back end.
+// maxInFlight is the bound on this daemon's requests at the back end.
 func (s *BackendState) maxInFlight(slowStart bool) int {
 	full := int(s.window)
 	if !slowStart {
@@ -243,17 +241,17 @@
 	return min(full, 1+s.slowStartAnswers)
 }
 
-// Bounds and steps of the window; see learnWindow.
+// Bounds and steps of the window; see adjustWindow.
 const (
-	maxWindowPerSlot     = 8 // most requests a slot
+	maxWindowPerSlot     = 8 // maximum window per slot
 	windowIncrement      = 0.25
 	windowDecrement      = 0.05
-	windowQueueThreshold = 2 // queued requests at the back end that narrow the window
+	windowQueueThreshold = 2 // requests queued at the back end above which the window shrinks
 )
 
-// learnWindow widens the window of a back end that has a free slot while
-// requests wait for it here, as the wire is long against its work, and narrows
-// it again when its queue grows.
+// adjustWindow widens the window of a back end that has a free slot while requests wait for it
+// here, because the round trip is long compared to its work, and narrows it again when its queue
+// grows.
 func (s *BackendState) adjustWindow(inFlight int, waiting bool, minWindow float64) {
 	switch {
 	case s.Window > 0:
@@ -265,7 +263,7 @@
 	}
 }
 
-// ReportAge returns the age of the last report, or -1 when there was none.
+// ReportAge returns the age of the last report, or -1 if there was none.
 func (s *BackendState) ReportAge(now time.Time) time.Duration {
 	if s.reportedAt.IsZero() {
 		return -1
@@ -273,7 +271,7 @@
 	return now.Sub(s.reportedAt)
 }
 
-// Ejected says whether the back end is out for failing.
+// Ejected reports whether the back end is ejected.
 func (s *BackendState) Ejected(now time.Time) bool {
 	return s.health.Ejected(now)
 }
--- a/routing/survey.go
+++ b/routing/survey.go
@@ -8,35 +8,35 @@
 	"github.com/tuliphall/tuliphall/outlier"
 )
 
-// repeatableFirst is how long a due trial is kept for a request that can be
-// repeated elsewhere, before any request may be the trial.
+// repeatableTrialTime is for how long a due trial is reserved for a request that can be repeated at
+// another back end, before any request may be the trial.
 const repeatableTrialTime = 2 * time.Second
 
-// survey is what one walk over the back ends finds for a request. One walk instead of
-// five, and one reckoning of each slowdown: a request and its end cost the dispatcher of
-// 415 back ends 20 µs instead of 81 (BenchmarkPickAndFinish, beside other load).
+// scanResult is the result of one scan of the back ends for a request. With one scan instead of
+// five and one computation of each slowdown, a request costs the dispatcher of 415 back ends 20 µs
+// instead of 81 (BenchmarkPickAndFinish, on a busy machine).
 type scanResult struct {
-	// trial is an ejected back end whose trial is due; nil: none.
+	// trial is an ejected back end whose trial is due, or nil.
 	trial *BackendState
-	// eligible take requests, though they may be full now.
+	// eligible back ends take requests, though they may be full now.
 	eligible []*BackendState
-	// free hold fewer requests than their limit and are not held back.
+	// free back ends hold fewer requests than their bound and are not deferred.
 	free []*BackendState
-	// unmet are those of the free that have had no request yet.
+	// unused are the free back ends that have had no request yet.
 	unused []*BackendState
-	// held would be free, but no request should begin there now.
+	// deferred back ends have free capacity, but no request should begin there now.
 	deferred []*BackendState
-	// ejected would be free or held, but are left out for failing.
+	// ejected back ends would be free or deferred if they were not ejected.
 	ejected []*BackendState
-	busy    bool // some back end has a request, whose end will bring a place
+	busy    bool // some back end holds a request, whose end will free capacity
 }
 
-// clear forgets everything but the memory.
+// clear empties the result but keeps its memory.
 func (s *scanResult) clear() {
 	*s = scanResult{eligible: s.eligible[:0], free: s.free[:0], unused: s.unused[:0], deferred: s.deferred[:0], ejected: s.ejected[:0]}
 }
 
-// add takes in a back end that takes requests.
+// add adds a back end that takes requests.
 func (s *scanResult) add(state *BackendState, now time.Time, full bool) {
 	s.eligible = append(s.eligible, state)
 	switch {
@@ -48,7 +48,7 @@
 	}
 }
 
-// addFree takes in a back end that may have the request.
+// addFree adds a back end that the request may be sent to.
 func (s *scanResult) addFree(state *BackendState) {
 	s.free = append(s.free, state)
 	if !state.used {
@@ -56,17 +56,17 @@
 	}
 }
 
-// full says whether a back end may not have one more request now.
+// full reports whether a back end must not get another request now.
 func (g *Group) full(state *BackendState, now time.Time, role dispatchRole) bool {
 	return state.InFlight >= g.maxInFlight(state, now) || !g.withinRateLimits(state, now, role)
 }
 
-// look finds out which back ends may have a request that comes now. Where more are
-// ejected than may be, the ejected ones count as well: a fault that all share must not
-// empty the group. Those that are held back count where no other has anything to do.
+// scan finds the back ends that a request may be sent to now. If more are ejected than permitted,
+// the ejected ones are included, so that a fault that all of them share does not empty the group.
+// Deferred back ends are included if no back end holds a request.
 func (g *Group) scan(now time.Time, request Request) {
 	if request.Session != "" {
-		g.scanStates(now, request, g.states, nil) // all daemons choose among the same
+		g.scanStates(now, request, g.states, nil) // all daemons must choose among the same back ends
 		return
 	}
 	g.scanStates(now, request, g.workingSet.members(now), g.workingSet.unusedToScan())
@@ -75,8 +75,8 @@
 	}
 }
 
-// lookAt finds out which of some back ends may have a request that comes now, and of some that
-// have had none yet.
+// scanStates finds the back ends that a request may be sent to now among states, and those without
+// a request so far also among unused.
 func (g *Group) scanStates(now time.Time, request Request, states, unused []*BackendState) {
 	g.scanCount++
 	role := request.dispatchRole()
@@ -123,32 +123,33 @@
 	}
 }
 
-// bests are the back ends that requests would get now, by where they come from.
+// bestTargets are the back ends that requests would be sent to now, by origin.
 type bestTargets struct {
-	byZone      []scoredBackend // by the number of the zone
-	anyZone     scoredBackend   // of all zones
-	ignoreZones bool            // zones do not count
+	byZone      []scoredBackend // by index of the zone
+	anyZone     scoredBackend   // best of all zones
+	ignoreZones bool            // the zone does not affect the score
 }
 
-// scored is a back end with its score for a request from its own zone.
+// scoredBackend is a back end and its score for a request from its own zone.
 type scoredBackend struct {
-	state *BackendState // nil: none has a place
+	state *BackendState // nil: none has free capacity
 	score float64
 }
 
-// offer replaces the back end by a better one.
+// replaceIfBetter replaces the back end by one with a lower score.
 func (s *scoredBackend) replaceIfBetter(state *BackendState, score float64) {
 	if score < s.score {
 		s.state, s.score = state, score
 	}
 }
 
-// noneScored is worse than any back end.
+// noBackend has a worse score than any back end.
 var noBackend = scoredBackend{score: math.Inf(1)}
 
-// lookForBests finds, in one walk, the back ends that requests from any zone would get
-// now. One that is limited, or in a pause, is left out: a probe would take the place of a request there. A walk for each zone and kind of request took 148 µs for 415 back ends in 6 zones,
-// 150 times a second; one takes 21 µs (BenchmarkStaleTarget, beside other load).
+// scanBestTargets finds, in one scan, the back ends that requests from any zone would be sent to
+// now. Back ends with a request limit or in a pause are left out: a probe would take the place of a
+// request there. One scan per zone and kind of request took 148 µs for 415 back ends in 6 zones,
+// 150 times a second; a single one takes 21 µs (BenchmarkStaleTarget, on a busy machine).
 func (g *Group) scanBestTargets(now time.Time) {
 	g.bestTargets = bestTargets{byZone: g.bestTargets.byZone[:0], anyZone: noBackend}
 	for range g.zones {
@@ -159,16 +160,16 @@
 			continue
 		}
 		zoneBest := &g.bestTargets.byZone[state.zoneIndex]
-		score := state.sameZoneScore(now, zoneBest.score) // the best of all is the best of its zone
+		score := state.sameZoneScore(now, zoneBest.score) // the best of all zones is also the best of its own
 		zoneBest.replaceIfBetter(state, score)
 		g.bestTargets.anyZone.replaceIfBetter(state, score)
 		g.bestTargets.ignoreZones = !state.slowdown.known()
 	}
 }
 
-// of returns the back end that a request of an origin would get, nil where all are full.
-// The best of the other zones is the best of all, as one of the own zone that is the best
-// of all is also the best of its zone.
+// forOrigin returns the back end that a request of an origin would be sent to, nil if all are full.
+// The overall best stands for the best of the other zones: if it is in the request's own zone, it
+// is also the best of that zone.
 func (b *bestTargets) forOrigin(from origin) *BackendState {
 	if b.anyZone.state == nil || b.ignoreZones {
 		return b.anyZone.state
--- a/routing/version.go
+++ b/routing/version.go
@@ -6,45 +6,45 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// VersionUse says what requests may go to back ends of a version.
+// VersionUse restricts which requests are sent to the back ends of a version.
 type VersionUse int
 
-// The uses.
+// Restrictions of a version.
 const (
-	// AnyVersion: versions do not count.
+	// AnyVersion: versions are not restricted.
 	AnyVersion VersionUse = iota
-	// CanaryVersion: only the requests that it is judged by go there.
+	// CanaryVersion: it gets only the requests that compare it with the others.
 	CanaryVersion
-	// ExcludedVersion: none go there.
+	// ExcludedVersion: it gets no requests.
 	ExcludedVersion
-	// OnlyVersion: none go to others.
+	// OnlyVersion: all other versions get no requests.
 	OnlyVersion
 )
 
-// VersionRule is what holds for one version of a service's back ends. The zero rule lets every
-// request go to every version.
+// VersionRule restricts one version of a service's back ends. The zero value restricts nothing.
 type VersionRule struct {
 	Version string
 	Use     VersionUse
 }
 
-// unfamiliarTime is for how long a version that was not seen before gets no requests where versions
-// are rolled out by order: the order may be on its way. News that a deaf watch misses comes
+// newVersionHold is for how long a new version gets no requests while versions are held: the
+// rollout order for it may be on its way. Changes that a broken watch does not deliver arrive
 // within 1.4 s.
 const newVersionHold = 5 * time.Second
 
-// SetVersionRule sets what holds from now on.
+// SetVersionRule sets the version rule.
 func (g *Group) SetVersionRule(rule VersionRule) {
 	g.versionRule = rule
 }
 
-// SetHoldNewVersions lets versions that were not seen before get nothing for a moment.
+// SetHoldNewVersions sets whether versions that were not seen before get no requests for
+// newVersionHold.
 func (g *Group) SetHoldNewVersions(hold bool) {
 	g.holdsNewVersions = hold
 }
 
-// noteVersion notes that there are back ends of a version. first: they are the first back ends
-// that the group has, so that all versions are as familiar.
+// recordVersion records that there are back ends of a version. initial: they are among the first
+// back ends of the group, none of whose versions counts as new.
 func (g *Group) recordVersion(now time.Time, version string, initial bool) {
 	if _, seen := g.versionFirstSeen[version]; seen {
 		return
@@ -58,12 +58,13 @@
 	g.versionFirstSeen[version] = now
 }
 
-// out says whether a back end gets no requests, for it leaves or for its version.
+// unavailable reports whether a back end gets no requests because it is draining or because of its
+// version.
 func (g *Group) unavailable(state *BackendState, now time.Time) bool {
 	return state.Draining || g.versionExcluded(state) || g.versionHeld(state, now)
 }
 
-// ExcludesVersion says whether a version gets no requests, not even to be judged by.
+// ExcludesVersion reports whether a version gets no requests, not even to compare it.
 func (g *Group) ExcludesVersion(version string) bool {
 	switch g.versionRule.Use {
 	case ExcludedVersion:
@@ -74,7 +75,8 @@
 	return false
 }
 
-// excluded says whether a back end's version gets no requests but those it may be judged by.
+// versionExcluded reports whether a back end's version gets no requests, except perhaps those that
+// compare it.
 func (g *Group) versionExcluded(state *BackendState) bool {
 	switch g.versionRule.Use {
 	case CanaryVersion, ExcludedVersion:
@@ -87,20 +89,22 @@
 
 func (g *Group) versionHeld(state *BackendState, now time.Time) bool {
 	if !g.holdsNewVersions || g.versionRule.Use != AnyVersion && g.versionRule.Version == state.Version {
-		return false // what holds for the version is known
+		return false // the rule for the version is known
 	}
 	seen := g.versionFirstSeen[state.Version]
 	return !seen.IsZero() && now.Sub(seen) < newVersionHold
 }
 
-// turnMultiplier spreads the turns over all bits of a hash: 2^64 by the golden ratio (Fibonacci hashing).
+// turnMultiplier spreads the turns over all bits of a hash: 2^64 divided by the golden ratio
+// (Fibonacci hashing).
 const turnMultiplier = 0x9e3779b97f4a7c15
 
-// PickCanary chooses a back end of a version for a request that it is judged by, and counts it
-// as sent. They are packed on a few back ends, other ones at each turn, which the caller counts: a
-// version that is bad under load only shows it, and no single back end speaks for all. Their slots are
-// filled, also where back ends have been learned to do best with fewer requests: of 896 versions that fail only
-// where all slots are taken, 6 were completed without (TestRollouts).
+// PickCanary picks a back end of a version for a request that is used to compare it, and counts the
+// request as sent. The requests are packed on a few back ends, which change with each turn counted
+// by the caller: a version that is bad under load shows it only under load, and no single back end
+// represents all. All slots are used, even if back ends were learned to do best with fewer
+// requests: without this, 6 of 896 versions that fail only if all slots are taken were completed
+// (TestRollouts).
 func (g *Group) PickCanary(now time.Time, request Request, version string, turn int) (PickResult, bool) {
 	var best *BackendState
 	var bestHash uint64
@@ -130,22 +134,23 @@
 	}, true
 }
 
-// VersionCounts are the back ends of a version and of all others.
+// VersionCounts counts the back ends of a version and of all others.
 type VersionCounts struct {
 	Backends, Slots, OtherSlots, OtherInFlight int
-	// Ejected is how many of Backends are.
+	// Ejected is how many of Backends are ejected.
 	Ejected int
-	// Others are those of other versions that take requests.
+	// Others are the back ends of other versions that take requests.
 	Others []BackendHealth
 }
 
-// BackendHealth is how a back end of another version is.
+// BackendHealth is the health of a back end of another version.
 type BackendHealth struct {
 	Ejected  bool
-	Slowdown float64 // how much longer work is expected to take there now than usually
+	Slowdown float64 // how much longer work is expected to take there now than usual
 }
 
-// CountVersion counts the back ends of a version that take requests, and what the others hold.
+// CountVersion counts the back ends of a version that take requests, and the requests at the
+// others.
 func (g *Group) CountVersion(now time.Time, version string) VersionCounts {
 	var counts VersionCounts
 	for _, state := range g.states {
--- a/routing/working.go
+++ b/routing/working.go
@@ -11,45 +11,47 @@
 	"github.com/tuliphall/tuliphall/recent"
 )
 
-// Sizes of the working set: the back ends that requests go to while there are many more than it
-// takes. The same load on fewer back ends is known the better: each tells of itself more often.
+// Sizes of the working set: the subset of the back ends that requests are sent to if there are many
+// more than needed. Concentrating the same load on fewer back ends keeps their reports more recent.
 const (
-	// reserve is how many slots the working set has for each request in flight at the peak of the
-	// last seconds.
+	// slotsPerInFlight is how many slots the working set has for each request in flight at the
+	// recent peak.
 	slotsPerInFlight = 8
-	// leastWorking is how many back ends are always in it: a walk over as many takes 15 us, and in
-	// smaller services the zones of a region would have few of them each.
+	// minWorkingSet is the minimum number of back ends in the set: a scan of as many takes 15 us,
+	// and in smaller services each zone of a region would have only few of them.
 	minWorkingSet = 256
-	// peakSpan is over what time the peak of requests in flight fades.
+	// peakDecayTime is the time constant with which the peak of requests in flight decays.
 	peakDecayTime = 10 * time.Second
-	// enoughFree is the part of the set that must be free; it grows by growBy where less is.
+	// minFreeFraction is the fraction of the set that must be free; below it the set grows by
+	// growFactor.
 	minFreeFraction = 0.25
 	growFactor      = 1.25
-	// shrinkEvery and shrinkBy are how it shrinks that is larger than it need be.
+	// shrinkInterval and shrinkFactor determine how a set that is larger than needed shrinks.
 	shrinkInterval = time.Second
 	shrinkFactor   = 0.95
-	// newcomersLooked is how many back ends that have had no request yet are looked at for a
-	// request, besides the set.
+	// maxUnusedScanned is how many back ends without a request so far are scanned for a request in
+	// addition to the set.
 	maxUnusedScanned = 8
-	// newcomerTurns is for one request in how many they are looked at where they are many: each
-	// request would go to one otherwise, for as long as it takes.
+	// unusedScanInterval: if there are many unused back ends, they are scanned only for one in so
+	// many requests. Otherwise each request would be sent to one of them until all have had a
+	// request.
 	unusedScanInterval = 4
 )
 
-// working is the working set of a group. The zero value has no back ends.
+// workingSet is the working set of a group. The zero value has no back ends.
 type workingSet struct {
-	order           []*BackendState // all, in the order in which they are drawn on
+	order           []*BackendState // all back ends, by hash
 	size            int
-	unusedScanTurns int             // requests for which newcomers were to be looked at
-	unused          []*BackendState // that have had no request yet and came after the first, oldest first
+	unusedScanTurns int             // requests for which unused back ends were due to be scanned
+	unused          []*BackendState // back ends without a request so far, oldest first; initial warm ones count as used
 	inFlight        int
 	peak            float64
 	peakAt          time.Time
 	shrunkAt        time.Time
 }
 
-// setAll sets the back ends. The order is that of their hashes, so that the set has back ends of all
-// zones and a change of the list hardly moves it.
+// setBackends sets the back ends. They are ordered by hash, so that the set has back ends of all
+// zones and hardly changes when the list does.
 func (w *workingSet) setBackends(now time.Time, states []*BackendState) {
 	w.order = slices.Clone(states)
 	for _, state := range states {
@@ -67,7 +69,7 @@
 		}
 	}
 	if len(w.unused) > maxUnusedScanned {
-		// Not all are looked at soon: their time begins now.
+		// They are not all scanned soon: their waiting time starts now.
 		for _, state := range w.unused {
 			if state.eligibleSince.IsZero() {
 				state.eligibleSince = now
@@ -77,7 +79,7 @@
 	w.size = min(max(w.size, minWorkingSet), len(w.order))
 }
 
-// began and ended count a request.
+// requestStarted and requestEnded count a request.
 func (w *workingSet) requestStarted(now time.Time) {
 	w.inFlight++
 	w.peak = max(w.decayedPeak(now), float64(w.inFlight))
@@ -95,7 +97,7 @@
 	return w.peak * recent.Decay(now.Sub(w.peakAt), peakDecayTime)
 }
 
-// set returns the back ends that a request may go to now, without the newcomers.
+// members returns the back ends that a request may be sent to now, without the unused ones.
 func (w *workingSet) members(now time.Time) []*BackendState {
 	if len(w.order) <= minWorkingSet {
 		return w.order
@@ -116,7 +118,7 @@
 	return w.order[:w.size]
 }
 
-// grow makes the set larger, as too little of it is free, and says whether it could.
+// grow enlarges the set because too little of it is free, and reports whether that was possible.
 func (w *workingSet) grow() bool {
 	if w.size >= len(w.order) {
 		return false
@@ -125,7 +127,7 @@
 	return true
 }
 
-// nextNewcomers returns some back ends that have had no request yet and takes those off the list
+// unusedToScan returns some back ends without a request so far, after dropping from the list those
 // that have had one meanwhile.
 func (w *workingSet) unusedToScan() []*BackendState {
 	w.unused = slices.DeleteFunc(w.unused, func(state *BackendState) bool { return state.used })
--- a/routing/worth.go
+++ b/routing/worth.go
@@ -2,42 +2,42 @@
 
 import "time"
 
-// Bounds of how old a report may be that a back end is chosen by.
+// Bounds of the maximum age of the report by which a back end is chosen.
 const (
-	// leastFreshness is as often as it is looked whether a report is too old.
+	// minReportAge is the interval at which reports are checked for their age.
 	minReportAge = 5 * time.Millisecond
-	// mostFreshness is for how long a back end that was well a moment ago is taken for well,
-	// where nothing was seen to change.
+	// maxReportAge is for how long a back end that was undisturbed counts as undisturbed where no
+	// change was observed.
 	maxReportAge = 250 * time.Millisecond
 )
 
-// Tuning of what probes are worth.
+// Parameters of the value of load probes.
 const (
-	// driftMemory is over how much time between two reports of a back end the drift is
-	// averaged: several hundred pairs where requests come quickly.
+	// driftAveragingTime is the total time between consecutive reports over which the drift is
+	// averaged: several hundred pairs where requests are frequent.
 	driftAveragingTime = 10 * time.Second
-	// driftLeast is from when on the drift counts as known.
+	// minDriftTime is the total time between reports from which the drift counts as known.
 	minDriftTime = 500 * time.Millisecond
-	// driftSpan is the longest time between two reports that tells how quickly the back end
-	// changes. Over longer ones it may have changed and changed back.
+	// maxReportGap is the longest time between two reports that counts for the drift. During longer
+	// ones the back end may have changed and changed back.
 	maxReportGap = 100 * time.Millisecond
 )
 
-// probeWorth learns how old the report may be by which a back end is chosen, so that a
-// probe for a fresher one costs as much slot time as it saves: the chance that the back end
-// has been disturbed since grows with age, and a disturbed one works longer. The zero value
-// knows nothing.
+// reportAgeEstimator learns the maximum age of the report by which a back end is chosen, so that a
+// load probe costs as much slot time as it saves: the probability that the back end has been
+// disturbed since grows with the age, and a disturbed back end works longer. The zero value has no
+// samples.
 //
-// With 25 ms for every service, 0.106 of the requests of a quiet day at 257 back ends were
-// late, and 0.080 with 8 ms; at 39 back ends 0.040 and 0.037 (one play each).
+// With 25 ms for every service, 0.106 of the requests of a quiet day at 257 back ends were late,
+// and 0.080 with 8 ms; at 39 back ends 0.040 and 0.037 (one run each).
 type reportAgeEstimator struct {
-	observed    time.Duration // between pairs of reports
-	increase    float64       // by how much the slowdowns told grew meanwhile
-	baseLatency time.Duration // of a request on an undisturbed back end, average
-	probeCost   time.Duration // of a probe, average
+	observed    time.Duration // total time between pairs of reports
+	increase    float64       // total increase of the slowdown in that time
+	baseLatency time.Duration // average time of a request at an undisturbed back end
+	probeCost   time.Duration // average time of a probe
 }
 
-// told takes in two reports of a back end, one after the other.
+// recordReports records two consecutive reports of a back end.
 func (p *reportAgeEstimator) recordReports(before, after float64, elapsed time.Duration) {
 	if elapsed <= 0 || elapsed > maxReportGap {
 		return
@@ -50,12 +50,12 @@
 	p.increase += max(after-before, 0)
 }
 
-// freshness returns how old a report may be; otherwise where that is not known yet.
+// maxAge returns the maximum age of a report, or fallback until it is known.
 func (p *reportAgeEstimator) maxAge(fallback time.Duration) time.Duration {
 	if p.observed < minDriftTime || p.baseLatency == 0 || p.probeCost == 0 {
 		return fallback
 	}
-	lossRate := p.increase / p.observed.Seconds() * p.baseLatency.Seconds() // slot time lost for each second of age
+	lossRate := p.increase / p.observed.Seconds() * p.baseLatency.Seconds() // slot time lost per second of age
 	if lossRate*maxReportAge.Seconds() <= p.probeCost.Seconds() {
 		return maxReportAge
 	}
