--- a/outlier/outlier_test.go
+++ b/outlier/outlier_test.go
@@ -11,7 +11,7 @@
 
 // A back end whose process has exited is ejected at once, until an answer or, after the time that a
 // restart takes, a trial.
-func TestEndedIsOutAtOnce(t *testing.T) {
+func TestExitEjectsAtOnce(t *testing.T) {
 	var d Detector
 	d.RecordExit(start)
 	require.True(t, d.Ejected(start))
@@ -27,7 +27,7 @@
 }
 
 // Two refused connections in a row count as an exit, unless the back end answered in between.
-func TestRefusalsInARow(t *testing.T) {
+func TestConsecutiveRefusalsCountAsExit(t *testing.T) {
 	var d Detector
 	d.RecordConnectionRefused(start)
 	d.RecordSuccess()
@@ -38,7 +38,7 @@
 }
 
 // A back end that answers with failures is ejected but does not count as exited.
-func TestFailuresAreNoEnding(t *testing.T) {
+func TestFailuresDoNotCountAsExit(t *testing.T) {
 	var d Detector
 	for range consecutiveThreshold {
 		require.False(t, d.Ejected(start))
--- a/routing/exclusion_test.go
+++ b/routing/exclusion_test.go
@@ -8,12 +8,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestExcludedBackendsAreNotReached guards against a request at a back end that its daemon must not use, by every way in
+// Guards against requests to a back end that the request's daemon must not use, in every way in
 // which a back end is chosen.
 func TestExcludedBackendsAreNotReached(t *testing.T) {
 	excluded := Backend{ID: "excluded", Slots: 2, Warm: true}
 	other := Backend{ID: "other", Slots: 2, Warm: true}
-	for name, one := range map[string]struct {
+	for name, test := range map[string]struct {
 		backends []Backend
 		request  Request
 		prepare  func(group *Group)
@@ -36,18 +36,18 @@
 		"of another region": {backends: []Backend{{ID: "excluded", Slots: 2, Warm: true, OtherRegion: true}}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			group := warmUpGroup(1, one.backends...)
-			if one.prepare != nil {
-				one.prepare(group)
+			group := newSlowStartGroup(1, test.backends...)
+			if test.prepare != nil {
+				test.prepare(group)
 			}
-			const lasts = 10 * time.Second
-			request := one.request
-			request.Excluded = []Exclusion{{Backend: "excluded", Until: start.Add(lasts)}, {Backend: "not known"}}
-			total, _ := countPicks(group, "excluded", lasts, request)
+			const duration = 10 * time.Second
+			request := test.request
+			request.Excluded = []Exclusion{{Backend: "excluded", Until: start.Add(duration)}, {Backend: "not known"}}
+			total, _ := countPicks(group, "excluded", duration, request)
 			require.Zero(t, total)
 			if picked, ok := group.PickCanary(start, request, "", 0); ok {
 				require.NotEqual(t, "excluded", picked.Backend.ID)
-				group.Done(picked, start, Success, work)
+				group.Done(picked, start, Success, serviceTime)
 			}
 			request.Excluded = nil
 			total, _ = countPicks(group, "excluded", 15*time.Second, request)
@@ -56,9 +56,9 @@
 	}
 }
 
-// TestExclusionEnds lets a request that waits have the back end once the exclusion is over.
-func TestExclusionEnds(t *testing.T) {
-	group := warmUpGroup(1, Backend{ID: "a", Slots: 2, Warm: true})
+// A waiting request can be sent to the back end once the exclusion has ended.
+func TestExpiredExclusionPermitsRequest(t *testing.T) {
+	group := newSlowStartGroup(1, Backend{ID: "a", Slots: 2, Warm: true})
 	request := Request{Excluded: []Exclusion{{Backend: "a", Until: start.Add(time.Second)}}}
 	_, picked := group.Pick(start, request)
 	require.False(t, picked)
@@ -71,13 +71,13 @@
 	require.False(t, all)
 }
 
-// TestAllExcluded tells when the first back end may be reached again, of those that take requests.
+// AllExcluded returns the earliest end of an exclusion, of the back ends that take requests.
 func TestAllExcluded(t *testing.T) {
-	group := warmUpGroup(1, Backend{ID: "a", Slots: 2}, Backend{ID: "b", Slots: 2}, Backend{ID: "leaves", Slots: 2, Drained: true})
+	group := newSlowStartGroup(1, Backend{ID: "a", Slots: 2}, Backend{ID: "b", Slots: 2}, Backend{ID: "leaves", Slots: 2, Drained: true})
 	after := func(id string, seconds int) Exclusion {
 		return Exclusion{Backend: id, Until: start.Add(time.Duration(seconds) * time.Second)}
 	}
-	for name, one := range map[string]struct {
+	for name, test := range map[string]struct {
 		excluded []Exclusion
 		all      bool
 		until    time.Time
@@ -89,16 +89,16 @@
 		"both for good":        {excluded: []Exclusion{{Backend: "a"}, {Backend: "b"}}, all: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			until, all := group.AllExcluded(start, Request{Excluded: one.excluded})
-			require.Equal(t, one.all, all)
-			require.Equal(t, one.until, until)
+			until, all := group.AllExcluded(start, Request{Excluded: test.excluded})
+			require.Equal(t, test.all, all)
+			require.Equal(t, test.until, until)
 		})
 	}
 }
 
-// TestPausedBackendsAreNotProbed leaves a back end alone that wants nothing of this daemon.
+// A back end that asked this daemon for a pause gets no probes from it until the end of the pause.
 func TestPausedBackendsAreNotProbed(t *testing.T) {
-	group := warmUpGroup(1, Backend{ID: "a", Slots: 2, Warm: true})
+	group := newSlowStartGroup(1, Backend{ID: "a", Slots: 2, Warm: true})
 	group.SetPause("a", start.Add(time.Minute))
 	for second := range 60 {
 		now := start.Add(time.Duration(second) * time.Second)
@@ -113,7 +113,8 @@
 	require.True(t, wanted)
 }
 
-// BenchmarkPickWithExclusions is a choice of a request that must not reach 64 of 256 back ends.
+// BenchmarkPickWithExclusions measures a pick for a request that is excluded from 64 of 256 back
+// ends.
 func BenchmarkPickWithExclusions(b *testing.B) {
 	var backends []Backend
 	request := Request{}
@@ -123,9 +124,9 @@
 			request.Excluded = append(request.Excluded, Exclusion{Backend: fmt.Sprint(number)})
 		}
 	}
-	group := warmUpGroup(1, backends...)
+	group := newSlowStartGroup(1, backends...)
 	for b.Loop() {
 		picked, _ := group.Pick(start, request)
-		group.Done(picked, start, Success, work)
+		group.Done(picked, start, Success, serviceTime)
 	}
 }
--- a/routing/learning_test.go
+++ b/routing/learning_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const work = 100 * time.Millisecond
+const serviceTime = 100 * time.Millisecond
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
@@ -18,15 +18,15 @@
 	return group
 }
 
-func pick(t *testing.T, group *Group, now time.Time, zone string) PickResult {
+func mustPick(t *testing.T, group *Group, now time.Time, zone string) PickResult {
 	t.Helper()
 	picked, ok := group.Pick(now, Request{Zone: zone})
 	require.True(t, ok)
 	return picked
 }
 
-// TestSlowdownIsAvoidedWhileFresh sends requests past a back end that just said it
-// is disturbed, and back to it once that is old.
+// Requests avoid a back end that has just reported a disturbance, and return to it once the report
+// is old.
 func TestSlowdownIsAvoidedWhileFresh(t *testing.T) {
 	group := newTestGroup(Backend{ID: "a", Slots: 3, Window: 3}, Backend{ID: "b", Slots: 3, Window: 3})
 	a, b := group.byID["a"], group.byID["b"]
@@ -36,78 +36,76 @@
 	}
 	group.RecordReport(a, Report{Slowdown: 5}, false, start)
 	for range 2 {
-		require.Equal(t, "b", pick(t, group, start, "").Backend.ID, "the disturbed one was chosen")
+		require.Equal(t, "b", mustPick(t, group, start, "").Backend.ID, "a disturbed back end was chosen")
 	}
 	later := start.Add(2 * time.Second)
 	require.InDelta(t, 2, a.slowdown.expected(later), 0.2)
-	require.Equal(t, "a", pick(t, group, later, "").Backend.ID, "the report is old, a holds fewer requests")
+	require.Equal(t, "a", mustPick(t, group, later, "").Backend.ID, "the report is old, a holds fewer requests")
 }
 
-// TestOwnZoneFirst prefers the own zone among equals, and not a disturbed back end
-// there.
+// The own zone is preferred among equal back ends, but not a disturbed back end in it.
 func TestOwnZoneFirst(t *testing.T) {
 	group := newTestGroup(Backend{ID: "a", Zone: "here", Slots: 3, Window: 3}, Backend{ID: "b", Zone: "there", Slots: 3, Window: 3})
 	group.RecordReport(group.byID["a"], Report{Slowdown: 1}, false, start)
 	group.RecordReport(group.byID["b"], Report{Slowdown: 1}, false, start)
 	for range 20 {
-		picked := pick(t, group, start, "here")
+		picked := mustPick(t, group, start, "here")
 		require.Equal(t, "a", picked.Backend.ID)
 		group.Done(picked, start, Canceled, 0)
 	}
 	group.RecordReport(group.byID["a"], Report{Slowdown: 3}, false, start)
-	require.Equal(t, "b", pick(t, group, start, "here").Backend.ID)
+	require.Equal(t, "b", mustPick(t, group, start, "here").Backend.ID)
 }
 
-// serveFull lets the group serve requests from a back end with so many slots, as many at
-// once as it gives out, and returns how many it gave out on average in the last rounds.
-// With more in flight than kneeAt, each takes kneed times as long.
-func serveFull(slots, kneeAt int, kneed float64) float64 {
+// measureConcurrency serves requests from a back end with so many slots, as many at a time as the
+// group permits, and returns the mean number in flight over the last rounds. With more than kneeAt
+// in flight, each request takes slowdown times as long.
+func measureConcurrency(slots, kneeAt int, slowdown float64) float64 {
 	group := newTestGroup(Backend{ID: "a", Slots: slots, Window: slots})
-	const rounds, counted = 600, 400
+	const rounds, measured = 600, 400
 	now, sum := start, 0
 	for round := range rounds {
 		var held []PickResult
 		for picked, ok := group.Pick(now, Request{}); ok; picked, ok = group.Pick(now, Request{}) {
 			held = append(held, picked)
 		}
-		if round >= rounds-counted {
+		if round >= rounds-measured {
 			sum += len(held)
 		}
-		latency := work
+		latency := serviceTime
 		if len(held) > kneeAt {
-			latency = time.Duration(kneed * float64(work))
+			latency = time.Duration(slowdown * float64(serviceTime))
 		}
 		now = now.Add(latency)
 		for _, picked := range held {
 			group.Done(picked, now, Success, latency)
 		}
 	}
-	return float64(sum) / counted
+	return float64(sum) / measured
 }
 
-// TestConcurrencyIsLearned holds as many requests at a back end as it finishes most
-// with. Now and then others are tried all the same.
+// As many requests are kept in flight at a back end as it has the highest throughput with, apart
+// from occasional trials of other numbers.
 func TestConcurrencyIsLearned(t *testing.T) {
-	for _, one := range []struct {
+	for _, test := range []struct {
 		slots, kneeAt int
-		kneed         float64
+		slowdown      float64
 		want          float64
 	}{
 		{3, 3, 1, 3},
 		{3, 2, 1.7, 2},
-		{3, 2, 1.2, 3}, // slower, but more of them
+		{3, 2, 1.2, 3}, // slower, but with more throughput
 		{6, 6, 1, 6},
 		{6, 4, 1.7, 4},
-		{6, 3, 2.5, 3}, // from half of its slots on
+		{6, 3, 2.5, 3}, // starting from half of its slots
 		{16, 8, 2.5, 8},
 	} {
-		got := serveFull(one.slots, one.kneeAt, one.kneed)
-		require.InDelta(t, one.want, got, 0.12*one.want, "%d slots, %.1f times as slow beyond %d", one.slots, one.kneed, one.kneeAt)
+		measured := measureConcurrency(test.slots, test.kneeAt, test.slowdown)
+		require.InDelta(t, test.want, measured, 0.12*test.want, "%d slots, %.1f times as slow beyond %d", test.slots, test.slowdown, test.kneeAt)
 	}
 }
 
-// TestConcurrencyOutlivesDisturbance: disturbances that back ends tell of are not taken
-// for an effect of the number in flight.
+// A slowdown reported by back ends is not attributed to the number of requests in flight.
 func TestConcurrencyOutlivesDisturbance(t *testing.T) {
 	group := newTestGroup(Backend{ID: "a", Slots: 4, Window: 4}, Backend{ID: "b", Slots: 4, Window: 4})
 	random := rand.New(rand.NewPCG(3, 4))
@@ -115,89 +113,87 @@
 		picked PickResult
 		ends   time.Time
 	}
-	slowed := map[string]float64{"a": 1, "b": 1}
+	slowdown := map[string]float64{"a": 1, "b": 1}
 	var inFlight []running
 	for tick := range 60_000 {
 		now := start.Add(time.Duration(tick) * time.Millisecond)
 		if tick%150 == 0 {
 			for _, state := range group.states {
-				slowed[state.ID] = 1
+				slowdown[state.ID] = 1
 				if random.Float64() < 0.25 {
-					slowed[state.ID] = 5
+					slowdown[state.ID] = 5
 				}
 			}
 		}
 		for _, state := range group.states {
-			group.RecordReport(state, Report{Slowdown: slowed[state.ID]}, false, now)
+			group.RecordReport(state, Report{Slowdown: slowdown[state.ID]}, false, now)
 		}
-		kept := inFlight[:0]
-		for _, one := range inFlight {
-			if one.ends.After(now) {
-				kept = append(kept, one)
+		remaining := inFlight[:0]
+		for _, request := range inFlight {
+			if request.ends.After(now) {
+				remaining = append(remaining, request)
 				continue
 			}
-			group.Done(one.picked, now, Success, work)
+			group.Done(request.picked, now, Success, serviceTime)
 		}
-		inFlight = kept
+		inFlight = remaining
 		if picked, ok := group.Pick(now, Request{}); ok {
-			taken := time.Duration(slowed[picked.Backend.ID] * float64(work))
+			taken := time.Duration(slowdown[picked.Backend.ID] * float64(serviceTime))
 			inFlight = append(inFlight, running{picked: picked, ends: now.Add(taken)})
 		}
 	}
 	require.Equal(t, 4, group.concurrency.bySlots[4].best)
 }
 
-// TestWindowIsKept never sends more to a back end than its declared window,
-// whatever its reports say.
+// A back end never gets more requests than its declared window, whatever it reports.
 func TestWindowIsKept(t *testing.T) {
 	group := newTestGroup(Backend{ID: "a", Slots: 3, Window: 2})
 	for range 100 {
 		group.RecordReport(group.byID["a"], Report{InFlight: 0}, true, start)
 	}
-	pick(t, group, start, "")
-	pick(t, group, start, "")
+	mustPick(t, group, start, "")
+	mustPick(t, group, start, "")
 	_, ok := group.Pick(start, Request{})
 	require.False(t, ok)
 }
 
-// TestSilentBackendIsLeftOut sends hardly anything to a back end that takes requests
-// and never answers, although it looks idle whenever a request is given up on.
+// A back end that accepts requests and never answers gets hardly any, although it looks idle
+// whenever a request is abandoned.
 func TestSilentBackendIsLeftOut(t *testing.T) {
 	group := newTestGroup(Backend{ID: "silent", Slots: 3, Window: 3}, Backend{ID: "well", Slots: 3, Window: 3})
 	for _, state := range group.states {
 		group.RecordReport(state, Report{Slowdown: 1}, false, start)
-		state.recordLatency(work, 1)
+		state.recordLatency(serviceTime, 1)
 	}
 	now, toSilent := start, 0
 	for range 200 {
-		picked := pick(t, group, now, "")
+		picked := mustPick(t, group, now, "")
 		if picked.Backend.ID == "silent" {
 			toSilent++
-			now = now.Add(5 * work)
+			now = now.Add(5 * serviceTime)
 			group.Done(picked, now, Canceled, 0)
 			continue
 		}
-		now = now.Add(work)
-		group.Done(picked, now, Success, work)
+		now = now.Add(serviceTime)
+		group.Done(picked, now, Success, serviceTime)
 		group.RecordReport(group.byID["well"], Report{Slowdown: 1}, false, now)
 	}
 	require.Less(t, toSilent, 20)
 }
 
-// TestUnknownIsNotPreferred sends a request to a back end that has just said that it is
-// undisturbed, and not to one that has told nothing yet; among back ends that have told
-// nothing for long, a new one has its turn.
+// A request goes to a back end that has just reported no disturbance rather than to one that has
+// not reported yet. Among back ends without a recent report, a new one gets its turn.
 func TestUnknownIsNotPreferred(t *testing.T) {
 	group := newTestGroup(Backend{ID: "well", Slots: 3, Window: 3}, Backend{ID: "new", Slots: 3, Window: 3})
 	group.RecordReport(group.byID["well"], Report{Slowdown: 1}, false, start)
-	first := pick(t, group, start.Add(5*time.Millisecond), "")
+	first := mustPick(t, group, start.Add(5*time.Millisecond), "")
 	require.Equal(t, "well", first.Backend.ID)
 	later := start.Add(2 * time.Second)
-	require.Equal(t, "new", pick(t, group, later, "").Backend.ID, "well holds a request, and what it told is old")
+	require.Equal(t, "new", mustPick(t, group, later, "").Backend.ID, "well holds a request, and its report is old")
 }
 
-// TestUsualIsThatOfAll expects of a back end whose single report is old what back ends
-// of the service usually tell.
+// The slowdown expected of a back end whose only report is old is the one that the back ends of the
+// service usually report.
 func TestUsualIsThatOfAll(t *testing.T) {
 	var backends []Backend
 	for number := range 20 {
@@ -216,8 +212,8 @@
 	}
 }
 
-// TestOnceOnlyGoesFarther sends what may run once only to another zone where a back end
-// is surely undisturbed, and what can be hedged to one in its own that probably is.
+// A request that may run only once goes to another zone if a back end there is certainly
+// undisturbed; one that can be hedged goes to a back end of its own zone that probably is.
 func TestOnceOnlyGoesFarther(t *testing.T) {
 	for _, repeatable := range []bool{true, false} {
 		group := newTestGroup(Backend{ID: "near", Zone: "here", Slots: 3, Window: 3}, Backend{ID: "far", Zone: "there", Slots: 3, Window: 3})
@@ -235,31 +231,30 @@
 	}
 }
 
-// TestBusyIsNotStalled holds a request at a back end for as long as it takes, as the
-// service's back ends are usually disturbed more than this one: that is no sign of
-// trouble, twice as long is.
+// A request that is held for as long as it normally takes is no sign of a disturbance, although the
+// back ends of the service are usually slower than this one; a request held twice as long is.
 func TestBusyIsNotStalled(t *testing.T) {
 	group := newTestGroup(Backend{ID: "busy", Slots: 3, Window: 3}, Backend{ID: "other", Slots: 3, Window: 3})
 	busy := group.byID["busy"]
 	for number := range 100 {
 		group.RecordReport(group.byID["other"], Report{Slowdown: []float64{1, 3}[number%2]}, false, start)
 		group.RecordReport(busy, Report{Slowdown: 1}, false, start)
-		busy.recordLatency(work, 1)
+		busy.recordLatency(serviceTime, 1)
 	}
-	pick(t, group, start, "")
+	mustPick(t, group, start, "")
 	busy.silentSince = start
-	require.LessOrEqual(t, busy.stallSlowdown(start.Add(work)), 1.0)
-	require.Greater(t, busy.stallSlowdown(start.Add(2*work)), 1.5)
+	require.LessOrEqual(t, busy.stallSlowdown(start.Add(serviceTime)), 1.0)
+	require.Greater(t, busy.stallSlowdown(start.Add(2*serviceTime)), 1.5)
 }
 
-// TestNewcomersGetRequests lets requests come that others could serve by themselves: a
-// new back end gets its first one within a second if it is known to be well, within two
-// if not, and if none can be hedged within three.
+// While the other back ends could serve all requests, a new one gets its first request within one
+// second if it is known to be undisturbed, within two if it is not, and within three if no request
+// can be hedged.
 func TestNewcomersGetRequests(t *testing.T) {
-	for _, one := range []struct {
+	for _, test := range []struct {
 		name       string
 		repeatable bool
-		told       float64 // slowdown that a probe brings before newcomerWait; 0: none
+		reported   float64 // slowdown that a probe reports before firstRequestDelay; 0: none
 		within     time.Duration
 	}{
 		{"known to be well", false, 1, firstRequestDelay + 10*time.Millisecond},
@@ -267,32 +262,31 @@
 		{"unknown", true, 0, firstRequestHedgeableDelay + 10*time.Millisecond},
 		{"unknown, no request can be hedged", false, 0, firstRequestMaxDelay + 10*time.Millisecond},
 	} {
-		t.Run(one.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			group := newTestGroup(Backend{ID: "a", Slots: 3, Window: 3})
 			group.RecordReport(group.byID["a"], Report{Slowdown: 1}, false, start)
-			picked := pick(t, group, start, "")
-			group.Done(picked, start, Success, work)
+			picked := mustPick(t, group, start, "")
+			group.Done(picked, start, Success, serviceTime)
 			group.SetBackends(start, []Backend{{ID: "a", Slots: 3, Window: 3}, {ID: "new", Slots: 3, Window: 3, Warm: true}})
-			for now := start; now.Sub(start) <= one.within; now = now.Add(10 * time.Millisecond) {
-				if one.told > 0 && now.Sub(start) == firstRequestDelay-50*time.Millisecond {
-					group.RecordReport(group.byID["new"], Report{Slowdown: one.told}, false, now)
+			for now := start; now.Sub(start) <= test.within; now = now.Add(10 * time.Millisecond) {
+				if test.reported > 0 && now.Sub(start) == firstRequestDelay-50*time.Millisecond {
+					group.RecordReport(group.byID["new"], Report{Slowdown: test.reported}, false, now)
 				}
-				picked, ok := group.Pick(now, Request{Repeatable: one.repeatable})
+				picked, ok := group.Pick(now, Request{Repeatable: test.repeatable})
 				require.True(t, ok)
 				if picked.Backend.ID == "new" {
 					return
 				}
-				group.Done(picked, now, Success, work)
+				group.Done(picked, now, Success, serviceTime)
 				group.RecordReport(picked.Backend, Report{Slowdown: 1}, false, now)
 			}
-			t.Fatal("it got no request")
+			t.Fatal("the new back end got no request")
 		})
 	}
 }
 
-// TestDisturbedIsHeldBack begins no request at a back end that has just told that it is
-// disturbed while others have something to finish, begins one once that is old, and
-// begins one at once where nothing else will bring a place.
+// No request begins at a back end that has just reported a disturbance while others hold requests.
+// One begins once the report is old, or at once if no other back end will get free capacity.
 func TestDisturbedIsHeldBack(t *testing.T) {
 	group := newTestGroup(Backend{ID: "well", Slots: 1, Window: 1}, Backend{ID: "disturbed", Slots: 1, Window: 1})
 	for range 50 {
@@ -302,36 +296,35 @@
 	}
 	group.RecordReport(group.byID["well"], Report{Slowdown: 1}, false, start)
 	group.RecordReport(group.byID["disturbed"], Report{Slowdown: 5}, false, start)
-	require.Equal(t, "well", pick(t, group, start, "").Backend.ID)
+	require.Equal(t, "well", mustPick(t, group, start, "").Backend.ID)
 	_, ok := group.Pick(start.Add(20*time.Millisecond), Request{})
 	require.False(t, ok)
-	picked := pick(t, group, start.Add(300*time.Millisecond), "")
+	picked := mustPick(t, group, start.Add(300*time.Millisecond), "")
 	require.Equal(t, "disturbed", picked.Backend.ID)
 
 	alone := newTestGroup(Backend{ID: "disturbed", Slots: 3, Window: 3})
 	alone.RecordReport(alone.byID["disturbed"], Report{Slowdown: 1}, false, start)
 	alone.RecordReport(alone.byID["disturbed"], Report{Slowdown: 9}, false, start)
-	require.Equal(t, "disturbed", pick(t, alone, start, "").Backend.ID)
+	require.Equal(t, "disturbed", mustPick(t, alone, start, "").Backend.ID)
 }
 
-// TestOthersAreTriedWhilePlacesAreShort: one more request than is known to be good is put
-// in flight only when nothing else has a place.
+// One request more than is known to be good is put in flight only if no back end has free capacity.
 func TestOthersAreTriedWhilePlacesAreShort(t *testing.T) {
 	group := newTestGroup(Backend{ID: "a", Slots: 6, Window: 6}, Backend{ID: "b", Slots: 6, Window: 6})
 	for range 2 * 4 {
-		pick(t, group, start, "")
+		mustPick(t, group, start, "")
 	}
 	require.Equal(t, []int{4, 4}, []int{group.byID["a"].InFlight, group.byID["b"].InFlight}, "two thirds of the slots first")
-	more := 0
+	added := 0
 	for range 10 {
 		if _, ok := group.Pick(start, Request{}); ok {
-			more++
+			added++
 		}
 	}
-	require.LessOrEqual(t, more, 2, "one more each")
+	require.LessOrEqual(t, added, 2, "one more each")
 }
 
-// TestAdviceCounts: what another daemon learned holds until this one knows better.
+// A hint from another daemon applies until this daemon has enough samples.
 func TestAdviceCounts(t *testing.T) {
 	group := newTestGroup(Backend{ID: "a", Slots: 3, Window: 3})
 	group.SetConcurrencyHint("a", 3)
@@ -341,8 +334,8 @@
 	group.SetConcurrencyHint("a", 4)
 	require.Equal(t, 3, group.BestInFlight("a"))
 	for range 5 * latencyPriorSamples {
-		group.concurrency.observe(3, inFlightStats{duration: work, mean: 2})
-		group.concurrency.observe(3, inFlightStats{duration: 2 * work, mean: 3})
+		group.concurrency.observe(3, inFlightStats{duration: serviceTime, mean: 2})
+		group.concurrency.observe(3, inFlightStats{duration: 2 * serviceTime, mean: 3})
 	}
 	require.Equal(t, 2, group.BestInFlight("a"))
 }
--- a/routing/limit_test.go
+++ b/routing/limit_test.go
@@ -10,20 +10,20 @@
 	"github.com/tuliphall/tuliphall/backendlimit"
 )
 
-func takesOnly(perSecond float64) backendlimit.Limit {
+func limitOf(perSecond float64) backendlimit.Limit {
 	return backendlimit.Limit{Limited: true, PerSecond: perSecond}
 }
 
-// countPicks asks for a place every few milliseconds for a while and gives each back at once. It
-// returns how many a back end got, and the most in any window of a second.
-func countPicks(group *Group, id string, lasts time.Duration, request Request) (total, fullest int) {
+// countPicks picks every few milliseconds for some time and ends each request at once. It returns
+// how many requests a back end got, and the most in any window of one second.
+func countPicks(group *Group, id string, duration time.Duration, request Request) (total, maxPerSecond int) {
 	var sent []time.Time
-	for now := start; now.Before(start.Add(lasts)); now = now.Add(5 * time.Millisecond) {
+	for now := start; now.Before(start.Add(duration)); now = now.Add(5 * time.Millisecond) {
 		picked, ok := group.Pick(now, request)
 		if !ok {
 			continue
 		}
-		group.Done(picked, now, Success, work)
+		group.Done(picked, now, Success, serviceTime)
 		if picked.Backend.ID != id {
 			continue
 		}
@@ -32,18 +32,18 @@
 		for now.Sub(sent[0]) >= time.Second {
 			sent = sent[1:]
 		}
-		fullest = max(fullest, len(sent))
+		maxPerSecond = max(maxPerSecond, len(sent))
 	}
-	return total, fullest
+	return total, maxPerSecond
 }
 
-// TestLimitedBackendsGetWhatTheyTake sends a back end nearly all that it takes and never more, by every
-// way in which it can be chosen.
+// A limited back end gets nearly as many requests as its limit permits and never more, in every way
+// in which it can be chosen.
 func TestLimitedBackendsGetWhatTheyTake(t *testing.T) {
 	const seconds = 60
 	limited := Backend{ID: "limited", Slots: 2, Warm: true}
 	other := Backend{ID: "other", Slots: 2, Warm: true}
-	for name, one := range map[string]struct {
+	for name, test := range map[string]struct {
 		backends []Backend
 		request  Request
 		prepare  func(group *Group)
@@ -60,43 +60,43 @@
 	} {
 		for _, limit := range []float64{12.5, 2.5, 0.3} {
 			t.Run(fmt.Sprintf("%s, %g a second", name, limit), func(t *testing.T) {
-				group := warmUpGroup(1, one.backends...)
-				if one.prepare != nil {
-					one.prepare(group)
+				group := newSlowStartGroup(1, test.backends...)
+				if test.prepare != nil {
+					test.prepare(group)
 				}
-				group.SetLimit(start, "limited", takesOnly(limit))
-				total, fullest := countPicks(group, "limited", seconds*time.Second, one.request)
+				group.SetLimit(start, "limited", limitOf(limit))
+				total, maxPerSecond := countPicks(group, "limited", seconds*time.Second, test.request)
 				require.LessOrEqual(t, total, int(limit*seconds))
 				require.GreaterOrEqual(t, total, int(0.9*limit*seconds)-1)
-				require.LessOrEqual(t, fullest, int(limit)+1)
+				require.LessOrEqual(t, maxPerSecond, int(limit)+1)
 			})
 		}
 	}
 }
 
-// TestLimitBelowOneRequest asks a back end that takes next to nothing once in 5 s, as nobody would learn
-// otherwise that it takes more again.
+// A back end whose limit is close to zero gets a request every 5 s, as otherwise nothing would show
+// that the limit has ended.
 func TestLimitBelowOneRequest(t *testing.T) {
 	for _, limit := range []float64{0, 1e-300, 0.1} {
-		group := warmUpGroup(1, Backend{ID: "limited", Slots: 2, Warm: true})
-		group.SetLimit(start, "limited", takesOnly(limit))
-		total, fullest := countPicks(group, "limited", 61*time.Second, Request{})
+		group := newSlowStartGroup(1, Backend{ID: "limited", Slots: 2, Warm: true})
+		group.SetLimit(start, "limited", limitOf(limit))
+		total, maxPerSecond := countPicks(group, "limited", 61*time.Second, Request{})
 		require.Equal(t, 12, total, "%g a second", limit)
-		require.Equal(t, 1, fullest)
+		require.Equal(t, 1, maxPerSecond)
 	}
 }
 
-// TestHugeLimitBoundsNothing leaves a back end as it is that takes more than it can get.
-func TestHugeLimitBoundsNothing(t *testing.T) {
-	group := warmUpGroup(1, Backend{ID: "limited", Slots: 2, Warm: true})
-	free, _ := countPicks(group, "limited", time.Second, Request{})
-	group.SetLimit(start, "limited", takesOnly(1e300))
-	huge, _ := countPicks(group, "limited", time.Second, Request{})
-	require.Equal(t, free, huge)
+// A limit above the load has no effect.
+func TestHugeLimitHasNoEffect(t *testing.T) {
+	group := newSlowStartGroup(1, Backend{ID: "limited", Slots: 2, Warm: true})
+	unlimited, _ := countPicks(group, "limited", time.Second, Request{})
+	group.SetLimit(start, "limited", limitOf(1e300))
+	limited, _ := countPicks(group, "limited", time.Second, Request{})
+	require.Equal(t, unlimited, limited)
 }
 
-// TestSendersShareALimit lets the dispatcher of a service and daemons that cannot reach it choose at the
-// same time, or all daemons by themselves: together they never send more than the back end takes.
+// The dispatcher of a service and the daemons that cannot reach it, or all daemons independently,
+// pick at the same time and together never exceed the limit of the back end.
 func TestSendersShareALimit(t *testing.T) {
 	const daemons, limit, seconds = 18, 3.2, 60
 	for name, parts := range map[string]func(daemon int) float64{
@@ -112,11 +112,11 @@
 			total := 0
 			perSecond := make(map[int]int)
 			for daemon := range daemons {
-				group := warmUpGroup(uint64(daemon), Backend{ID: "limited", Slots: 2, Warm: true})
-				group.SetLimit(start, "limited", takesOnly(limit))
+				group := newSlowStartGroup(uint64(daemon), Backend{ID: "limited", Slots: 2, Warm: true})
+				group.SetLimit(start, "limited", limitOf(limit))
 				for now := start; now.Before(start.Add(seconds * time.Second)); now = now.Add(10 * time.Millisecond) {
 					if picked, ok := group.Pick(now, Request{IndependentDaemons: daemons, LimitShare: Share{Fraction: parts(daemon)}}); ok {
-						group.Done(picked, now, Success, work)
+						group.Done(picked, now, Success, serviceTime)
 						total++
 						perSecond[int(now.Sub(start)/time.Second)]++
 					}
@@ -132,17 +132,17 @@
 	}
 }
 
-// TestLimitLifted gives a back end that takes any number again one request at first, and one more with
-// each answer: all that waits would fall on it together.
+// A back end whose limit has ended gets one request at first and one more with each response,
+// because otherwise all waiting requests would be sent to it at once.
 func TestLimitLifted(t *testing.T) {
-	group := warmUpGroup(1, Backend{ID: "limited", Slots: 8, Warm: true})
-	group.SetLimit(start, "limited", takesOnly(0.5))
+	group := newSlowStartGroup(1, Backend{ID: "limited", Slots: 8, Warm: true})
+	group.SetLimit(start, "limited", limitOf(0.5))
 	group.SetLimit(start, "limited", backendlimit.Limit{})
 	first, ok := group.Pick(start, Request{})
 	require.True(t, ok)
 	_, ok = group.Pick(start, Request{})
 	require.False(t, ok, "one at a time")
-	group.Done(first, start, Success, work)
+	group.Done(first, start, Success, serviceTime)
 	for range 2 {
 		_, ok = group.Pick(start, Request{})
 		require.True(t, ok)
@@ -151,34 +151,34 @@
 	require.False(t, ok)
 }
 
-// TestLimitOfARunEndsWithIt does not hold a back end that has started again to what its earlier run said.
-func TestLimitOfARunEndsWithIt(t *testing.T) {
-	backend := Backend{ID: "limited", Slots: 2, Warm: true, Started: 1, Limit: takesOnly(0.5)}
-	group := warmUpGroup(1, backend)
+// The limit that an earlier run of a back end announced does not apply after a restart.
+func TestRestartClearsLimit(t *testing.T) {
+	backend := Backend{ID: "limited", Slots: 2, Warm: true, Started: 1, Limit: limitOf(0.5)}
+	group := newSlowStartGroup(1, backend)
 	require.NotNil(t, group.State("limited").Limit(start))
 	backend.Started, backend.Limit = 2, backendlimit.Limit{}
 	group.SetBackends(start, []Backend{backend})
 	require.Nil(t, group.State("limited").Limit(start))
 }
 
-// TestLimitedCapacityIsCounted expects no more of limited back ends than they take, so that what cannot
-// be served is refused at once.
-func TestLimitedCapacityIsCounted(t *testing.T) {
-	group := warmUpGroup(1, Backend{ID: "a", Slots: 2, Warm: true}, Backend{ID: "b", Slots: 2, Warm: true})
-	group.SetLimit(start, "a", takesOnly(2))
-	group.SetLimit(start, "b", takesOnly(3))
+// The expected service interval accounts for limits, so that requests that cannot be served are
+// refused at once.
+func TestServiceIntervalOfLimitedBackends(t *testing.T) {
+	group := newSlowStartGroup(1, Backend{ID: "a", Slots: 2, Warm: true}, Backend{ID: "b", Slots: 2, Warm: true})
+	group.SetLimit(start, "a", limitOf(2))
+	group.SetLimit(start, "b", limitOf(3))
 	require.Equal(t, 200*time.Millisecond, group.ServiceInterval(start))
 	require.Equal(t, "2 of 2 "+PhraseLimited, group.RestrictionSummary(start))
 }
 
-// TestProbesSpareLimitedBackends counts probes as the back end does: those for fresher reports are not
-// made, and those of silent or ejected ones when a request might be sent.
+// Probes count against the limit as at the back end: no load probes are made, and health probes of
+// silent or ejected back ends only when a request could be sent.
 func TestProbesSpareLimitedBackends(t *testing.T) {
-	group := warmUpGroup(1, Backend{ID: "a", Slots: 2, Warm: true})
+	group := newSlowStartGroup(1, Backend{ID: "a", Slots: 2, Warm: true})
 	picked, ok := group.Pick(start, Request{})
 	require.True(t, ok)
-	group.Done(picked, start, Success, work)
-	group.SetLimit(start, "a", takesOnly(0.5))
+	group.Done(picked, start, Success, serviceTime)
+	group.SetLimit(start, "a", limitOf(0.5))
 	_, wanted := group.LoadProbeTarget(start.Add(time.Minute), 25*time.Millisecond, 0)
 	require.False(t, wanted)
 	_, wanted = group.HealthProbeTarget(start.Add(time.Second), 100*time.Millisecond)
@@ -192,10 +192,10 @@
 	require.True(t, ok)
 }
 
-// TestLimitIsNoFault takes a limited back end neither for failing nor for silent or cold.
-func TestLimitIsNoFault(t *testing.T) {
-	group := warmUpGroup(1, Backend{ID: "limited", Slots: 2, Warm: true}, Backend{ID: "other", Slots: 2, Warm: true})
-	group.SetLimit(start, "limited", takesOnly(0.5))
+// A limited back end counts neither as failing nor as silent nor as cold.
+func TestLimitedBackendIsNotEjected(t *testing.T) {
+	group := newSlowStartGroup(1, Backend{ID: "limited", Slots: 2, Warm: true}, Backend{ID: "other", Slots: 2, Warm: true})
+	group.SetLimit(start, "limited", limitOf(0.5))
 	countPicks(group, "limited", 30*time.Second, Request{})
 	state := group.State("limited")
 	now := start.Add(30 * time.Second)
@@ -204,13 +204,13 @@
 	require.Zero(t, state.silence(now))
 }
 
-// TestFoundDaemonsMayHaveSent sends a limited back end nothing for a whole spacing after daemons were
-// found again that may have sent to it meanwhile, neither requests nor probes, and as much as before
-// from then on.
+// After other daemons that may have sent to a limited back end independently are reachable again,
+// the back end gets neither requests nor probes for a whole interval, and as many as before after
+// that.
 func TestFoundDaemonsMayHaveSent(t *testing.T) {
 	const limit = 0.8
-	group := warmUpGroup(1, Backend{ID: "limited", Slots: 2, Warm: true})
-	group.SetLimit(start, "limited", takesOnly(limit))
+	group := newSlowStartGroup(1, Backend{ID: "limited", Slots: 2, Warm: true})
+	group.SetLimit(start, "limited", limitOf(limit))
 	_, sent := group.Pick(start.Add(2*time.Second), Request{})
 	require.True(t, sent)
 	found := start.Add(6 * time.Second)
--- a/routing/probe_test.go
+++ b/routing/probe_test.go
@@ -15,8 +15,8 @@
 	spacing   = 20 * time.Millisecond
 )
 
-// TestStaleTargetIsTheNextChoice asks for a report of the back end that the next
-// request would go to, while it is old, and of no other.
+// A load probe goes to the back end that the next request would be sent to if its report is old,
+// and to no other.
 func TestStaleTargetIsTheNextChoice(t *testing.T) {
 	group := newTestGroup(Backend{ID: "a", Zone: "here", Slots: 3, Window: 3}, Backend{ID: "b", Zone: "there", Slots: 3, Window: 3})
 	for _, id := range []string{"a", "b"} {
@@ -24,7 +24,7 @@
 	}
 	_, wanted := group.LoadProbeTarget(start.Add(time.Second), freshness, spacing)
 	require.False(t, wanted, "no requests come")
-	picked := pick(t, group, start, "here")
+	picked := mustPick(t, group, start, "here")
 	group.Done(picked, start, Canceled, 0)
 
 	_, wanted = group.LoadProbeTarget(start.Add(freshness-1), freshness, spacing)
@@ -39,14 +39,14 @@
 	group.RecordLoadProbe(later, "a", Report{Slowdown: 5})
 	target, wanted = group.LoadProbeTarget(later, freshness, spacing)
 	require.True(t, wanted)
-	require.Equal(t, "b", target, "the disturbed one is not the next choice")
+	require.Equal(t, "b", target, "a disturbed back end is not the next choice")
 	group.RecordLoadProbeFailure("b")
 	_, wanted = group.LoadProbeTarget(later.Add(spacing-1), freshness, spacing)
 	require.False(t, wanted, "it was probed just now")
 }
 
-// TestProbesAreEarnedAndSpaced lets requests come and probes end in any order: there
-// are never more probes than requests earn, nor two of a back end within the spacing.
+// With requests and probe results in any order there are never more load probes than requests earn,
+// nor two of the same back end within the interval.
 func TestProbesAreEarnedAndSpaced(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		group := newTestGroup(Backend{ID: "a", Slots: 3, Window: 3}, Backend{ID: "b", Slots: 3, Window: 3}, Backend{ID: "c", Slots: 3, Window: 3})
@@ -94,15 +94,15 @@
 	})
 }
 
-// TestNewBackendsAreIntroduced asks back ends that have told nothing for a first report,
-// every other time, and not for ever.
+// Back ends that have not reported yet are asked for a first report every other time, up to
+// maxIntroductions times.
 func TestNewBackendsAreIntroduced(t *testing.T) {
 	group := newTestGroup(Backend{ID: "a", Slots: 3, Window: 3}, Backend{ID: "b", Slots: 3, Window: 3}, Backend{ID: "c", Slots: 3, Window: 3})
 	group.RecordReport(group.byID["a"], Report{Slowdown: 1}, false, start)
 	now, asked := start, make(map[string]int)
 	for range 60 {
 		now = now.Add(time.Second)
-		picked := pick(t, group, now, "")
+		picked := mustPick(t, group, now, "")
 		group.Done(picked, now, Canceled, 0)
 		for range 2 {
 			target, wanted := group.LoadProbeTarget(now, freshness, spacing)
--- a/routing/region_test.go
+++ b/routing/region_test.go
@@ -10,23 +10,24 @@
 	"github.com/stretchr/testify/require"
 )
 
-// region is a dispatcher of one region in a play of several that share all back ends.
-type region struct {
+// regionDispatcher is the dispatcher of one region in a simulation of several regions that share
+// all back ends.
+type regionDispatcher struct {
 	group *Group
-	// waiting are the times at which requests came that have no place yet.
+	// waiting are the arrival times of the requests without a back end.
 	waiting []time.Time
-	// borrowed is how many requests went to other regions, of so many sent.
+	// borrowed is how many of the sent requests went to other regions.
 	borrowed, sent int
 }
 
-// sharedBackend is a back end that works on three requests at a time, in the order in which they come.
+// sharedBackend is a back end that serves three requests at a time, in order of arrival.
 type sharedBackend struct {
 	region  int
 	ends    []time.Time // of the requests that it holds
-	fullest int
+	maxHeld int
 }
 
-// add takes in a request and returns when it ends.
+// add adds a request and returns when it ends.
 func (b *sharedBackend) add(now time.Time, slots int) time.Time {
 	b.ends = slices.DeleteFunc(b.ends, func(at time.Time) bool { return !at.After(now) })
 	begins := now
@@ -35,122 +36,125 @@
 		slices.SortFunc(sorted, time.Time.Compare)
 		begins = sorted[len(sorted)-slots]
 	}
-	end := begins.Add(work)
+	end := begins.Add(serviceTime)
 	b.ends = append(b.ends, end)
-	b.fullest = max(b.fullest, len(b.ends))
+	b.maxHeld = max(b.maxHeld, len(b.ends))
 	return end
 }
 
-// patience is how long a request waits for a place.
-const patience = work
+// maxWait is how long a request waits for a permit.
+const maxWait = serviceTime
 
-// playRegions lets dispatchers of three regions send requests to the same back ends, so many a second each.
-func playRegions(perSecond [3]float64) ([]*region, []*sharedBackend) {
+// simulateRegions lets the dispatchers of three regions send requests to the same back ends, at the
+// given rates per second.
+func simulateRegions(perSecond [3]float64) ([]*regionDispatcher, []*sharedBackend) {
 	const perRegion, slots = 4, 3
 	var backends []*sharedBackend
-	var regions []*region
+	var regions []*regionDispatcher
 	for number := range 3 {
 		for range perRegion {
 			backends = append(backends, &sharedBackend{region: number})
 		}
-		regions = append(regions, &region{})
+		regions = append(regions, &regionDispatcher{})
 	}
-	for number, one := range regions {
+	for number, dispatcher := range regions {
 		var declared []Backend
 		for index, backend := range backends {
 			declared = append(declared, Backend{
 				ID: fmt.Sprint(index), Zone: fmt.Sprintf("zone-%d", backend.region), Slots: slots, Window: slots, Warm: true, OtherRegion: backend.region != number,
 			})
 		}
-		one.group = warmUpGroup(uint64(number), declared...)
+		dispatcher.group = newSlowStartGroup(uint64(number), declared...)
 	}
 	type sent struct {
 		region int
 		picked PickResult
 		ends   time.Time
 	}
-	var under []sent
+	var inFlight []sent
 	random := rand.New(rand.NewPCG(4, 4))
 	for now := start; now.Before(start.Add(20 * time.Second)); now = now.Add(time.Millisecond) {
-		for index := 0; index < len(under); index++ {
-			one := under[index]
-			if one.ends.After(now) {
+		for index := 0; index < len(inFlight); index++ {
+			request := inFlight[index]
+			if request.ends.After(now) {
 				continue
 			}
 			var number int
-			fmt.Sscan(one.picked.Backend.ID, &number)
+			fmt.Sscan(request.picked.Backend.ID, &number)
 			holds := len(slices.DeleteFunc(slices.Clone(backends[number].ends), func(at time.Time) bool { return !at.After(now) }))
-			group := regions[one.region].group
-			group.RecordReport(one.picked.Backend, Report{InFlight: holds + 1, Slowdown: 1}, false, now)
-			group.Done(one.picked, now, Success, work)
-			under = slices.Delete(under, index, index+1)
+			group := regions[request.region].group
+			group.RecordReport(request.picked.Backend, Report{InFlight: holds + 1, Slowdown: 1}, false, now)
+			group.Done(request.picked, now, Success, serviceTime)
+			inFlight = slices.Delete(inFlight, index, index+1)
 			index--
 		}
-		for number, one := range regions {
+		for number, dispatcher := range regions {
 			if random.Float64() < perSecond[number]/1000 {
-				one.waiting = append(one.waiting, now)
+				dispatcher.waiting = append(dispatcher.waiting, now)
 			}
-			one.waiting = slices.DeleteFunc(one.waiting, func(came time.Time) bool { return now.Sub(came) > patience })
-			for len(one.waiting) > 0 {
-				picked, ok := one.group.Pick(now, Request{Repeatable: true, Zone: fmt.Sprintf("zone-%d", number)})
+			dispatcher.waiting = slices.DeleteFunc(dispatcher.waiting, func(arrived time.Time) bool { return now.Sub(arrived) > maxWait })
+			for len(dispatcher.waiting) > 0 {
+				picked, ok := dispatcher.group.Pick(now, Request{Repeatable: true, Zone: fmt.Sprintf("zone-%d", number)})
 				if !ok {
 					break
 				}
-				one.waiting = one.waiting[1:]
+				dispatcher.waiting = dispatcher.waiting[1:]
 				var index int
 				fmt.Sscan(picked.Backend.ID, &index)
-				one.sent++
+				dispatcher.sent++
 				if backends[index].region != number {
-					one.borrowed++
+					dispatcher.borrowed++
 				}
-				under = append(under, sent{region: number, picked: picked, ends: backends[index].add(now, slots)})
+				inFlight = append(inFlight, sent{region: number, picked: picked, ends: backends[index].add(now, slots)})
 			}
 		}
 	}
 	return regions, backends
 }
 
-// fullestOf is the most requests that any back end held.
-func fullestOf(backends []*sharedBackend) int {
-	fullest := 0
-	for _, one := range backends {
-		fullest = max(fullest, one.fullest)
+// maxHeld is the maximum number of requests that any back end held.
+func maxHeld(backends []*sharedBackend) int {
+	highest := 0
+	for _, backend := range backends {
+		highest = max(highest, backend.maxHeld)
 	}
-	return fullest
+	return highest
 }
 
-// Each region had a dispatcher of its own that used all slots of all back ends, as if it were alone: with more
-// requests than all could work on, back ends of three slots held up to nine, and requests waited there until
-// they were late instead of being refused or sent elsewhere. On a day of three regions 0.16 of the worth was
-// lost so, and 0.1 by requests that failed at their deadline.
-//
-// What back ends told with their answers settled it: 2 at once is usual, and 9 is the most.
+// Guards against dispatchers of several regions overfilling the back ends that they share. Each
+// dispatcher used all slots of all back ends as if it were alone: with more requests than all could
+// serve, back ends with three slots held up to nine, and requests waited there until they were late
+// instead of being refused or sent to another back end. On a day of three regions this lost 0.16 of
+// the worth, and 0.1 by requests that failed at their deadline. The responses showed it: usually 2
+// in flight at a time, at most 9.
 //
 //	frontend: answered backend_in_flight=9 (448 times), 8 (667), 7 (1,154), 6 (1,957)
 //
-// Now a region borrows only what a back end has told of late that it has to spare: 9 before, 5 now.
+// A region now uses only slots that a back end of another region has recently reported free: the
+// maximum held fell from 9 to 5.
 func TestRegionsShareSlots(t *testing.T) {
-	regions, backends := playRegions([3]float64{240, 240, 240}) // twice what all can work on
-	t.Logf("a back end held up to %d", fullestOf(backends))
-	require.LessOrEqual(t, fullestOf(backends), 3+2, "three slots, and one that each other region may try")
-	for _, one := range regions {
-		require.Greater(t, one.sent, 20*120*8/10, "what the own back ends can work on is used")
+	regions, backends := simulateRegions([3]float64{240, 240, 240}) // twice what all back ends can serve
+	t.Logf("a back end held up to %d", maxHeld(backends))
+	require.LessOrEqual(t, maxHeld(backends), 3+2, "three slots, and one that each other region may try")
+	for _, dispatcher := range regions {
+		require.Greater(t, dispatcher.sent, 20*120*8/10, "the region's own back ends are fully used")
 	}
 }
 
-// TestRegionsLend uses back ends of other regions for what the own ones cannot work on, while those have room.
+// Back ends of other regions serve what the region's own ones cannot, while they have free slots.
 func TestRegionsLend(t *testing.T) {
-	regions, backends := playRegions([3]float64{200, 20, 20})
-	t.Logf("%d of %d went to other regions, a back end held up to %d", regions[0].borrowed, regions[0].sent, fullestOf(backends))
+	regions, backends := simulateRegions([3]float64{200, 20, 20})
+	t.Logf("%d of %d went to other regions, a back end held up to %d", regions[0].borrowed, regions[0].sent, maxHeld(backends))
 	require.Greater(t, regions[0].sent, 20*200*95/100)
 	require.Greater(t, regions[0].borrowed, 20*70)
-	require.Less(t, regions[1].borrowed, regions[1].sent/20, "those with room stay at home")
+	require.Less(t, regions[1].borrowed, regions[1].sent/20, "regions with free slots use their own back ends")
 }
 
-// A back end of one slot was never lent, as that slot was kept for its own region: a region that had lost its
-// back ends got one request each 250 ms from each of the others, however idle they were.
-func TestOnlySlotIsLent(t *testing.T) {
-	group := warmUpGroup(1, Backend{ID: "far", Slots: 1, Warm: true, OtherRegion: true})
+// Guards against never lending a back end with one slot, because that slot was reserved for its own
+// region: a region that had lost its back ends got one request per 250 ms from each of the others,
+// however idle they were.
+func TestIdleBackendLendsItsOnlySlot(t *testing.T) {
+	group := newSlowStartGroup(1, Backend{ID: "far", Slots: 1, Warm: true, OtherRegion: true})
 	now := start
 	for range 10 {
 		picked, ok := group.Pick(now, Request{})
--- a/routing/warmup_test.go
+++ b/routing/warmup_test.go
@@ -8,30 +8,30 @@
 	"github.com/stretchr/testify/require"
 )
 
-// bearing is what cold back ends of these tests bear: one request in 400 ms.
-var bearing = WarmUp{Duration: 3 * time.Second, PerSecond: 2.5}
+// testWarmUp is the rate of cold back ends in these tests: one request per 400 ms.
+var testWarmUp = WarmUp{Duration: 3 * time.Second, PerSecond: 2.5}
 
-// sendAll asks for places for a while, each gap, gives each back after the work, and
+// busiestSeconds picks at an interval for some time, ends each request after its service time, and
 // returns how many requests each back end got in its busiest second.
-func sendAll(group *Group, from time.Time, lasts, gap time.Duration, request Request) map[string]int {
+func busiestSeconds(group *Group, from time.Time, duration, interval time.Duration, request Request) map[string]int {
 	type sent struct {
 		picked PickResult
 		ends   time.Time
 	}
-	var working []sent
+	var inFlight []sent
 	arrivals := make(map[string][]time.Time)
 	busiest := make(map[string]int)
-	for now := from; now.Before(from.Add(lasts)); now = now.Add(gap) {
-		for len(working) > 0 && !now.Before(working[0].ends) {
-			group.Done(working[0].picked, now, Success, work)
-			working = working[1:]
+	for now := from; now.Before(from.Add(duration)); now = now.Add(interval) {
+		for len(inFlight) > 0 && !now.Before(inFlight[0].ends) {
+			group.Done(inFlight[0].picked, now, Success, serviceTime)
+			inFlight = inFlight[1:]
 		}
 		picked, ok := group.Pick(now, request)
 		if !ok {
 			continue
 		}
 		id := picked.Backend.ID
-		working = append(working, sent{picked: picked, ends: now.Add(work)})
+		inFlight = append(inFlight, sent{picked: picked, ends: now.Add(serviceTime)})
 		arrivals[id] = append(arrivals[id], now)
 		for now.Sub(arrivals[id][0]) >= time.Second {
 			arrivals[id] = arrivals[id][1:]
@@ -41,44 +41,43 @@
 	return busiest
 }
 
-func warmUpGroup(seed uint64, backends ...Backend) *Group {
+func newSlowStartGroup(seed uint64, backends ...Backend) *Group {
 	group := NewGroup(Options{Picker: LeastLoad{}, Random: rand.New(rand.NewPCG(seed, 2)), Overcommit: DefaultOvercommit, SlowStart: true})
 	group.SetBackends(start, backends)
 	return group
 }
 
-// TestColdBackEndsAreSpared keeps cold back ends at what they bear, whether half of the
-// service has joined or all of it, and uses them fully once they have been warm long enough
-// or say that they are.
+// Cold back ends get no more than their rate, whether they are half or all of the service, and the
+// full load once the cold phase has passed or they report that it has.
 func TestColdBackEndsAreSpared(t *testing.T) {
-	cold := Backend{ID: "cold", Slots: 2, Window: 2, WarmUp: bearing}
+	cold := Backend{ID: "cold", Slots: 2, Window: 2, WarmUp: testWarmUp}
 	for name, others := range map[string][]Backend{
-		"half joins":    {{ID: "warm", Slots: 2, Window: 2, Warm: true, WarmUp: bearing}},
-		"all are cold":  {{ID: "other", Slots: 2, Window: 2, WarmUp: bearing}},
+		"half joins":    {{ID: "warm", Slots: 2, Window: 2, Warm: true, WarmUp: testWarmUp}},
+		"all are cold":  {{ID: "other", Slots: 2, Window: 2, WarmUp: testWarmUp}},
 		"it is the one": nil,
 	} {
 		t.Run(name, func(t *testing.T) {
-			group := warmUpGroup(1, append(others, cold)...)
-			busiest := sendAll(group, start, bearing.Duration, 10*time.Millisecond, Request{})
+			group := newSlowStartGroup(1, append(others, cold)...)
+			busiest := busiestSeconds(group, start, testWarmUp.Duration, 10*time.Millisecond, Request{})
 			require.Equal(t, 3, busiest["cold"], "every 400 ms")
-			warm := sendAll(group, start.Add(bearing.Duration), 2*time.Second, 10*time.Millisecond, Request{})
+			warm := busiestSeconds(group, start.Add(testWarmUp.Duration), 2*time.Second, 10*time.Millisecond, Request{})
 			require.Greater(t, warm["cold"], 10, "it is warm")
 		})
 	}
 }
 
-// TestTurnsCold spares a back end that was in use as soon as its entry or a probe says that
-// it is cold, or its zone is taken back.
+// A back end in use is limited to its rate as soon as its directory entry or a probe says that it
+// is cold, or its zone is restored.
 func TestTurnsCold(t *testing.T) {
-	warm := Backend{ID: "a", Slots: 2, Window: 2, Warm: true, WarmUp: bearing}
+	warm := Backend{ID: "a", Slots: 2, Window: 2, Warm: true, WarmUp: testWarmUp}
 	for name, turn := range map[string]func(group *Group){
 		"its entry says so": func(group *Group) {
-			now := warm
-			now.Warm = false
-			group.SetBackends(start, []Backend{now})
+			cold := warm
+			cold.Warm = false
+			group.SetBackends(start, []Backend{cold})
 		},
 		"a probe says so": func(group *Group) {
-			group.RecordLoadProbe(start, "a", Report{WarmUpLeft: bearing.Duration})
+			group.RecordLoadProbe(start, "a", Report{WarmUpLeft: testWarmUp.Duration})
 		},
 		"its zone is taken back": func(group *Group) {
 			group.SetDraining(start, "a", true)
@@ -86,50 +85,49 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			group := warmUpGroup(1, warm)
+			group := newSlowStartGroup(1, warm)
 			turn(group)
 			require.True(t, group.State("a").Cold(start))
-			require.Equal(t, 3, sendAll(group, start, bearing.Duration, 10*time.Millisecond, Request{})["a"])
-			require.False(t, group.State("a").Cold(start.Add(bearing.Duration)))
+			require.Equal(t, 3, busiestSeconds(group, start, testWarmUp.Duration, 10*time.Millisecond, Request{})["a"])
+			require.False(t, group.State("a").Cold(start.Add(testWarmUp.Duration)))
 		})
 	}
 }
 
-// TestChoosersShareWhatIsBorne lets daemons choose by themselves for a cold back end, as
-// when their dispatcher is lost: all together send it little more than it bears.
+// Daemons that pick independently for a cold back end, as when their dispatcher is lost, together
+// hardly exceed its rate.
 func TestChoosersShareWhatIsBorne(t *testing.T) {
-	const choosers, seconds = 40, 20
-	lasts := bearing
+	const independent, seconds = 40, 20
+	lasts := testWarmUp
 	lasts.Duration = time.Minute
 	sent := 0
 	perSecond := make(map[int]int)
-	for daemon := range choosers {
-		group := warmUpGroup(uint64(daemon), Backend{ID: "cold", Slots: 2, Window: 2, WarmUp: lasts})
+	for daemon := range independent {
+		group := newSlowStartGroup(uint64(daemon), Backend{ID: "cold", Slots: 2, Window: 2, WarmUp: lasts})
 		for now := start; now.Before(start.Add(seconds * time.Second)); now = now.Add(20 * time.Millisecond) {
-			if picked, ok := group.Pick(now, Request{IndependentDaemons: choosers}); ok {
+			if picked, ok := group.Pick(now, Request{IndependentDaemons: independent}); ok {
 				group.Done(picked, now, Success, time.Millisecond)
 				sent++
 				perSecond[int(now.Sub(start)/time.Second)]++
 			}
 		}
 	}
-	require.InDelta(t, seconds*bearing.PerSecond, sent, 10)
+	require.InDelta(t, seconds*testWarmUp.PerSecond, sent, 10)
 	for second, count := range perSecond {
-		require.LessOrEqual(t, float64(count), 1.5*bearing.PerSecond+8, "second %d", second)
+		require.LessOrEqual(t, float64(count), 1.5*testWarmUp.PerSecond+8, "second %d", second)
 	}
 }
 
-// TestColdCapacityIsCounted expects no more of cold back ends than they bear.
-func TestColdCapacityIsCounted(t *testing.T) {
-	group := warmUpGroup(1, Backend{ID: "a", Slots: 2, Window: 2, WarmUp: bearing})
+// The expected service interval accounts for the rate of cold back ends.
+func TestServiceIntervalOfColdBackends(t *testing.T) {
+	group := newSlowStartGroup(1, Backend{ID: "a", Slots: 2, Window: 2, WarmUp: testWarmUp})
 	require.Equal(t, 400*time.Millisecond, group.ServiceInterval(start))
-	require.Less(t, group.ServiceInterval(start.Add(bearing.Duration)), 10*time.Millisecond)
+	require.Less(t, group.ServiceInterval(start.Add(testWarmUp.Duration)), 10*time.Millisecond)
 }
 
-// TestProbesSpareColdBackEnds does not ask a cold back end for fresher reports between the
-// requests that it bears.
-func TestProbesSpareColdBackEnds(t *testing.T) {
-	group := warmUpGroup(1, Backend{ID: "a", Slots: 2, Window: 2, WarmUp: bearing})
+// A cold back end gets no load probes between the requests that its rate permits.
+func TestNoLoadProbesOfColdBackends(t *testing.T) {
+	group := newSlowStartGroup(1, Backend{ID: "a", Slots: 2, Window: 2, WarmUp: testWarmUp})
 	_, ok := group.Pick(start, Request{})
 	require.True(t, ok)
 	group.State("a").reportedAt = start.Add(-time.Second)
