--- a/routing/bearing.go
+++ b/routing/bearing.go
@@ -24,8 +24,8 @@
 
 // warmUpShare is the daemon's share of the request rate of cold back ends. Its Since is maintained
 // only while some back end has a request limit.
-func (s dispatchRole) warmUpShare() Share {
-	return Share{Fraction: 1 / float64(s.independentDaemons), Since: s.limitShare.Since}
+func (r dispatchRole) warmUpShare() Share {
+	return Share{Fraction: 1 / float64(r.independentDaemons), Since: r.limitShare.Since}
 }
 
 // withinRateLimits reports whether the back end can be sent a request now without exceeding its
@@ -34,7 +34,7 @@
 	if state.limitedByWarmUp(now) && !state.warmUp.pacing.due(now, state.WarmUp.PerSecond, role.warmUpShare(), g.options.Random) {
 		return false
 	}
-	return g.permits(state, now, role.limitShare)
+	return g.withinRequestLimit(state, now, role.limitShare)
 }
 
 // chargeRateLimits counts a request or probe sent to the back end.
--- a/routing/concurrency.go
+++ b/routing/concurrency.go
@@ -25,9 +25,8 @@
 	// fullUseSlots: back ends with at most so many slots use all of them from the start; see
 	// initialBound.
 	fullUseSlots = 3
-	// boundRevisionRounds is how many requests per permit of a back end's bound succeed before the
-	// bound is chosen again: requests that began under the previous bound say little about this
-	// one.
+	// boundRevisionRounds is how often each unit of a back end's bound is used before the bound is
+	// chosen again: requests that began under the previous bound say little about this one.
 	boundRevisionRounds = 3
 )
 
@@ -46,14 +45,14 @@
 
 // observe records the latency of a successful request and what was in flight meanwhile. It reports
 // whether the bounds should be chosen again.
-func (c *concurrencyEstimator) observe(slots int, seen inFlightStats) bool {
-	inFlight := int(math.Round(seen.mean))
-	if seen.duration <= 0 || seen.variance > maxInFlightVariance || inFlight < 1 || inFlight > slots {
+func (c *concurrencyEstimator) observe(slots int, stats inFlightStats) bool {
+	inFlight := int(math.Round(stats.mean))
+	if stats.duration <= 0 || stats.variance > maxInFlightVariance || inFlight < 1 || inFlight > slots {
 		return false
 	}
 	curve := c.forSlots(slots)
 	best, settled := curve.best, curve.settled()
-	curve.byInFlight[inFlight-1].add(seen.duration.Seconds())
+	curve.byInFlight[inFlight-1].add(stats.duration.Seconds())
 	curve.best = curve.mostPowerful()
 	return curve.best != best || curve.settled() != settled
 }
@@ -174,7 +173,7 @@
 
 // latencyCurve holds the latencies by number in flight of back ends with the same number of slots.
 type latencyCurve struct {
-	byInFlight        []runningMean // indexed by the number in flight minus one
+	byInFlight        []runningMean // by the number in flight, from 1 on
 	hint              int           // best number as learned by another daemon; 0: none
 	best              int
 	pools             []pool    // scratch space of expected, reused between calls
--- a/routing/group.go
+++ b/routing/group.go
@@ -290,7 +290,7 @@
 	if g.concurrency.observe(state.Window, state.occupancy.since(picked.occupancyAtPick)) {
 		g.resetBounds(state.Window)
 	}
-	if state.answersSinceBound++; state.answersSinceBound >= boundRevisionRounds*state.bound {
+	if state.responsesSinceBound++; state.responsesSinceBound >= boundRevisionRounds*state.bound {
 		g.resetBound(state)
 	}
 }
@@ -341,7 +341,7 @@
 
 // resetBound chooses the bound of a back end again.
 func (g *Group) resetBound(state *BackendState) {
-	state.answersSinceBound, state.boundWhenShort = 0, g.capacityShort
+	state.responsesSinceBound, state.boundWhenShort = 0, g.capacityShort
 	g.boundsStale = g.boundsStale || !g.capacityShort
 	state.bound = g.concurrency.chooseBound(state.Window, g.capacityShort, g.options.Random)
 }
--- a/routing/limit.go
+++ b/routing/limit.go
@@ -41,7 +41,7 @@
 		s.limit.pacing.lastSent = now
 	case !limit.Limited && s.limit.Limited:
 		s.limit = requestLimit{}
-		s.slowStartAnswers = 0
+		s.slowStartResponses = 0
 	}
 	if s.limit.Limit != limit {
 		s.limit.Limit, s.limit.since = limit, now
@@ -53,8 +53,8 @@
 	return max(l.PerSecond, minRequestRate)
 }
 
-// permits reports whether a daemon with a share of the limit may send something now.
-func (g *Group) permits(state *BackendState, now time.Time, share Share) bool {
+// withinRequestLimit reports whether a daemon with a share of the limit may send something now.
+func (g *Group) withinRequestLimit(state *BackendState, now time.Time, share Share) bool {
 	return !state.limit.Limited || state.limit.pacing.due(now, state.limit.rate(), share, g.options.Random)
 }
 
--- a/routing/outcome.go
+++ b/routing/outcome.go
@@ -44,7 +44,7 @@
 	switch outcome {
 	case Success:
 		state.health.RecordSuccess()
-		state.slowStartAnswers++
+		state.slowStartResponses++
 		state.recordLatency(latency, picked.slowdownAtPick)
 		g.reportAge.baseLatency = ewma(g.reportAge.baseLatency, state.baseLatency)
 		g.learnConcurrency(picked)
@@ -52,7 +52,7 @@
 		state.health.RecordFailure(now)
 	case PushedBack:
 		state.health.RecordFailure(now)
-		state.slowStartAnswers = 0 // restart with one request at a time, so that waiting requests do not all return at once
+		state.slowStartResponses = 0 // restart with one request at a time, so that waiting requests do not all return at once
 	case ProcessExited:
 		// With ten back ends a service of which one exited every 300 ms, only 0.84 of the requests
 		// were answered while exited back ends continued to be tried (TestBystandersAreServed).
--- a/routing/probe.go
+++ b/routing/probe.go
@@ -12,7 +12,7 @@
 func (g *Group) HealthProbeTarget(now time.Time, silence time.Duration) (string, bool) {
 	var quietest *BackendState
 	for _, state := range g.states {
-		if state.Draining || state.PausedUntil.After(now) || !g.permits(state, now, g.limitShare) {
+		if state.Draining || state.PausedUntil.After(now) || !g.withinRequestLimit(state, now, g.limitShare) {
 			continue
 		}
 		if state.health.TrialDue(now) {
@@ -50,7 +50,7 @@
 		return
 	}
 	if state.Ejected(now) {
-		state.slowStartAnswers = 0 // it may have failed because it was overloaded
+		state.slowStartResponses = 0 // it may have failed because it was overloaded
 		state.health.RecordSuccess()
 	}
 	if report != nil {
@@ -84,14 +84,14 @@
 }
 
 // LoadProbeTarget returns a back end that would get the next request of some origin, if its report
-// is older than MaxReportAge; every other time it prefers a back end that has not reported yet, if
-// there is any. The same back end is not returned again before interval has passed, nor before
-// RecordLoadProbe or RecordLoadProbeFailure has been called for it.
-func (g *Group) LoadProbeTarget(now time.Time, fallback, interval time.Duration) (string, bool) {
+// is older than MaxReportAge, or than maxAge until that is learned; every other time it prefers a back
+// end that has not reported yet, if there is any. The same back end is not returned again before
+// interval has passed, nor before RecordLoadProbe or RecordLoadProbeFailure has been called for it.
+func (g *Group) LoadProbeTarget(now time.Time, maxAge, interval time.Duration) (string, bool) {
 	if g.probeCredit < 1 {
 		return "", false
 	}
-	fallback = g.MaxReportAge(fallback)
+	maxAge = g.MaxReportAge(maxAge)
 	if state := g.dueArrivalProbe(now, interval); state != nil {
 		g.cancelArrivalProbe(state)
 		g.startLoadProbe(state, now)
@@ -112,7 +112,7 @@
 		next := g.origins[0]
 		g.origins = append(g.origins[1:], next)
 		best := g.bestTargets.forOrigin(next)
-		if best == nil || best.loadProbing || now.Sub(best.loadProbedAt) < interval || (!best.reportedAt.IsZero() && now.Sub(best.reportedAt) < fallback) {
+		if best == nil || best.loadProbing || now.Sub(best.loadProbedAt) < interval || (!best.reportedAt.IsZero() && now.Sub(best.reportedAt) < maxAge) {
 			continue
 		}
 		g.startLoadProbe(best, now)
--- a/routing/slowdown.go
+++ b/routing/slowdown.go
@@ -8,8 +8,8 @@
 
 // Parameters of the estimate of a back end's slowdown.
 const (
-	// slowdownDecayTime is the age at which a report of it has the weight 1/e; the neighbours that
-	// cause slowdown come and go within a fraction of a second.
+	// slowdownDecayTime is the age at which a report has the weight 1/e; the neighbouring workloads
+	// that cause slowdown come and go within a fraction of a second.
 	slowdownDecayTime = 150 * time.Millisecond
 	// slowdownMaxAge is the age at which a report has a weight below 1/20,000 and is ignored, which
 	// saves computing it.
--- a/routing/state.go
+++ b/routing/state.go
@@ -59,28 +59,28 @@
 	// Draining back ends get no new requests.
 	Draining bool
 
-	latency          time.Duration // moving average over responses; 0: none yet
-	baseLatency      time.Duration // the same, divided by the slowdown expected at the time
-	latencyRoot      float64       // square root of the latency, in seconds
-	reportedInFlight int           // requests of other daemons, from the last report
-	reportedAt       time.Time
-	peerInFlight     int // requests of other daemons, as reported by them
-	peerInFlightAt   time.Time
-	slowStartAnswers int // responses since the back end appeared, was reinstated or turned cold
-	health           outlier.Detector
-	heardAt          time.Time // time of the last response or health probe
-	window           float64   // maximum number of this daemon's requests at the back end
-	slowdown         slowdown
-	warmUp           warmUp
-	limit            requestLimit
+	latency            time.Duration // moving average over responses; 0: none yet
+	baseLatency        time.Duration // the same, divided by the slowdown expected at the time
+	latencyRoot        float64       // square root of the latency, in seconds
+	reportedInFlight   int           // requests of other daemons, from the last report
+	reportedAt         time.Time
+	peerInFlight       int // requests of other daemons, as reported by them
+	peerInFlightAt     time.Time
+	slowStartResponses int // responses since the back end appeared, was reinstated or turned cold
+	health             outlier.Detector
+	heardAt            time.Time // time of the last response or health probe
+	window             float64   // maximum number of this daemon's requests at the back end
+	slowdown           slowdown
+	warmUp             warmUp
+	limit              requestLimit
 	// bound is the learned maximum of requests in flight, if a window is declared.
-	bound             int
-	answersSinceBound int  // requests that succeeded since bound was chosen
-	boundWhenShort    bool // bound was chosen while capacity was short
-	occupancy         occupancy
-	loadProbing       bool      // a load probe is under way
-	arrivalProbeSince time.Time // start of the last request that an arrival probe is scheduled for; zero: none
-	loadProbedAt      time.Time
+	bound               int
+	responsesSinceBound int  // requests that succeeded since bound was chosen
+	boundWhenShort      bool // bound was chosen while capacity was short
+	occupancy           occupancy
+	loadProbing         bool      // a load probe is under way
+	arrivalProbeSince   time.Time // start of the last request that an arrival probe is scheduled for; zero: none
+	loadProbedAt        time.Time
 	// introductions is how often the back end was asked for its first report.
 	introductions     int
 	eligibleSince     time.Time // when it could first have got a request; zero: never yet
@@ -167,11 +167,11 @@
 // serviceRate returns how many requests per second the back end can serve according to its latency
 // and its rate limits.
 func (s *BackendState) serviceRate(now time.Time) float64 {
-	places := s.Slots
+	slots := s.Slots
 	if s.OtherRegion {
-		places = s.otherRegionRoom(now)
+		slots = s.otherRegionRoom(now)
 	}
-	perSecond := float64(places) / s.Latency().Seconds()
+	perSecond := float64(slots) / s.Latency().Seconds()
 	if s.limitedByWarmUp(now) {
 		perSecond = min(perSecond, s.WarmUp.PerSecond)
 	}
@@ -238,7 +238,7 @@
 	if !slowStart {
 		return full
 	}
-	return min(full, 1+s.slowStartAnswers)
+	return min(full, 1+s.slowStartResponses)
 }
 
 // Bounds and steps of the window; see adjustWindow.
--- a/routing/warmup.go
+++ b/routing/warmup.go
@@ -22,14 +22,14 @@
 
 // setCold records that the back end may be cold from now on, for the given time at most.
 func (s *BackendState) setCold(now time.Time, left time.Duration) {
-	s.slowStartAnswers = 0
+	s.slowStartResponses = 0
 	s.warmUp.coldUntil = now.Add(left)
 }
 
 // setWarm records that the back end is known to have run for a while.
 func (s *BackendState) setWarm() {
 	s.warmUp = warmUp{}
-	s.slowStartAnswers = s.Slots * maxWindowPerSlot
+	s.slowStartResponses = s.Slots * maxWindowPerSlot
 }
 
 // limitedByWarmUp reports whether the back end is cold and has a limited request rate.
