--- a/admission/admission.go
+++ b/admission/admission.go
@@ -1,12 +1,13 @@
-// Package admission decides which requests wait, in what order, and which are
-// refused.
+// Package admission implements the queue of requests that wait for a permit and the
+// decision whether a request is queued or refused.
 //
-// Requests wait at the daemon, not in the queue of a back end. The heaviest
-// class goes first; within a weight, the one whose caller asked last. A full queue makes
-// room by refusing the request that matters least. A request that is unlikely to get a
-// place while that is of use is refused as soon as that is known, on arrival or while it
-// waits (chance.go), so that under overload the back ends work on requests whose callers
-// still wait, and the others are told at once. A refusal here is always "not run".
+// Requests wait at the daemon, not in the queue of a back end. Higher weights are served
+// first; within a weight, the request whose caller asked most recently. A full queue
+// refuses its lowest-priority request to make room for a more important one. A request
+// that is unlikely to get a permit while it is still useful is refused on arrival or, once
+// that becomes known, shed from the queue (chance.go). Under overload the back ends thus
+// work on requests whose callers are still waiting, and the others get an early refusal. A
+// request refused here has never run.
 //
 // The package is pure and not safe for concurrent use.
 package admission
@@ -21,50 +22,50 @@
 
 // Ticket is one waiting request.
 type Ticket struct {
-	Weight      int       // higher goes first
-	Deadline    time.Time // after this the answer is of no use
-	Expiry      time.Time // after this the request may not wait any longer
-	UsefulUntil time.Time // after this a place would be of no use; zero: until the deadline
-	FirstTry    time.Time // when its caller first asked; zero: unknown
+	Weight      int       // higher weights are served first
+	Deadline    time.Time // the answer is useless after this
+	Expiry      time.Time // the request must not wait longer than this
+	UsefulUntil time.Time // a permit granted later is useless; zero: Deadline applies
+	FirstTry    time.Time // when the caller first asked; zero: unknown
 	// Payload belongs to the owner of the queue.
 	Payload any
 
 	sequence uint64
-	index    int // position in the heap; -1: not waiting
+	index    int // position in the heap; -1 when not queued
 }
 
-// Verdict says what became of an offered ticket.
+// Verdict is the result of offering a ticket to the queue.
 type Verdict int
 
-// The verdicts.
+// The results of Queue.Offer.
 const (
 	// Queued: the ticket is in the queue.
 	Queued Verdict = iota
-	// Full: the queue is full of requests that matter as much or more.
+	// Full: the queue is full of requests of the same or a higher weight.
 	Full
-	// TooLate: it is unlikely to get a place in time behind the requests already waiting
-	// and those that will go before it.
+	// TooLate: the ticket is unlikely to get a permit in time, given the requests that
+	// already wait and those that are expected to overtake it.
 	TooLate
 )
 
 // Queue holds the waiting requests of one service.
 type Queue struct {
-	limit    int
-	tickets  ticketHeap
-	counts   map[int]int // tickets by weight; policies give few weights
-	sequence uint64
-	served   rate
-	full     saturation
-	arrived  map[int]*rate // by weight
-	sorted   []*Ticket     // of Hopeless, kept for its memory
+	limit      int
+	tickets    ticketHeap
+	counts     map[int]int // tickets by weight; policies use few distinct weights
+	sequence   uint64
+	releases   rate
+	saturation saturationPeriod
+	arrivals   map[int]*rate // by weight
+	scratch    []*Ticket     // sorted tickets; Shed reuses the memory
 }
 
-// NewQueue returns an empty queue for at most limit requests.
+// NewQueue returns an empty queue that holds at most limit requests.
 func NewQueue(limit int) *Queue {
-	return &Queue{limit: limit, counts: make(map[int]int), arrived: make(map[int]*rate)}
+	return &Queue{limit: limit, counts: make(map[int]int), arrivals: make(map[int]*rate)}
 }
 
-// SetLimit changes the bound. Requests already waiting stay.
+// SetLimit changes the maximum length. Requests that already wait stay queued.
 func (q *Queue) SetLimit(limit int) {
 	q.limit = limit
 }
@@ -74,86 +75,87 @@
 	return len(q.tickets)
 }
 
-// RecordArrival notes a request that wants a place, whether it will wait or not. The queue
-// learns from it how many others a waiting request competes with.
+// RecordArrival counts a request that asks for a permit, whether or not it will wait. The
+// arrival rates tell how many later requests may overtake a waiting one.
 func (q *Queue) RecordArrival(now time.Time, weight int) {
-	arrived, known := q.arrived[weight]
-	if !known {
-		arrived = new(rate)
-		q.arrived[weight] = arrived
+	arrivals, found := q.arrivals[weight]
+	if !found {
+		arrivals = new(rate)
+		q.arrivals[weight] = arrivals
 	}
-	arrived.add(now)
+	arrivals.add(now)
 }
 
-// trafficOf returns what a ticket of a weight competes in. Of the places it first takes the
-// larger of two estimates: what was given back in the last second, which is low after a
-// quiet time, and the pace, which counts on all slots. The longer requests have been
-// waiting, the more counts what has come free since: back ends that are disturbed or held
-// back serve less than their slots say.
-func (q *Queue) trafficOf(now time.Time, weight int, pace time.Duration) traffic {
-	var found traffic
-	for arriving, arrived := range q.arrived {
-		if arriving >= weight {
-			found.ahead += arrived.perSecond(now)
+// contentionFor returns the rates at which permits are released and overtaking requests
+// arrive for tickets of a weight. The release rate starts as the larger of two estimates:
+// the releases of the last second, which are few after an idle period, and the rate implied
+// by serviceInterval, which assumes that all slots are usable. The longer requests have been
+// waiting, the more weight the release rate measured since then gets, because back ends that
+// are disturbed or held back serve less than their slots suggest.
+func (q *Queue) contentionFor(now time.Time, weight int, serviceInterval time.Duration) contention {
+	var rates contention
+	for arrivalWeight, arrivals := range q.arrivals {
+		if arrivalWeight >= weight {
+			rates.overtakesPerSecond += arrivals.perSecond(now)
 		}
 	}
-	found.served = q.served.perSecond(now)
-	if pace > 0 {
-		found.served = max(found.served, float64(time.Second)/float64(pace))
+	rates.releasesPerSecond = q.releases.perSecond(now)
+	if serviceInterval > 0 {
+		rates.releasesPerSecond = max(rates.releasesPerSecond, float64(time.Second)/float64(serviceInterval))
 	}
-	measured, part := q.full.perSecond(now)
-	found.served = part*measured + (1-part)*found.served
-	return found
+	measuredPerSecond, fraction := q.saturation.perSecond(now)
+	rates.releasesPerSecond = fraction*measuredPerSecond + (1-fraction)*rates.releasesPerSecond
+	return rates
 }
 
-// Describe says in words what a request of a weight competes in, for logs.
-func (q *Queue) Describe(now time.Time, weight int, pace time.Duration) string {
-	competing := q.trafficOf(now, weight, pace)
-	return fmt.Sprintf("%d wait, %.0f places come free a second, %.0f requests come that may go first", q.Len(), competing.served, competing.ahead)
+// Describe returns a description of the contention at a weight for logs and refusals.
+func (q *Queue) Describe(now time.Time, weight int, serviceInterval time.Duration) string {
+	rates := q.contentionFor(now, weight, serviceInterval)
+	return fmt.Sprintf("%d wait, %.0f places come free a second, %.0f requests come that may go first", q.Len(), rates.releasesPerSecond, rates.overtakesPerSecond)
 }
 
-// useful returns until when a place is of use to the ticket.
-func (t *Ticket) useful() time.Time {
+// usefulUntil returns until when a permit is useful to the ticket.
+func (t *Ticket) usefulUntil() time.Time {
 	if t.UsefulUntil.IsZero() {
 		return t.Deadline
 	}
 	return t.UsefulUntil
 }
 
-// Shed takes out and returns the tickets that are not likely any more to get a place
-// while it is of use to them.
-func (q *Queue) Shed(now time.Time, pace time.Duration) []*Ticket {
-	q.sorted = append(q.sorted[:0], q.tickets...)
-	slices.SortFunc(q.sorted, order)
-	var hopeless []*Ticket
-	var competing traffic
+// Shed removes and returns the tickets that are no longer likely to get a permit while it
+// is useful to them.
+func (q *Queue) Shed(now time.Time, serviceInterval time.Duration) []*Ticket {
+	q.scratch = append(q.scratch[:0], q.tickets...)
+	slices.SortFunc(q.scratch, compare)
+	var shed []*Ticket
+	var rates contention
 	kept := 0
-	for index, ticket := range q.sorted {
-		if index == 0 || ticket.Weight != q.sorted[index-1].Weight {
-			competing = q.trafficOf(now, ticket.Weight, pace)
+	for index, ticket := range q.scratch {
+		if index == 0 || ticket.Weight != q.scratch[index-1].Weight {
+			rates = q.contentionFor(now, ticket.Weight, serviceInterval)
 		}
-		if competing.hopeful(kept, ticket.useful().Sub(now)) {
+		if rates.worthWaiting(kept, ticket.usefulUntil().Sub(now)) {
 			kept++
 			continue
 		}
-		hopeless = append(hopeless, ticket)
+		shed = append(shed, ticket)
 	}
-	for _, ticket := range hopeless {
+	for _, ticket := range shed {
 		q.remove(ticket)
 	}
-	return hopeless
+	return shed
 }
 
-// order compares two tickets by which goes first.
-func order(a, b *Ticket) int {
+// compare orders tickets by priority for package slices.
+func compare(a, b *Ticket) int {
 	if less(a, b) {
 		return -1
 	}
 	return 1
 }
 
-// before returns how many waiting tickets go before one.
-func (q *Queue) before(ticket *Ticket) int {
+// countAhead returns how many waiting tickets have a higher priority than ticket.
+func (q *Queue) countAhead(ticket *Ticket) int {
 	count := 0
 	for _, waiting := range q.tickets {
 		if less(waiting, ticket) {
@@ -163,33 +165,32 @@
 	return count
 }
 
-// Offer puts a ticket into the queue. When the queue is full, the least
-// important waiting ticket is taken out and returned as displaced if the new
-// one matters more.
+// Offer adds a ticket to the queue. If the queue is full and the ticket has a higher weight
+// than some waiting one, the lowest-priority ticket is removed and returned as displaced.
 //
-// pace is how long the back ends take for one request, all together, as far as
-// their latencies tell.
-func (q *Queue) Offer(now time.Time, ticket *Ticket, pace time.Duration) (verdict Verdict, displaced *Ticket) {
+// serviceInterval is the average time between answers of all back ends together, estimated
+// from their latencies.
+func (q *Queue) Offer(now time.Time, ticket *Ticket, serviceInterval time.Duration) (verdict Verdict, displaced *Ticket) {
 	q.sequence++
 	ticket.sequence = q.sequence
-	competing := q.trafficOf(now, ticket.Weight, pace)
-	if !competing.hopeful(q.before(ticket), ticket.useful().Sub(now)) {
+	rates := q.contentionFor(now, ticket.Weight, serviceInterval)
+	if !rates.worthWaiting(q.countAhead(ticket), ticket.usefulUntil().Sub(now)) {
 		return TooLate, nil
 	}
 	if len(q.tickets) >= q.limit {
-		if q.leastWeight() >= ticket.Weight {
+		if q.minWeight() >= ticket.Weight {
 			return Full, nil
 		}
-		displaced = q.least()
+		displaced = q.lowestPriority()
 		q.remove(displaced)
 	}
-	q.full.waiting(now)
+	q.saturation.recordWaiting(now)
 	heap.Push(&q.tickets, ticket)
 	q.counts[ticket.Weight]++
 	return Queued, displaced
 }
 
-// Pop takes out the ticket that goes first, or returns nil.
+// Pop removes and returns the ticket of the highest priority, or nil if the queue is empty.
 func (q *Queue) Pop() *Ticket {
 	if len(q.tickets) == 0 {
 		return nil
@@ -206,7 +207,8 @@
 	}
 }
 
-// Peek returns the ticket that goes first without taking it out, or nil.
+// Peek returns the ticket of the highest priority without removing it, or nil if the queue
+// is empty.
 func (q *Queue) Peek() *Ticket {
 	if len(q.tickets) == 0 {
 		return nil
@@ -214,26 +216,26 @@
 	return q.tickets[0]
 }
 
-// PeekN returns the tickets that go first, in order, at most so many, without taking them out.
-func (q *Queue) PeekN(most int) []*Ticket {
-	var foremost []*Ticket
-	var next []*Ticket // may come next: the children of those that were returned, which go before all others
+// PeekN returns up to limit tickets in order of priority without removing them.
+func (q *Queue) PeekN(limit int) []*Ticket {
+	var peeked []*Ticket
+	var candidates []*Ticket // heap children of the tickets already returned: one of them is next
 	if len(q.tickets) > 0 {
-		next = append(next, q.tickets[0])
+		candidates = append(candidates, q.tickets[0])
 	}
-	for len(next) > 0 && len(foremost) < most {
-		first := slices.MinFunc(next, order)
-		next = slices.DeleteFunc(next, func(ticket *Ticket) bool { return ticket == first })
-		foremost = append(foremost, first)
-		for child := 2*first.index + 1; child <= 2*first.index+2 && child < len(q.tickets); child++ {
-			next = append(next, q.tickets[child])
+	for len(candidates) > 0 && len(peeked) < limit {
+		head := slices.MinFunc(candidates, compare)
+		candidates = slices.DeleteFunc(candidates, func(ticket *Ticket) bool { return ticket == head })
+		peeked = append(peeked, head)
+		for child := 2*head.index + 1; child <= 2*head.index+2 && child < len(q.tickets); child++ {
+			candidates = append(candidates, q.tickets[child])
 		}
 	}
-	return foremost
+	return peeked
 }
 
-// Remove takes out a ticket whose caller left or whose wait is over, and says
-// whether it was still waiting.
+// Remove removes a ticket whose caller left or whose wait expired, and reports whether it
+// was still queued.
 func (q *Queue) Remove(ticket *Ticket) bool {
 	if ticket.index < 0 || ticket.index >= len(q.tickets) || q.tickets[ticket.index] != ticket {
 		return false
@@ -242,58 +244,58 @@
 	return true
 }
 
-// RecordRelease notes that a place was given back. The queue learns from it how fast it
-// empties.
+// RecordRelease counts the release of a permit. The queue learns from it how fast it
+// drains.
 func (q *Queue) RecordRelease(now time.Time) {
-	q.served.add(now)
+	q.releases.add(now)
 	if len(q.tickets) > 0 {
-		q.full.waiting(now)
+		q.saturation.recordWaiting(now)
 	}
-	q.full.place(now)
+	q.saturation.recordRelease(now)
 }
 
-// EstimateWait estimates how long a ticket of this weight would wait now: until all that
-// matter as much or more have gone. It takes the shorter of two estimates: the
-// requests finished in the last second, which is low after a quiet time, and the
-// pace, which counts the queues at busy back ends twice.
-func (q *Queue) EstimateWait(now time.Time, weight int, pace time.Duration) time.Duration {
+// EstimateWait estimates how long a new ticket of this weight would wait, which is until all
+// tickets of the same or a higher weight have been served. It returns the shorter of two
+// estimates: one from the releases of the last second, which are few after an idle period,
+// and one from serviceInterval, which counts the queues at busy back ends twice.
+func (q *Queue) EstimateWait(now time.Time, weight int, serviceInterval time.Duration) time.Duration {
 	ahead := 0
-	for waiting, count := range q.counts {
-		if waiting >= weight {
+	for waitingWeight, count := range q.counts {
+		if waitingWeight >= weight {
 			ahead += count
 		}
 	}
-	byPace := time.Duration(ahead) * pace
-	perSecond := q.served.perSecond(now)
+	byServiceInterval := time.Duration(ahead) * serviceInterval
+	perSecond := q.releases.perSecond(now)
 	if perSecond == 0 {
-		return byPace
+		return byServiceInterval
 	}
-	return min(byPace, time.Duration(float64(ahead)/perSecond*float64(time.Second)))
+	return min(byServiceInterval, time.Duration(float64(ahead)/perSecond*float64(time.Second)))
 }
 
-// leastWeight returns the smallest weight that waits. An empty queue, whose
-// bound is 0, has no smaller one than any.
-func (q *Queue) leastWeight() int {
-	least := math.MaxInt
+// minWeight returns the smallest weight in the queue, or math.MaxInt if the queue is empty,
+// so that a queue with limit 0 admits nothing.
+func (q *Queue) minWeight() int {
+	minimum := math.MaxInt
 	for weight := range q.counts {
-		least = min(least, weight)
+		minimum = min(minimum, weight)
 	}
-	return least
+	return minimum
 }
 
-// least returns the waiting ticket that matters least, or nil. It looks at all of
-// them, which only an arrival that displaces another pays for.
-func (q *Queue) least() *Ticket {
-	var last *Ticket
+// lowestPriority returns the waiting ticket of the lowest priority, or nil if there is none.
+// It scans all tickets, which happens only when an arrival displaces one.
+func (q *Queue) lowestPriority() *Ticket {
+	var lowest *Ticket
 	for _, ticket := range q.tickets {
-		if last == nil || less(last, ticket) {
-			last = ticket
+		if lowest == nil || less(lowest, ticket) {
+			lowest = ticket
 		}
 	}
-	return last
+	return lowest
 }
 
-// less says whether a goes before b.
+// less reports whether a has a higher priority than b.
 func less(a, b *Ticket) bool {
 	if a.Weight != b.Weight {
 		return a.Weight > b.Weight
@@ -335,24 +337,24 @@
 	return last
 }
 
-// rateWindow is the time over which the rate of finished requests is taken.
+// rateWindow is the period over which event rates are measured.
 const rateWindow = time.Second
 
-// rate counts events in the running and the previous window.
+// rate counts events in the current and the previous window.
 type rate struct {
 	start             time.Time
 	current, previous int
 }
 
-func (r *rate) roll(now time.Time) {
+func (r *rate) advance(now time.Time) {
 	if r.start.IsZero() {
 		r.start = now
 	}
-	passed := now.Sub(r.start)
-	if passed < rateWindow {
+	elapsed := now.Sub(r.start)
+	if elapsed < rateWindow {
 		return
 	}
-	if passed < 2*rateWindow {
+	if elapsed < 2*rateWindow {
 		r.previous = r.current
 		r.start = r.start.Add(rateWindow)
 	} else {
@@ -363,14 +365,14 @@
 }
 
 func (r *rate) add(now time.Time) {
-	r.roll(now)
+	r.advance(now)
 	r.current++
 }
 
-// perSecond weighs the previous window by the part of it that is still within
-// the last rateWindow.
+// perSecond returns the events within the last rateWindow. Events of the previous window
+// count in proportion to the part of it that is still within that period.
 func (r *rate) perSecond(now time.Time) float64 {
-	r.roll(now)
-	share := 1 - now.Sub(r.start).Seconds()/rateWindow.Seconds()
-	return float64(r.current) + share*float64(r.previous)
+	r.advance(now)
+	fraction := 1 - now.Sub(r.start).Seconds()/rateWindow.Seconds()
+	return float64(r.current) + fraction*float64(r.previous)
 }
--- a/admission/chance.go
+++ b/admission/chance.go
@@ -6,68 +6,70 @@
 )
 
 const (
-	// leastChance is the chance of a place, in time, below which a request is refused. At
-	// back ends that slow down when full, on days with overload, a fifth brought 0.006 and
-	// a half 0.005 less of the worth (means of 15 days, of which two of the same code differ
-	// by 0.003).
-	leastChance = 0.05
-	// alwaysWaiting is how many requests wait whatever their chance, so that a place that
-	// comes free finds one: with five times as many requests as are served and one that
-	// waits, 0.154 instead of 0.182 are served in time (TestPatterns, overload).
-	alwaysWaiting = 3
+	// minGrantProbability is the probability of a permit in time below which a request is
+	// refused. At back ends that slow down when full, on days with overload, 0.2 and 0.5 served
+	// 0.006 and 0.005 less of the worth (means of 15 days; two such means of the same code
+	// differ by 0.003).
+	minGrantProbability = 0.05
+	// minWaiting is the number of requests that may wait whatever their probability, so that
+	// a released permit always finds one. With five times as many requests as can be served,
+	// a minimum of 1 lowers the fraction served in time from 0.182 to 0.154 (TestPatterns,
+	// overload).
+	minWaiting = 3
 )
 
-// hopeful says whether a request should wait, with so many before it and a place of use
-// to it for so long.
-func (t traffic) hopeful(waiting int, within time.Duration) bool {
+// worthWaiting reports whether a request should wait that has this many others ahead of it
+// and can use a permit for this long.
+func (t contention) worthWaiting(ahead int, within time.Duration) bool {
 	if within <= 0 {
 		return false
 	}
-	return waiting < alwaysWaiting || t.chance(waiting, within) >= leastChance
+	return ahead < minWaiting || t.grantProbability(ahead, within) >= minGrantProbability
 }
 
-// traffic is what a waiting request competes in.
-type traffic struct {
-	served float64 // places that come free, a second
-	ahead  float64 // requests that come and go before it, a second
+// contention describes the competition that a waiting request faces.
+type contention struct {
+	releasesPerSecond  float64 // permits released
+	overtakesPerSecond float64 // arriving requests of a higher priority
 }
 
-// chance returns how likely a request, with so many waiting before it, is to get a place
-// within a time, which is above 0.
+// grantProbability returns the probability that a request with this many others ahead of it
+// gets a permit within a time, which must be positive.
 //
-// Requests that come later may go before it, so that its distance from the next place is
-// a random walk: it shrinks by served − ahead a second on average, with the variance
-// served + ahead of two Poisson streams. The time at which a Brownian motion with that
-// drift and variance first reaches the place has an inverse Gaussian distribution (Cox and
-// Miller, The Theory of Stochastic Processes, 1965, section 5.7). Where more requests come
-// than are served that chance stays below (served / ahead) to the power of the distance,
-// however long the request would wait.
-func (t traffic) chance(waiting int, within time.Duration) float64 {
+// Later requests may overtake it, so that its distance from the next permit is a random
+// walk: it shrinks by releasesPerSecond − overtakesPerSecond on average, with the variance
+// releasesPerSecond + overtakesPerSecond of two Poisson processes. The first passage time of
+// a Brownian motion with that drift and variance has an inverse Gaussian distribution (Cox
+// and Miller, The Theory of Stochastic Processes, 1965, section 5.7). If more requests
+// overtake than permits are released, the probability stays below
+// (releasesPerSecond / overtakesPerSecond) to the power of the distance, however long the
+// request waits.
+func (t contention) grantProbability(ahead int, within time.Duration) float64 {
 	seconds := within.Seconds()
-	variance := t.served + t.ahead
+	variance := t.releasesPerSecond + t.overtakesPerSecond
 	if variance == 0 {
-		return 1 // nothing is known
+		return 1 // no rates are known yet
 	}
-	distance, drift := float64(waiting+1), t.served-t.ahead
-	spread := math.Sqrt(variance) * math.Sqrt(seconds)
-	near := (drift*seconds - distance) / spread
-	return min(normal(near)+reflected(near, (drift*seconds+distance)/spread, 2*drift/variance*distance), 1)
+	distance, drift := float64(ahead+1), t.releasesPerSecond-t.overtakesPerSecond
+	deviation := math.Sqrt(variance) * math.Sqrt(seconds)
+	near := (drift*seconds - distance) / deviation
+	return min(normalCDF(near)+reflectedTerm(near, (drift*seconds+distance)/deviation, 2*drift/variance*distance), 1)
 }
 
-// reflected returns exp(exponent) × normal(−far), where exponent is (far² − near²) / 2, without
-// passing the largest number there is on the way: behind 354 others the exponential did, while the
+// reflectedTerm returns exp(exponent) × normalCDF(−far), where exponent is (far² − near²) / 2.
+// It avoids overflow of the exponential, which occurred with 354 requests ahead while the
 // other factor was 0.
-func reflected(near, far, exponent float64) float64 {
+func reflectedTerm(near, far, exponent float64) float64 {
 	if far < 0 {
-		return math.Exp(exponent) * normal(-far) // then the exponent is below 0
+		return math.Exp(exponent) * normalCDF(-far) // the exponent is negative here
 	}
-	return math.Exp(-near*near/2) * scaledTail(far/math.Sqrt2) / 2
+	return math.Exp(-near*near/2) * erfcx(far/math.Sqrt2) / 2
 }
 
-// scaledTail is exp(x²) × erfc(x) for x from 0 on.
-func scaledTail(x float64) float64 {
-	// From here on the first terms of the asymptotic series are exact to 1e-8, and exp(x²) is
-	// far below the largest number.
+// erfcx returns the scaled complementary error function exp(x²) × erfc(x) for x ≥ 0.
+func erfcx(x float64) float64 {
+	// From here on the first two terms of the asymptotic series are accurate to 1e-8, and exp(x²)
+	// is still far from overflow.
 	const asymptotic = 20
 	if x < asymptotic {
 		return math.Exp(x*x) * math.Erfc(x)
@@ -75,7 +77,7 @@
 	return (1 - 1/(2*x*x)) / (x * math.Sqrt(math.Pi))
 }
 
-// normal is the distribution function of the standard normal distribution.
-func normal(x float64) float64 {
+// normalCDF is the cumulative distribution function of the standard normal distribution.
+func normalCDF(x float64) float64 {
 	return math.Erfc(-x/math.Sqrt2) / 2
 }
--- a/admission/chance_test.go
+++ b/admission/chance_test.go
@@ -12,16 +12,16 @@
 	_ "github.com/tuliphall/tuliphall/internal/testseed"
 )
 
-// walk plays two Poisson streams and says whether a request with so many before it gets
-// a place within a time.
-func walk(random *rand.Rand, competing traffic, waiting int, within time.Duration) bool {
-	distance, left := waiting+1, within.Seconds()
+// simulateWalk simulates the two Poisson processes and reports whether a request with this
+// many others ahead of it gets a permit within a time.
+func simulateWalk(random *rand.Rand, rates contention, ahead int, within time.Duration) bool {
+	distance, remaining := ahead+1, within.Seconds()
 	for {
-		left -= random.ExpFloat64() / (competing.served + competing.ahead)
-		if left < 0 {
+		remaining -= random.ExpFloat64() / (rates.releasesPerSecond + rates.overtakesPerSecond)
+		if remaining < 0 {
 			return false
 		}
-		if random.Float64()*(competing.served+competing.ahead) < competing.served {
+		if random.Float64()*(rates.releasesPerSecond+rates.overtakesPerSecond) < rates.releasesPerSecond {
 			if distance--; distance == 0 {
 				return true
 			}
@@ -31,110 +31,112 @@
 	}
 }
 
-// TestChanceIsThatOfTheStreams compares the formula with plays of what it describes.
-func TestChanceIsThatOfTheStreams(t *testing.T) {
-	const plays = 20_000
+// TestGrantProbabilityMatchesSimulation compares the formula with simulations of the two
+// Poisson processes that it describes.
+func TestGrantProbabilityMatchesSimulation(t *testing.T) {
+	const trials = 20_000
 	random := rand.New(rand.NewPCG(1, 2))
-	for _, one := range []struct {
-		competing traffic
-		waiting   int
-		within    time.Duration
+	for _, test := range []struct {
+		rates  contention
+		ahead  int
+		within time.Duration
 	}{
-		{traffic{served: 200, ahead: 100}, 10, 100 * time.Millisecond},
-		{traffic{served: 200, ahead: 200}, 5, 200 * time.Millisecond},
-		{traffic{served: 200, ahead: 260}, 5, time.Second},
-		{traffic{served: 200, ahead: 260}, 0, 20 * time.Millisecond},
-		{traffic{served: 1000, ahead: 1000}, 30, time.Second},
+		{contention{releasesPerSecond: 200, overtakesPerSecond: 100}, 10, 100 * time.Millisecond},
+		{contention{releasesPerSecond: 200, overtakesPerSecond: 200}, 5, 200 * time.Millisecond},
+		{contention{releasesPerSecond: 200, overtakesPerSecond: 260}, 5, time.Second},
+		{contention{releasesPerSecond: 200, overtakesPerSecond: 260}, 0, 20 * time.Millisecond},
+		{contention{releasesPerSecond: 1000, overtakesPerSecond: 1000}, 30, time.Second},
 	} {
-		got := 0
-		for range plays {
-			if walk(random, one.competing, one.waiting, one.within) {
-				got++
+		granted := 0
+		for range trials {
+			if simulateWalk(random, test.rates, test.ahead, test.within) {
+				granted++
 			}
 		}
-		require.InDelta(t, float64(got)/plays, one.competing.chance(one.waiting, one.within), 0.06, "%+v", one)
+		require.InDelta(t, float64(granted)/trials, test.rates.grantProbability(test.ahead, test.within), 0.06, "%+v", test)
 	}
 }
 
-// TestChanceFallsAndGrows checks the order of chances: less behind more others, less with
-// more that go first, more with more time and more places.
-func TestChanceFallsAndGrows(t *testing.T) {
+// TestGrantProbabilityIsMonotonic checks that the probability is between 0 and 1, does not
+// grow with the number of requests ahead, and does not shrink with the time.
+func TestGrantProbabilityIsMonotonic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		competing := traffic{served: rapid.Float64Range(0.1, 1e5).Draw(t, "served"), ahead: rapid.Float64Range(0, 1e5).Draw(t, "ahead")}
-		waiting := rapid.IntRange(0, 2000).Draw(t, "waiting")
+		rates := contention{releasesPerSecond: rapid.Float64Range(0.1, 1e5).Draw(t, "served"), overtakesPerSecond: rapid.Float64Range(0, 1e5).Draw(t, "ahead")}
+		ahead := rapid.IntRange(0, 2000).Draw(t, "waiting")
 		within := time.Duration(rapid.Int64Range(1, int64(time.Minute)).Draw(t, "within"))
-		chance := competing.chance(waiting, within)
-		if math.IsNaN(chance) || chance < 0 || chance > 1 {
-			t.Fatalf("chance %g", chance)
+		probability := rates.grantProbability(ahead, within)
+		if math.IsNaN(probability) || probability < 0 || probability > 1 {
+			t.Fatalf("chance %g", probability)
 		}
 		const tolerance = 1e-6
-		if more := competing.chance(waiting+1, within); more > chance+tolerance {
-			t.Fatalf("%g behind one more, %g before", more, chance)
+		if behindOneMore := rates.grantProbability(ahead+1, within); behindOneMore > probability+tolerance {
+			t.Fatalf("%g behind one more, %g before", behindOneMore, probability)
 		}
-		if longer := competing.chance(waiting, 2*within); longer < chance-tolerance {
-			t.Fatalf("%g in twice the time, %g before", longer, chance)
+		if withTwiceTheTime := rates.grantProbability(ahead, 2*within); withTwiceTheTime < probability-tolerance {
+			t.Fatalf("%g in twice the time, %g before", withTwiceTheTime, probability)
 		}
 	})
 }
 
-// A request with 400 before it and a tenth of a second left, where one place a second comes free, was
-// said to be certain of one: an exponential passed the largest number there is, its factor was 0, and
-// what is not a number was read as certainty. It waited until its time was over, where it should
-// have been refused at once. A random test met it in one of some hundred runs: "0 behind 353, 1 behind
-// 354".
-func TestChanceFarFromAPlace(t *testing.T) {
-	slow := traffic{served: 1, ahead: 0.000244}
-	for _, waiting := range []int{200, 353, 354, 400, 2000, 1_000_000} {
-		require.Less(t, slow.chance(waiting, 100*time.Millisecond), 1e-9, "behind %d", waiting)
-		require.False(t, slow.hopeful(waiting, 100*time.Millisecond), "behind %d", waiting)
+// TestGrantProbabilityFarFromGrant guards against a probability of 1 where there is hardly
+// any chance. With 400 requests ahead, 0.1 s left and one release per second, an exponential
+// overflowed, its factor was 0, and the NaN was taken for certainty, so that the request
+// waited until it expired instead of being refused at once. A randomized test found it once
+// in some hundred runs: 0 behind 353, 1 behind 354.
+func TestGrantProbabilityFarFromGrant(t *testing.T) {
+	slow := contention{releasesPerSecond: 1, overtakesPerSecond: 0.000244}
+	for _, ahead := range []int{200, 353, 354, 400, 2000, 1_000_000} {
+		require.Less(t, slow.grantProbability(ahead, 100*time.Millisecond), 1e-9, "behind %d", ahead)
+		require.False(t, slow.worthWaiting(ahead, 100*time.Millisecond), "behind %d", ahead)
 	}
-	for _, one := range []struct {
-		competing traffic
-		waiting   int
-		within    time.Duration
-		want      float64
+	for _, test := range []struct {
+		rates  contention
+		ahead  int
+		within time.Duration
+		want   float64
 	}{
-		{traffic{served: 1e5, ahead: 0}, 0, time.Minute, 1},
-		{traffic{served: 1e5, ahead: 0}, 2000, time.Minute, 1},
-		{traffic{served: 1e9, ahead: 1}, 3, time.Hour, 1},
-		{traffic{served: 1e5, ahead: 1e5}, 2000, time.Hour, 0.9405},
-		{traffic{served: 1e-300, ahead: 0}, 0, time.Nanosecond, 0},
-		{traffic{served: 1e-300, ahead: 1e300}, 1, time.Hour, 0.018},
-		{traffic{served: 1e300, ahead: 1e-300}, 1, time.Hour, 1},
+		{contention{releasesPerSecond: 1e5, overtakesPerSecond: 0}, 0, time.Minute, 1},
+		{contention{releasesPerSecond: 1e5, overtakesPerSecond: 0}, 2000, time.Minute, 1},
+		{contention{releasesPerSecond: 1e9, overtakesPerSecond: 1}, 3, time.Hour, 1},
+		{contention{releasesPerSecond: 1e5, overtakesPerSecond: 1e5}, 2000, time.Hour, 0.9405},
+		{contention{releasesPerSecond: 1e-300, overtakesPerSecond: 0}, 0, time.Nanosecond, 0},
+		{contention{releasesPerSecond: 1e-300, overtakesPerSecond: 1e300}, 1, time.Hour, 0.018},
+		{contention{releasesPerSecond: 1e300, overtakesPerSecond: 1e-300}, 1, time.Hour, 1},
 	} {
-		require.InDelta(t, one.want, one.competing.chance(one.waiting, one.within), 0.01, "%+v", one)
+		require.InDelta(t, test.want, test.rates.grantProbability(test.ahead, test.within), 0.01, "%+v", test)
 	}
 }
 
-// TestHopelessAreTakenOut fills a queue while far more requests come than are served: who
-// is not likely to be reached any more is taken out, the rest stays.
-func TestHopelessAreTakenOut(t *testing.T) {
+// TestShedRemovesUnlikelyTickets fills a queue while arrivals far exceed releases. Shed must
+// remove the tickets that are unlikely to get a permit, and keep the rest.
+func TestShedRemovesUnlikelyTickets(t *testing.T) {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	queue := NewQueue(1000)
-	for number := range 400 {
-		now := start.Add(time.Duration(number) * 2500 * time.Microsecond)
+	for i := range 400 {
+		now := start.Add(time.Duration(i) * 2500 * time.Microsecond)
 		queue.RecordArrival(now, 1)
-		if number%4 == 0 {
+		if i%4 == 0 {
 			queue.RecordRelease(now)
 		}
 	}
 	now := start.Add(time.Second - time.Millisecond)
-	for number := range 20 {
-		ticket := &Ticket{Weight: 1, Deadline: now.Add(time.Second), FirstTry: now.Add(time.Duration(number) * time.Microsecond)}
+	for i := range 20 {
+		ticket := &Ticket{Weight: 1, Deadline: now.Add(time.Second), FirstTry: now.Add(time.Duration(i) * time.Microsecond)}
 		verdict, _ := queue.Offer(now, ticket, 0)
-		require.Equal(t, Queued, verdict, "each goes before those that came earlier")
+		require.Equal(t, Queued, verdict, "later first tries have a higher priority")
 	}
-	hopeless := queue.Shed(now, 0)
-	require.NotEmpty(t, hopeless)
-	require.Less(t, queue.Len(), 5, "with four times as many as are served, a third in line has a chance of 1 in 64")
+	shed := queue.Shed(now, 0)
+	require.NotEmpty(t, shed)
+	require.Less(t, queue.Len(), 5, "with four arrivals per release, the third in line gets a permit with a probability of 1/64")
 	require.Greater(t, queue.Len(), 0)
-	for _, gone := range hopeless {
-		require.False(t, queue.Remove(gone))
+	for _, ticket := range shed {
+		require.False(t, queue.Remove(ticket))
 	}
 }
 
-// TestHopefulStay lets a queue be that empties faster than it fills.
-func TestHopefulStay(t *testing.T) {
+// TestShedKeepsLikelyTickets checks that Shed removes nothing from a queue that drains faster
+// than it fills.
+func TestShedKeepsLikelyTickets(t *testing.T) {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	queue := NewQueue(1000)
 	for range 100 {
@@ -145,5 +147,5 @@
 	}
 	require.Empty(t, queue.Shed(start, time.Millisecond))
 	queue.Shed(start.Add(990*time.Millisecond), time.Millisecond)
-	require.InDelta(t, 15, queue.Len(), 4, "10 ms reach 10 of them, and with 1 chance in 20 half as many more")
+	require.InDelta(t, 15, queue.Len(), 4, "10 permits are expected in 10 ms; the threshold of 0.05 keeps about half as many more")
 }
--- a/admission/saturation.go
+++ b/admission/saturation.go
@@ -2,44 +2,44 @@
 
 import "time"
 
-// saturationGap is for how long nothing may wait before a saturation is over: under
+// saturationGap is how long the queue must be empty for a saturation period to end: under
 // overload a short queue is empty now and then.
 const saturationGap = 100 * time.Millisecond
 
-// saturation is a time in which requests waited almost always, so that as many places
-// came free as the back ends can serve. The zero value is none.
-type saturation struct {
-	since, last time.Time
-	served      int
+// saturationPeriod is a period in which requests waited almost all the time, so that the
+// rate of released permits is the capacity of the back ends. The zero value is no period.
+type saturationPeriod struct {
+	start, lastWaiting time.Time
+	releases           int
 }
 
-// waiting notes that requests wait.
-func (s *saturation) waiting(now time.Time) {
-	if s.over(now) {
-		s.since, s.served = now, 0
+// recordWaiting records that requests wait at the given time.
+func (s *saturationPeriod) recordWaiting(now time.Time) {
+	if s.ended(now) {
+		s.start, s.releases = now, 0
 	}
-	s.last = now
+	s.lastWaiting = now
 }
 
-// place notes that a place came free.
-func (s *saturation) place(now time.Time) {
-	if !s.over(now) {
-		s.served++
+// recordRelease counts the release of a permit.
+func (s *saturationPeriod) recordRelease(now time.Time) {
+	if !s.ended(now) {
+		s.releases++
 	}
 }
 
-func (s *saturation) over(now time.Time) bool {
-	return now.Sub(s.last) > saturationGap
+func (s *saturationPeriod) ended(now time.Time) bool {
+	return now.Sub(s.lastWaiting) > saturationGap
 }
 
-// perSecond returns how many places have come free a second since the saturation began,
-// and which part of rateWindow that has lasted, 1 at the most. Until the first one comes
-// free nothing is known: a single long request may hold all places that a back end which
-// has just started is given, and soon it is given more.
-func (s *saturation) perSecond(now time.Time) (rate, part float64) {
-	lasted := now.Sub(s.since).Seconds()
-	if s.over(now) || lasted <= 0 || s.served == 0 {
+// perSecond returns the permits released per second since the period began, and the length
+// of the period as a fraction of rateWindow, at most 1. It returns 0, 0 until the first
+// release: a single long request may hold all permits of a back end that has just started
+// and that soon gets more.
+func (s *saturationPeriod) perSecond(now time.Time) (rate, fraction float64) {
+	elapsed := now.Sub(s.start).Seconds()
+	if s.ended(now) || elapsed <= 0 || s.releases == 0 {
 		return 0, 0
 	}
-	return float64(s.served) / lasted, min(lasted/rateWindow.Seconds(), 1)
+	return float64(s.releases) / elapsed, min(elapsed/rateWindow.Seconds(), 1)
 }
--- a/wait/wait.go
+++ b/wait/wait.go
@@ -1,5 +1,5 @@
-// Package wait holds the one way in which goroutines sleep: until a time has
-// passed or their context ends.
+// Package wait provides the sleep that goroutines use: until a time has passed or their context
+// ends.
 package wait
 
 import (
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// Sleep blocks for the given time, or until ctx ends, and says whether the whole
-// time passed. A time that is not above 0 has passed.
-func Sleep(ctx context.Context, length time.Duration) bool {
-	if length <= 0 {
+// Sleep blocks for the given duration or until ctx ends, and reports whether the whole duration
+// passed. A duration of 0 or less has passed unless ctx has ended.
+func Sleep(ctx context.Context, duration time.Duration) bool {
+	if duration <= 0 {
 		return ctx.Err() == nil
 	}
-	timer := time.NewTimer(length)
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
