--- a/dispatch/comeback.go
+++ b/dispatch/comeback.go
@@ -3,45 +3,46 @@
 import "time"
 
 const (
-	// leastComeBack is the least advice given: a caller that comes back at once meets the
-	// same load.
-	leastComeBack = 100 * time.Millisecond
-	// leastPause is the least advice where places are free: about what a new connection
-	// and the question for a place take.
-	leastPause = 10 * time.Millisecond
-	// maxComeBack bounds the advice for callers that have waited for long: it is many times
-	// what a burst lasts.
-	maxComeBack = 10 * time.Second
+	// minRetryAfter is the minimum Retry-After while permits are scarce: an immediate retry
+	// would meet the same load.
+	minRetryAfter = 100 * time.Millisecond
+	// minRefusalRetryAfter is the minimum Retry-After after a refusal by a back end while
+	// permits are free: about the time to open a connection and acquire a permit.
+	minRefusalRetryAfter = 10 * time.Millisecond
+	// maxRetryAfter bounds the Retry-After for callers that have waited for long. It is many
+	// times the length of a burst.
+	maxRetryAfter = 10 * time.Second
 )
 
-// retryAfter is after how long a caller is told to come back that is refused for want of a
-// place: when the requests that wait now should have been served, and no sooner than
-// after as long as it has waited since its first try. Callers come back the later the
-// longer places are short, and not all at once, as they came at different times.
-func (c *Core) retryAfter(now time.Time, request Request, pace time.Duration) time.Duration {
-	wait := max(c.Queue.EstimateWait(now, request.Weight, pace), comeBack(now, request))
+// retryAfter returns the Retry-After for a request that is refused a permit: until the
+// requests that wait now should have been served, but at least as long as the caller has
+// waited since its first try. Retries are thus spaced further apart the longer permits are
+// scarce, and are spread out because the callers arrived at different times.
+func (c *Core) retryAfter(now time.Time, request Request, serviceInterval time.Duration) time.Duration {
+	wait := max(c.Queue.EstimateWait(now, request.Weight, serviceInterval), ageRetryAfter(now, request))
 	if until, all := c.Group.AllExcluded(now, request.Routing); all && !until.IsZero() {
-		return max(wait, min(until.Sub(now), maxComeBack))
+		return max(wait, min(until.Sub(now), maxRetryAfter))
 	}
-	if at, bound := c.Group.SessionBlockedUntil(now, request.Routing); bound {
-		return max(wait, min(at.Sub(now), maxComeBack))
+	if blockedUntil, bound := c.Group.SessionBlockedUntil(now, request.Routing); bound {
+		return max(wait, min(blockedUntil.Sub(now), maxRetryAfter))
 	}
 	return wait
 }
 
-// RetryAfterRefusal is after how long a caller is told to come back whose request a back
-// end refused, at a place that it had waited for: after as long, as it would for another
-// one. A back end that refuses requests while places are free does so at random, or is left
-// out soon: with back ends that refuse half of all requests 0.943 instead of 0.916 of the
-// callers are served in time, compared with 100 ms (TestPatterns, shed).
+// RetryAfterRefusal returns the Retry-After for a request that a back end refused after it
+// had waited this long for its permit: the same time, as it would wait that long for another
+// permit. A back end that refuses requests while permits are free refuses at random or is
+// ejected soon. With back ends that refuse half of all requests, this serves 0.943 of the
+// callers in time, compared with 0.916 for a constant 100 ms (TestPatterns, shed).
 func RetryAfterRefusal(waited time.Duration) time.Duration {
-	return min(max(waited, leastPause), maxComeBack)
+	return min(max(waited, minRefusalRetryAfter), maxRetryAfter)
 }
 
-// comeBack is the advice where the queue tells nothing better.
-func comeBack(now time.Time, request Request) time.Duration {
+// ageRetryAfter returns the Retry-After where the state of the queue adds nothing: the time
+// since the first try, within bounds.
+func ageRetryAfter(now time.Time, request Request) time.Duration {
 	if request.FirstTry.IsZero() {
-		return leastComeBack
+		return minRetryAfter
 	}
-	return min(max(leastComeBack, now.Sub(request.FirstTry)), maxComeBack)
+	return min(max(minRetryAfter, now.Sub(request.FirstTry)), maxRetryAfter)
 }
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -1,10 +1,10 @@
-// Package dispatch gives each request of one service a place at a back end, or
-// lets it wait for one, or refuses it.
+// Package dispatch grants each request of one service a permit for a back end, queues it
+// until one is free, or refuses it.
 //
-// Core joins the pure decisions of packages routing and admission. Dispatcher is
-// what the request path calls: its state is guarded by one mutex, held for a few
-// hundred nanoseconds a decision; docs/decisions/0005-request-path.md weighs that
-// against a goroutine that owns the state behind a queue.
+// Core combines the pure decisions of packages routing and admission. Dispatcher is its
+// concurrent wrapper for the request path. One mutex guards the state and is held for a few
+// hundred nanoseconds per decision; docs/decisions/0005-request-path.md compares that with a
+// goroutine that owns the state behind a queue.
 package dispatch
 
 import (
@@ -19,249 +19,252 @@
 	"github.com/tuliphall/tuliphall/routing"
 )
 
-// Dispatcher serves one service. It is safe for concurrent use.
+// Dispatcher dispatches the requests of one service. It is safe for concurrent use.
 type Dispatcher struct {
-	onEjection func(backend string, ejected bool)
-	onLearned  func(slots, before, after int)
+	onEjection        func(backend string, ejected bool)
+	onConcurrencyHint func(slots, before, after int)
 
 	mutex sync.Mutex
 	core  Core
-	// standby is what a daemon keeps of the back ends that gives out no places.
+	// standby replaces the state of the back ends while this daemon grants no permits.
 	standby standby
-	// rechecking says that recheck is due, as it is while requests wait.
-	rechecking bool
+	// recheckScheduled: a timer for recheck is running, as is the case while requests wait.
+	recheckScheduled bool
 }
 
 // New returns a dispatcher without back ends.
 func New(random *rand.Rand, queueLimit int) *Dispatcher {
 	return &Dispatcher{
-		core:       Core{Group: newGroup(random), Queue: admission.NewQueue(queueLimit)},
-		standby:    standby{random: random},
-		onEjection: func(string, bool) {},
-		onLearned:  func(int, int, int) {},
+		core:              Core{Group: newGroup(random), Queue: admission.NewQueue(queueLimit)},
+		standby:           standby{random: random},
+		onEjection:        func(string, bool) {},
+		onConcurrencyHint: func(int, int, int) {},
 	}
 }
 
-// OnEjection sets what is told when a back end is left out for failing, and when it
-// is let back in. It must be called before the first request; told must not block.
-func (d *Dispatcher) OnEjection(told func(backend string, ejected bool)) {
-	d.onEjection = told
+// OnEjection sets the callback for the ejection and the reinstatement of a back end. It must
+// be called before the first request; the callback must not block.
+func (d *Dispatcher) OnEjection(callback func(backend string, ejected bool)) {
+	d.onEjection = callback
 }
 
-// OnConcurrencyHint sets what is told when the number of requests in flight that back ends with
-// so many slots do best with is found to be another one. It must be called before the
-// first request; told must not block.
-func (d *Dispatcher) OnConcurrencyHint(told func(slots, before, after int)) {
-	d.onLearned = told
+// OnConcurrencyHint sets the callback for a change of the concurrency hint of the back ends
+// with a number of slots. It must be called before the first request; the callback must not
+// block.
+func (d *Dispatcher) OnConcurrencyHint(callback func(slots, before, after int)) {
+	d.onConcurrencyHint = callback
 }
 
-// changeHealth is change for what may eject a back end or let it back in.
+// changeHealth is like change, and calls the callbacks if apply ejects or reinstates the back
+// end or changes its concurrency hint.
 func (d *Dispatcher) changeHealth(state *routing.BackendState, apply func(now time.Time)) {
-	var before, after bool
-	var bestBefore, bestAfter int
+	var ejectedBefore, ejectedAfter bool
+	var hintBefore, hintAfter int
 	d.change(func() {
 		now := time.Now()
-		before, bestBefore = state.Ejected(now), d.core.Group.BestInFlight(state.ID)
+		ejectedBefore, hintBefore = state.Ejected(now), d.core.Group.BestInFlight(state.ID)
 		apply(now)
-		after, bestAfter = state.Ejected(now), d.core.Group.BestInFlight(state.ID)
+		ejectedAfter, hintAfter = state.Ejected(now), d.core.Group.BestInFlight(state.ID)
 	})
-	if before != after {
-		d.onEjection(state.ID, after)
+	if ejectedBefore != ejectedAfter {
+		d.onEjection(state.ID, ejectedAfter)
 	}
-	if bestBefore != bestAfter {
-		d.onLearned(state.Slots, bestBefore, bestAfter)
+	if hintBefore != hintAfter {
+		d.onConcurrencyHint(state.Slots, hintBefore, hintAfter)
 	}
 }
 
-// SetRollout takes in the record of the service's rollout; nil: there is none. holds: versions that
-// were not seen before get nothing for a moment.
-func (d *Dispatcher) SetRollout(order *config.Rollout, holds bool) {
-	d.change(func() { d.core.SetRollout(time.Now(), order, holds) })
+// SetRollout sets the record of the service's rollout; nil: there is none. If holdNewVersions
+// is set, versions that have not been seen before get no requests for a moment.
+func (d *Dispatcher) SetRollout(record *config.Rollout, holdNewVersions bool) {
+	d.change(func() { d.core.SetRollout(time.Now(), record, holdNewVersions) })
 }
 
-// StepRollout lets the service's rollout go on if it is time to, and returns how far it is. It must
-// be called by the daemon that dispatches the service only.
-func (d *Dispatcher) StepRollout() (order config.Rollout) {
+// StepRollout advances the service's rollout if that is due, and returns its record. Only the
+// daemon that dispatches the service may call it.
+func (d *Dispatcher) StepRollout() (record config.Rollout) {
 	d.change(func() {
-		d.build(time.Now())
-		order = d.core.StepRollout(time.Now())
+		d.leaveStandby(time.Now())
+		record = d.core.StepRollout(time.Now())
 	})
-	return order
+	return record
 }
 
-// ProbeTarget returns the back end that a probe would tell most about, and false
-// when none is worth one.
+// ProbeTarget returns the back end whose health probe would yield the most information, and
+// false if none is worth probing.
 func (d *Dispatcher) ProbeTarget(silence time.Duration) (string, bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.build(time.Now())
+	d.leaveStandby(time.Now())
 	return d.core.Group.HealthProbeTarget(time.Now(), silence)
 }
 
-// RecordHealthProbeStart notes that a back end is being probed.
+// RecordHealthProbeStart records that a health probe of a back end has been started.
 func (d *Dispatcher) RecordHealthProbeStart(id string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.core.Group.RecordHealthProbeStart(time.Now(), id)
 }
 
-// StaleTarget returns a back end that a probe should bring a fresher report of, and
-// false when there is none; see routing.Group. Refreshed or Unprobed is called next.
+// StaleTarget returns a back end whose load report should be refreshed by a load probe, and
+// false if there is none; see routing.Group. The caller must then call RecordLoadProbe or
+// RecordLoadProbeFailure.
 func (d *Dispatcher) StaleTarget(freshness, interval time.Duration) (string, bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.build(time.Now())
+	d.leaveStandby(time.Now())
 	return d.core.Group.LoadProbeTarget(time.Now(), freshness, interval)
 }
 
-// RecordLoadProbe takes in the report that a probe brought.
+// RecordLoadProbe records the load report that a load probe returned, and notifies the
+// requests that turn out to have met a disturbed back end.
 func (d *Dispatcher) RecordLoadProbe(id string, report routing.Report) {
-	var met []func()
+	var callbacks []func()
 	d.change(func() {
-		for _, place := range d.core.RecordLoadProbe(time.Now(), id, report) {
-			place.disturbed = true
-			if place.told != nil {
-				met = append(met, place.told)
+		for _, permit := range d.core.RecordLoadProbe(time.Now(), id, report) {
+			permit.disturbed = true
+			if permit.onDisturbed != nil {
+				callbacks = append(callbacks, permit.onDisturbed)
 			}
 		}
 	})
-	for _, tell := range met {
-		tell()
+	for _, callback := range callbacks {
+		callback()
 	}
 }
 
-// RecordLoadProbeFailure notes that a probe told nothing.
+// RecordLoadProbeFailure records that a load probe returned no report.
 func (d *Dispatcher) RecordLoadProbeFailure(id string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.core.Group.RecordLoadProbeFailure(id)
 }
 
-// RecordHealthProbe takes in the outcome of a probe; report is nil where the back end did
+// RecordHealthProbe records the result of a health probe. report is nil if the back end did
 // not report its load.
-func (d *Dispatcher) RecordHealthProbe(id string, well bool, report *routing.Report) {
+func (d *Dispatcher) RecordHealthProbe(id string, healthy bool, report *routing.Report) {
 	d.mutex.Lock()
 	state := d.core.Group.State(id)
 	d.mutex.Unlock()
 	if state != nil {
-		d.changeHealth(state, func(now time.Time) { d.core.Group.RecordHealthProbe(now, id, well, report) })
+		d.changeHealth(state, func(now time.Time) { d.core.Group.RecordHealthProbe(now, id, healthy, report) })
 	}
 }
 
-// change runs a change under the mutex and gives out places it may have freed.
+// change applies a change under the mutex and grants the permits that it may have freed.
 func (d *Dispatcher) change(apply func()) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	apply()
-	d.serve(time.Now())
+	d.grantWaiting(time.Now())
 }
 
-// Grant is a place at a back end. Its owner calls Done exactly once.
+// Grant is a permit that has been granted. Its owner must call Done exactly once.
 type Grant struct {
 	*Permit
 	dispatcher *Dispatcher
 }
 
-// OnDisturbed sets what is called, once at the most, when it is known that the request met a
-// disturbed back end. It must not block.
-func (g *Grant) OnDisturbed(told func()) {
+// OnDisturbed sets a callback that is called at most once, when it becomes known that the
+// request met a disturbed back end. The callback must not block.
+func (g *Grant) OnDisturbed(callback func()) {
 	d := g.dispatcher
 	d.mutex.Lock()
-	g.told = told
+	g.onDisturbed = callback
 	disturbed := g.disturbed
 	d.mutex.Unlock()
 	if disturbed {
-		told()
+		callback()
 	}
 }
 
-// Waited returns how long the request waited for its place.
+// Waited returns how long the request waited for its permit.
 func (g *Grant) Waited() time.Duration {
 	return g.GrantedAt.Sub(g.ArrivedAt)
 }
 
-// answer is what a waiting request is told: a grant, or a refusal.
-type answer struct {
+// acquireResult is the outcome for a waiting request: a grant or a refusal.
+type acquireResult struct {
 	grant   *Grant
-	refused *resultcode.Failure
+	refusal *resultcode.Failure
 }
 
-// answers has room for one, so that the sender never blocks.
-type answers chan answer
+// resultChan has a buffer of one, so that the sender never blocks.
+type resultChan chan acquireResult
 
-// Acquire returns a place for the request. It blocks while the request waits.
-// The error is a *resultcode.Failure that says "not run".
+// Acquire returns a permit for the request. It blocks while the request waits. The error is a
+// *resultcode.Failure that says that the request has not run.
 func (d *Dispatcher) Acquire(ctx context.Context, request Request) (*Grant, error) {
-	told := make(answers, 1)
-	decision, refused := d.offer(request, told)
-	if refused != nil {
-		return nil, refused
+	results := make(resultChan, 1)
+	decision, refusal := d.offer(request, results)
+	if refusal != nil {
+		return nil, refusal
 	}
 	if decision.Place != nil {
 		return &Grant{Permit: decision.Place, dispatcher: d}, nil
 	}
-	return d.await(ctx, request, decision.Ticket, told)
+	return d.await(ctx, request, decision.Ticket, results)
 }
 
-func (d *Dispatcher) offer(request Request, told answers) (Decision, *resultcode.Failure) {
+func (d *Dispatcher) offer(request Request, results resultChan) (Decision, *resultcode.Failure) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := time.Now()
-	d.build(now)
-	decision := d.core.Offer(now, request, told)
+	d.leaveStandby(now)
+	decision := d.core.Offer(now, request, results)
 	if decision.Displaced != nil {
-		decision.Displaced.(answers) <- answer{refused: d.core.Refusal(now, request, resultcode.QueueFull)}
+		decision.Displaced.(resultChan) <- acquireResult{refusal: d.core.Refusal(now, request, resultcode.QueueFull)}
 	}
 	if decision.Refused != 0 {
 		return Decision{}, d.core.Refusal(now, request, decision.Refused)
 	}
 	if decision.Ticket != nil {
-		d.recheckSoon()
+		d.scheduleRecheck()
 	}
 	return decision, nil
 }
 
-// recheckInterval is how often it is looked, while requests wait, whether time alone
-// has brought a place: a back end may be held back for a moment only.
+// recheckInterval is how often waiting requests are rechecked for permits that become
+// available by the passage of time alone, as when a back end was held back for a moment.
 const recheckInterval = 20 * time.Millisecond
 
-// recheckSoon lets recheck run after an interval, unless it does anyway. It is one timer
-// for all that wait: with one for each, 500 waiting requests had a place looked for 25,000
-// times a second (TestManyWaitAtLittleCost). The caller holds the mutex.
-func (d *Dispatcher) recheckSoon() {
-	if d.rechecking {
+// scheduleRecheck schedules recheck unless it is scheduled already. All waiting requests share
+// one timer: with one timer each, 500 waiting requests caused 25,000 searches for a permit per
+// second (TestManyWaitAtLittleCost). The caller must hold the mutex.
+func (d *Dispatcher) scheduleRecheck() {
+	if d.recheckScheduled {
 		return
 	}
-	d.rechecking = true
+	d.recheckScheduled = true
 	time.AfterFunc(recheckInterval, d.recheck)
 }
 
-// recheck gives out the places that time alone has brought and refuses whom it has left
-// without hope, for as long as requests wait.
+// recheck grants permits that have become available by the passage of time, sheds requests
+// that are no longer likely to get one, and reschedules itself while requests wait.
 func (d *Dispatcher) recheck() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.rechecking = false
+	d.recheckScheduled = false
 	now := time.Now()
-	d.serve(now)
-	for _, one := range d.core.Shed(now) {
-		one.Payload.(answers) <- answer{refused: d.core.Refusal(now, one.Request, resultcode.DeadlineTooShort)}
+	d.grantWaiting(now)
+	for _, shed := range d.core.Shed(now) {
+		shed.Payload.(resultChan) <- acquireResult{refusal: d.core.Refusal(now, shed.Request, resultcode.DeadlineTooShort)}
 	}
 	if d.core.Queue.Len() > 0 {
-		d.recheckSoon()
+		d.scheduleRecheck()
 	}
 }
 
-// await blocks until the ticket is granted, refused, or given up.
-func (d *Dispatcher) await(ctx context.Context, request Request, ticket *admission.Ticket, told answers) (*Grant, error) {
-	begun := time.Now()
-	timer := time.NewTimer(ticket.Expiry.Sub(begun))
+// await blocks until the ticket is granted or refused, its wait expires, or ctx ends.
+func (d *Dispatcher) await(ctx context.Context, request Request, ticket *admission.Ticket, results resultChan) (*Grant, error) {
+	start := time.Now()
+	timer := time.NewTimer(ticket.Expiry.Sub(start))
 	defer timer.Stop()
 	code := resultcode.WaitExpired
 	for waiting := true; waiting; {
 		select {
-		case got := <-told:
-			return got.unpack()
+		case result := <-results:
+			return result.unpack()
 		case <-timer.C:
 			waiting = false
 		case <-ctx.Done():
@@ -275,33 +278,33 @@
 	removed := d.core.Queue.Remove(ticket)
 	d.mutex.Unlock()
 	if !removed {
-		// The answer was given in the same moment; it counts.
-		return (<-told).unpack()
+		// The result was sent concurrently and takes precedence.
+		return (<-results).unpack()
 	}
-	return nil, &resultcode.Failure{Code: code, Detail: "waited " + time.Since(begun).Round(time.Millisecond).String(), RetryAfter: comeBack(time.Now(), request)}
+	return nil, &resultcode.Failure{Code: code, Detail: "waited " + time.Since(start).Round(time.Millisecond).String(), RetryAfter: ageRetryAfter(time.Now(), request)}
 }
 
-func (a answer) unpack() (*Grant, error) {
-	if a.refused != nil {
-		return nil, a.refused
+func (r acquireResult) unpack() (*Grant, error) {
+	if r.refusal != nil {
+		return nil, r.refusal
 	}
-	return a.grant, nil
+	return r.grant, nil
 }
 
-// serve gives places to waiting requests while there are any. The caller holds
+// grantWaiting grants permits to waiting requests while any are free. The caller must hold
 // the mutex.
-func (d *Dispatcher) serve(now time.Time) {
+func (d *Dispatcher) grantWaiting(now time.Time) {
 	for {
-		place, payload := d.core.Next(now)
-		if place == nil {
+		permit, payload := d.core.Next(now)
+		if permit == nil {
 			return
 		}
-		payload.(answers) <- answer{grant: &Grant{Permit: place, dispatcher: d}}
+		payload.(resultChan) <- acquireResult{grant: &Grant{Permit: permit, dispatcher: d}}
 	}
 }
 
-// Done gives the place back. latency counts only for a success; report is what the back
-// end told of its load, nil where it told nothing.
+// Done releases the permit. latency is used only for a success; report is the back end's load
+// report, nil if it sent none.
 func (g *Grant) Done(outcome routing.Outcome, latency time.Duration, report *routing.Report) {
 	d := g.dispatcher
 	d.changeHealth(g.Backend, func(now time.Time) {
@@ -312,49 +315,50 @@
 	})
 }
 
-// BackendStatus is what operators see of a back end.
+// BackendStatus is the state of a back end as shown to operators.
 type BackendStatus struct {
 	ID       string `json:"id"`
 	Zone     string `json:"zone"`
 	Slots    int    `json:"slots"`
 	InFlight int    `json:"in_flight"`
-	// BestInFlight is with how many it does best, as learned; 0: nothing bounds it.
+	// BestInFlight is the learned concurrency hint; 0: no bound is known.
 	BestInFlight int     `json:"best_in_flight"`
 	PeerInFlight float64 `json:"others"`
 	Draining     bool    `json:"draining"`
-	Evacuated    bool    `json:"evacuated"` // its zone is, which is why it is draining
+	Evacuated    bool    `json:"evacuated"` // its zone is evacuated, which is why it is draining
 	Cold         bool    `json:"cold"`
-	// Limit is what it says of how many requests it takes; absent: it takes any number.
+	// Limit is the back end's advertised request limit; absent: it has none.
 	Limit   *routing.LimitStatus `json:"limit,omitempty"`
 	Ejected bool                 `json:"ejected"`
-	// Leaving says from which source it is known to be leaving; absent: from none but a declaration.
+	// Leaving describes the signal that the back end is leaving; absent: there is none apart
+	// from a declaration in the configuration.
 	Leaving *LeavingStatus `json:"leaving,omitempty"`
-	// PauseLeft is for how long it wants nothing from the asked daemon.
+	// PauseLeft is how much longer the back end asks this daemon to send it nothing.
 	PauseLeft time.Duration `json:"pause_left_ns,omitempty"`
 	Latency   time.Duration `json:"latency_ns"`
 }
 
-// LeavingStatus is what the asked daemon knows of a back end that is leaving.
+// LeavingStatus describes how this daemon knows that a back end is leaving.
 type LeavingStatus struct {
 	Source         string        `json:"source"`
-	ReportedByPeer bool          `json:"told"` // by another daemon
+	ReportedByPeer bool          `json:"told"` // the signal came from another daemon
 	Since          time.Duration `json:"since_ns"`
 }
 
-// ScanCount returns how often all back ends were looked at for a request, which is most of
-// what dispatching costs.
+// ScanCount returns how often all back ends were scanned for a request, which is most of the
+// cost of dispatching.
 func (d *Dispatcher) ScanCount() int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.core.Group.ScanCount()
 }
 
-// Status returns the back ends' states and the number of waiting requests.
+// Status returns the states of the back ends and the number of waiting requests.
 func (d *Dispatcher) Status() (backends []BackendStatus, waiting int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := time.Now()
-	group := d.shown(now)
+	group := d.statusGroup(now)
 	for _, state := range group.States() {
 		backends = append(backends, BackendStatus{
 			ID: state.ID, Zone: state.Zone, Slots: state.Slots, InFlight: state.InFlight, BestInFlight: group.BestInFlight(state.ID),
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -23,20 +23,20 @@
 
 func backends(count int) []routing.Backend {
 	list := make([]routing.Backend, 0, count)
-	for number := range count {
-		list = append(list, routing.Backend{ID: fmt.Sprintf("b%d", number), Slots: 3})
+	for i := range count {
+		list = append(list, routing.Backend{ID: fmt.Sprintf("b%d", i), Slots: 3})
 	}
 	return list
 }
 
-// declared is what a dispatcher is configured with.
-func declared(list ...routing.Backend) func(time.Time) []routing.Backend {
+// fixedBackends returns a function that declares the given back ends.
+func fixedBackends(list ...routing.Backend) func(time.Time) []routing.Backend {
 	return func(time.Time) []routing.Backend { return list }
 }
 
 func newDispatcher(count, queue int) *dispatch.Dispatcher {
 	d := dispatch.New(rand.New(rand.NewPCG(1, 1)), queue)
-	d.Configure(declared(backends(count)...), queue)
+	d.Configure(fixedBackends(backends(count)...), queue)
 	return d
 }
 
@@ -44,32 +44,32 @@
 	return dispatch.Request{Weight: weight, Wait: wait, Deadline: time.Now().Add(10 * time.Second)}
 }
 
-// fill takes every place of a cold back end: one.
-func fill(t *testing.T, d *dispatch.Dispatcher) *dispatch.Grant {
+// acquireColdPermit takes the only permit of a cold back end.
+func acquireColdPermit(t *testing.T, d *dispatch.Dispatcher) *dispatch.Grant {
 	t.Helper()
 	grant, err := d.Acquire(t.Context(), request(1, 0))
 	require.NoError(t, err)
 	return grant
 }
 
-// TestWaitExpires lets a request wait as long as its policy allows, and no longer.
+// TestWaitExpires checks that a request waits as long as its policy allows, and no longer.
 func TestWaitExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDispatcher(1, 10)
-		fill(t, d)
-		begun := time.Now()
+		acquireColdPermit(t, d)
+		start := time.Now()
 		_, err := d.Acquire(t.Context(), request(1, 300*time.Millisecond))
 		require.Equal(t, resultcode.WaitExpired, err.(*resultcode.Failure).Code)
-		require.Equal(t, 300*time.Millisecond, time.Since(begun))
+		require.Equal(t, 300*time.Millisecond, time.Since(start))
 	})
 }
 
-// TestHeavierGoesFirst serves waiting requests by weight, and displaces the
-// lightest when the queue is full.
-func TestHeavierGoesFirst(t *testing.T) {
+// TestHigherWeightGoesFirst checks that waiting requests are served by weight, and that the one
+// with the lowest weight is displaced when the queue is full.
+func TestHigherWeightGoesFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDispatcher(1, 2)
-		held := fill(t, d)
+		blocking := acquireColdPermit(t, d)
 		order := make(chan int, 3)
 		displaced := make(chan resultcode.Code, 3)
 		for _, weight := range []int{1, 5, 9} {
@@ -85,15 +85,15 @@
 			synctest.Wait()
 		}
 		require.Equal(t, resultcode.QueueFull, <-displaced)
-		held.Done(routing.Canceled, 0, nil)
+		blocking.Done(routing.Canceled, 0, nil)
 		require.Equal(t, 9, <-order)
 		require.Equal(t, 5, <-order)
 	})
 }
 
-// TestBurstAfterQuiet sends many requests at once, and more while the first are
-// under way: all can be served long before their deadline, and none is refused.
-func TestBurstAfterQuiet(t *testing.T) {
+// TestBurstAfterIdle sends many requests at once after an idle period, and more while the first
+// are in flight. All can be served long before their deadlines, so none may be refused.
+func TestBurstAfterIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDispatcher(4, 1000)
 		time.Sleep(time.Minute)
@@ -101,9 +101,9 @@
 		for range 4 {
 			for range 60 {
 				running.Go(func() {
-					made := request(1, 0)
-					made.Deadline = time.Now().Add(2 * time.Second)
-					grant, err := d.Acquire(t.Context(), made)
+					req := request(1, 0)
+					req.Deadline = time.Now().Add(2 * time.Second)
+					grant, err := d.Acquire(t.Context(), req)
 					if !assert.NoError(t, err) {
 						return
 					}
@@ -117,11 +117,11 @@
 	})
 }
 
-// TestCallerLeaves takes a waiting request out of the queue when its caller goes.
+// TestCallerLeaves checks that a request is removed from the queue when its caller leaves.
 func TestCallerLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDispatcher(1, 10)
-		fill(t, d)
+		acquireColdPermit(t, d)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		_, err := d.Acquire(ctx, request(1, 0))
@@ -131,68 +131,69 @@
 	})
 }
 
-// TestDraining gives nothing to a back end that leaves.
-func TestDraining(t *testing.T) {
+// TestDrainingBackendGetsNoRequests checks that a draining back end gets no new requests.
+func TestDrainingBackendGetsNoRequests(t *testing.T) {
 	list := backends(2)
 	d := dispatch.New(rand.New(rand.NewPCG(1, 1)), 10)
-	d.Configure(declared(list...), 10)
-	leave := func(number int) {
-		list[number].Drained = true
-		d.SetDraining(list[number].ID, func() bool { return list[number].Drained })
+	d.Configure(fixedBackends(list...), 10)
+	drain := func(i int) {
+		list[i].Drained = true
+		d.SetDraining(list[i].ID, func() bool { return list[i].Drained })
 	}
-	leave(0)
-	grant := fill(t, d)
+	drain(0)
+	grant := acquireColdPermit(t, d)
 	require.Equal(t, "b1", grant.Backend.ID)
-	leave(1)
+	drain(1)
 	_, err := d.Acquire(t.Context(), request(1, 0))
 	require.Equal(t, resultcode.NoBackend, err.(*resultcode.Failure).Code)
 }
 
-// TestSessionsStay binds a session to one back end on every daemon alike.
-func TestSessionsStay(t *testing.T) {
+// TestSessionsBindToSameBackend checks that all daemons bind a session to the same back end.
+func TestSessionsBindToSameBackend(t *testing.T) {
 	first, second := newDispatcher(10, 10), newDispatcher(10, 10)
 	for session := range 50 {
-		made := request(1, 0)
-		made.Routing.Session = fmt.Sprint(session)
-		one, err := first.Acquire(t.Context(), made)
+		req := request(1, 0)
+		req.Routing.Session = fmt.Sprint(session)
+		firstGrant, err := first.Acquire(t.Context(), req)
 		require.NoError(t, err)
-		two, err := second.Acquire(t.Context(), made)
+		secondGrant, err := second.Acquire(t.Context(), req)
 		require.NoError(t, err)
-		require.Equal(t, one.Backend.ID, two.Backend.ID)
-		require.Equal(t, routing.ReasonSession, one.Reason)
+		require.Equal(t, firstGrant.Backend.ID, secondGrant.Backend.ID)
+		require.Equal(t, routing.ReasonSession, firstGrant.Reason)
 	}
 }
 
-// BenchmarkMutex is one decision and its end on the request path.
-// TestBoundToALimitedBackend tells a request at once that it cannot be served whose session is bound to a
-// back end that takes nothing in time, and when to come back; one that may wait for long enough waits.
-func TestBoundToALimitedBackend(t *testing.T) {
+// TestSessionBoundToLimitedBackend binds a session to a back end whose request limit leaves no
+// room in time. The request must be refused at once with a Retry-After, and must wait if its
+// policy allows it to wait long enough.
+func TestSessionBoundToLimitedBackend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := dispatch.New(rand.New(rand.NewPCG(1, 1)), 10)
-		d.Configure(declared(routing.Backend{ID: "b0", Slots: 3, Limit: backendlimit.Limit{Limited: true, PerSecond: 0.25}}), 10)
+		d.Configure(fixedBackends(routing.Backend{ID: "b0", Slots: 3, Limit: backendlimit.Limit{Limited: true, PerSecond: 0.25}}), 10)
 		bound := request(1, time.Second)
 		bound.Routing.Session = "one"
-		begun := time.Now()
+		start := time.Now()
 		_, err := d.Acquire(t.Context(), bound)
 		failure := resultcode.AsFailure(err, resultcode.NoBackend)
 		require.Equal(t, resultcode.DeadlineTooShort, failure.Code)
 		require.Equal(t, 4*time.Second, failure.RetryAfter)
-		require.Zero(t, time.Since(begun))
+		require.Zero(t, time.Since(start))
 		bound.Wait = 0
 		_, err = d.Acquire(t.Context(), bound)
 		require.NoError(t, err)
-		require.InDelta(t, 4, time.Since(begun).Seconds(), 0.05)
+		require.InDelta(t, 4, time.Since(start).Seconds(), 0.05)
 	})
 }
 
+// BenchmarkMutex measures one decision and the release of its permit on the request path.
 func BenchmarkMutex(b *testing.B) {
 	for _, count := range []int{10, 20, 850} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			d := newDispatcher(count, 1000)
-			made := request(1, 0)
+			req := request(1, 0)
 			b.ReportAllocs()
 			for b.Loop() {
-				grant, err := d.Acquire(b.Context(), made)
+				grant, err := d.Acquire(b.Context(), req)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -202,7 +203,7 @@
 	}
 }
 
-// BenchmarkGoroutine is the same with a goroutine that owns the state, reached
+// BenchmarkGoroutine measures the same with a goroutine that owns the state and is reached
 // through a bounded queue.
 func BenchmarkGoroutine(b *testing.B) {
 	for _, count := range []int{10, 20, 850} {
@@ -215,12 +216,12 @@
 					command()
 				}
 			}()
-			made := request(1, 0)
+			req := request(1, 0)
 			answers := make(chan *dispatch.Grant, 1)
 			b.ReportAllocs()
 			for b.Loop() {
 				commands <- func() {
-					grant, _ := d.Acquire(b.Context(), made)
+					grant, _ := d.Acquire(b.Context(), req)
 					answers <- grant
 				}
 				grant := <-answers
@@ -230,7 +231,7 @@
 	}
 }
 
-// BenchmarkLog is the line for one decision, written through the bounded queue.
+// BenchmarkLog measures the log line of one decision, written through the bounded queue.
 func BenchmarkLog(b *testing.B) {
 	writer := logging.NewWriter(io.Discard)
 	defer writer.Close()
@@ -242,33 +243,33 @@
 	}
 }
 
-// TestHeldBackEndsByItself lets a request wait for the only back end with a free place,
-// which has just told that it is disturbed: it gets the place when that is old, although
-// nothing else happens.
-func TestHeldBackEndsByItself(t *testing.T) {
+// TestHeldBackBackendIsUsedAfterDelay lets a request wait while the only back end with a free
+// permit is held back, as it has just reported a disturbance. The request must get the permit
+// once the report is old, although no other event occurs.
+func TestHeldBackBackendIsUsedAfterDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDispatcher(2, 10)
-		busy, disturbed := fill(t, d), fill(t, d)
+		busy, disturbed := acquireColdPermit(t, d), acquireColdPermit(t, d)
 		for range 50 {
 			d.RecordLoadProbe(busy.Backend.ID, routing.Report{Slowdown: 1})
 		}
 		disturbed.Done(routing.Canceled, 0, nil)
 		d.RecordLoadProbe(disturbed.Backend.ID, routing.Report{Slowdown: 5})
-		begun := time.Now()
+		start := time.Now()
 		grant, err := d.Acquire(t.Context(), request(1, time.Second))
 		require.NoError(t, err)
 		require.Equal(t, disturbed.Backend.ID, grant.Backend.ID)
-		require.Greater(t, time.Since(begun), 50*time.Millisecond)
-		require.Less(t, time.Since(begun), 600*time.Millisecond)
+		require.Greater(t, time.Since(start), 50*time.Millisecond)
+		require.Less(t, time.Since(start), 600*time.Millisecond)
 	})
 }
 
-// TestManyWaitAtLittleCost lets many requests wait for a second: a place is looked for
-// about as often as if one waited.
+// TestManyWaitAtLittleCost lets 500 requests wait for a second. The back ends must be scanned
+// about as often as for a single waiting request.
 func TestManyWaitAtLittleCost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDispatcher(1, 1000)
-		fill(t, d)
+		acquireColdPermit(t, d)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		var waiting sync.WaitGroup
@@ -278,50 +279,50 @@
 		synctest.Wait()
 		before := d.ScanCount()
 		waiting.Wait()
-		require.LessOrEqual(t, d.ScanCount()-before, 50, "in a second, every 20 ms")
+		require.LessOrEqual(t, d.ScanCount()-before, 50, "one scan every 20 ms for a second")
 	})
 }
 
-// returning is a request whose caller asked first so long ago.
-func returning(ago time.Duration) dispatch.Request {
-	made := request(1, time.Second)
-	made.FirstTry = time.Now().Add(-ago)
-	return made
+// requestOfAge returns a request that its caller first sent this long ago.
+func requestOfAge(age time.Duration) dispatch.Request {
+	req := request(1, time.Second)
+	req.FirstTry = time.Now().Add(-age)
+	return req
 }
 
-// TestNewestFirstTryGoesFirst: of requests that wait, the one that has most time left
-// before it is late gets the place, and those that have none left come last.
-func TestNewestFirstTryGoesFirst(t *testing.T) {
+// TestMostRecentFirstTryGoesFirst checks that among waiting requests the one with the most time
+// left gets the permit first, and those with the least time left come last.
+func TestMostRecentFirstTryGoesFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDispatcher(1, 10)
-		held := fill(t, d)
+		blocking := acquireColdPermit(t, d)
 		served := make(chan time.Duration, 3)
-		for _, ago := range []time.Duration{300 * time.Millisecond, 0, 700 * time.Millisecond} {
+		for _, age := range []time.Duration{300 * time.Millisecond, 0, 700 * time.Millisecond} {
 			go func() {
-				grant, err := d.Acquire(t.Context(), returning(ago))
+				grant, err := d.Acquire(t.Context(), requestOfAge(age))
 				require.NoError(t, err)
-				served <- ago
+				served <- age
 				grant.Done(routing.Canceled, 0, nil)
 			}()
 			time.Sleep(time.Millisecond)
 		}
-		held.Done(routing.Canceled, 0, nil)
+		blocking.Done(routing.Canceled, 0, nil)
 		for _, want := range []time.Duration{0, 300 * time.Millisecond, 700 * time.Millisecond} {
 			require.Equal(t, want, <-served)
 		}
 	})
 }
 
-// TestComeBackLater: a caller is told to come back the later the longer ago it first
-// asked, also one that did not say when that was.
-func TestComeBackLater(t *testing.T) {
+// TestRetryAfterGrowsWithAge checks that the Retry-After grows with the time since the caller's
+// first try, within bounds, and has the minimum if that time is unknown.
+func TestRetryAfterGrowsWithAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDispatcher(1, 10)
-		fill(t, d)
-		for ago, want := range map[time.Duration]time.Duration{0: 150, 400 * time.Millisecond: 550, time.Hour: 10_000} {
-			asked := returning(ago)
-			asked.Wait = 150 * time.Millisecond
-			_, err := d.Acquire(t.Context(), asked)
+		acquireColdPermit(t, d)
+		for age, want := range map[time.Duration]time.Duration{0: 150, 400 * time.Millisecond: 550, time.Hour: 10_000} {
+			req := requestOfAge(age)
+			req.Wait = 150 * time.Millisecond
+			_, err := d.Acquire(t.Context(), req)
 			require.Equal(t, want*time.Millisecond, err.(*resultcode.Failure).RetryAfter)
 		}
 		_, err := d.Acquire(t.Context(), request(1, 150*time.Millisecond))
@@ -329,26 +330,27 @@
 	})
 }
 
-// TestNewInEvacuatedZone declares a back end in an evacuated zone while requests wait: it is
-// never open, not even between being known and being told that it gets none.
-func TestNewInEvacuatedZone(t *testing.T) {
+// TestNewBackendInEvacuatedZone declares a back end in an evacuated zone while a request waits.
+// The back end must never be available, not even between its declaration and the update that
+// drains it.
+func TestNewBackendInEvacuatedZone(t *testing.T) {
 	d := dispatch.New(rand.New(rand.NewPCG(1, 1)), 10)
-	held := routing.Backend{ID: "b0", Slots: 1, Window: 1, Warm: true}
-	d.Configure(declared(held), 10)
+	occupied := routing.Backend{ID: "b0", Slots: 1, Window: 1, Warm: true}
+	d.Configure(fixedBackends(occupied), 10)
 	request := dispatch.Request{Weight: 1, Deadline: time.Now().Add(time.Minute)}
 	_, err := d.Acquire(t.Context(), request)
 	require.NoError(t, err)
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
-	got := make(chan error)
+	acquired := make(chan error)
 	go func() {
 		_, err := d.Acquire(ctx, request)
-		got <- err
+		acquired <- err
 	}()
 	time.Sleep(20 * time.Millisecond)
 	evacuated := routing.Backend{ID: "b1", Zone: "west", Slots: 1, Window: 1, Warm: true, Drained: true, Evacuated: true}
-	d.Configure(declared(held, evacuated), 10)
-	require.Error(t, <-got)
+	d.Configure(fixedBackends(occupied, evacuated), 10)
+	require.Error(t, <-acquired)
 	states, _ := d.Status()
 	require.Len(t, states, 2)
 	require.True(t, states[1].Draining)
--- a/dispatch/exclusion_test.go
+++ b/dispatch/exclusion_test.go
@@ -13,88 +13,90 @@
 	"github.com/tuliphall/tuliphall/routing"
 )
 
-// twoSlots returns a dispatcher of two back ends that take one request each.
-func twoSlots() *dispatch.Dispatcher {
+// newTwoSlotDispatcher returns a dispatcher with two back ends of one slot each.
+func newTwoSlotDispatcher() *dispatch.Dispatcher {
 	d := dispatch.New(rand.New(rand.NewPCG(1, 1)), 10)
-	d.Configure(declared(routing.Backend{ID: "b0", Slots: 1, Window: 1, Warm: true}, routing.Backend{ID: "b1", Slots: 1, Window: 1, Warm: true}), 10)
+	d.Configure(fixedBackends(routing.Backend{ID: "b0", Slots: 1, Window: 1, Warm: true}, routing.Backend{ID: "b1", Slots: 1, Window: 1, Warm: true}), 10)
 	return d
 }
 
-// without returns a request that must not reach a back end for so long; 0: not while it waits.
-func without(backend string, lasts time.Duration) dispatch.Request {
-	made := request(1, 0)
+// requestExcluding returns a request that must not be sent to a back end for a duration; 0: for
+// as long as it waits.
+func requestExcluding(backend string, duration time.Duration) dispatch.Request {
+	req := request(1, 0)
 	exclusion := routing.Exclusion{Backend: backend}
-	if lasts > 0 {
-		exclusion.Until = time.Now().Add(lasts)
+	if duration > 0 {
+		exclusion.Until = time.Now().Add(duration)
 	}
-	made.Routing.Excluded = []routing.Exclusion{exclusion}
-	return made
+	req.Routing.Excluded = []routing.Exclusion{exclusion}
+	return req
 }
 
-// TestExcludedRequestHoldsNobodyUp guards against requests that wait behind one that must not use the place which is
-// free.
-func TestExcludedRequestHoldsNobodyUp(t *testing.T) {
+// TestExcludedRequestDoesNotBlockOthers guards against requests that wait behind one that must
+// not use the back end that is free.
+func TestExcludedRequestDoesNotBlockOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := twoSlots()
+		d := newTwoSlotDispatcher()
 		held := map[string]*dispatch.Grant{}
 		for range 2 {
 			grant, err := d.Acquire(t.Context(), request(1, 0))
 			require.NoError(t, err)
 			held[grant.Backend.ID] = grant
 		}
-		got := make(chan string, 2)
-		wait := func(name string, made dispatch.Request) {
+		granted := make(chan string, 2)
+		acquire := func(name string, req dispatch.Request) {
 			go func() {
-				grant, err := d.Acquire(t.Context(), made)
+				grant, err := d.Acquire(t.Context(), req)
 				if err == nil {
-					got <- name + " at " + grant.Backend.ID
+					granted <- name + " at " + grant.Backend.ID
 				}
 			}()
 			synctest.Wait()
 		}
-		wait("first", without("b0", 0))
-		wait("second", request(1, 0))
+		acquire("first", requestExcluding("b0", 0))
+		acquire("second", request(1, 0))
 		held["b0"].Done(routing.Success, time.Millisecond, nil)
 		synctest.Wait()
-		require.Equal(t, "second at b0", <-got)
+		require.Equal(t, "second at b0", <-granted)
 		held["b1"].Done(routing.Success, time.Millisecond, nil)
 		synctest.Wait()
-		require.Equal(t, "first at b1", <-got)
+		require.Equal(t, "first at b1", <-granted)
 	})
 }
 
-// TestAllExcludedIsRefusedAtOnce tells a request that can reach no back end in time when it may come back, and lets one
-// wait whose turn comes soon enough.
-func TestAllExcludedIsRefusedAtOnce(t *testing.T) {
-	for name, one := range map[string]struct {
-		lasts time.Duration
-		waits bool
-		code  resultcode.Code
-		after time.Duration
+// TestAllBackendsExcludedFailsFast checks that a request for which all back ends are excluded
+// beyond its time is refused at once with a Retry-After, and that it waits if an exclusion ends
+// soon enough.
+func TestAllBackendsExcludedFailsFast(t *testing.T) {
+	for name, test := range map[string]struct {
+		duration   time.Duration
+		waits      bool
+		code       resultcode.Code
+		retryAfter time.Duration
 	}{
-		"longer than the request may take": {lasts: 12 * time.Second, code: resultcode.BackendsPaused, after: 10 * time.Second},
-		"longer than its wait":             {lasts: 4 * time.Second, code: resultcode.BackendsPaused, after: 4 * time.Second},
-		"not while it waits":               {code: resultcode.NoBackend, after: 100 * time.Millisecond},
-		"soon over":                        {lasts: 500 * time.Millisecond, waits: true},
+		"longer than its deadline": {duration: 12 * time.Second, code: resultcode.BackendsPaused, retryAfter: 10 * time.Second},
+		"longer than its wait":     {duration: 4 * time.Second, code: resultcode.BackendsPaused, retryAfter: 4 * time.Second},
+		"no end while it waits":    {code: resultcode.NoBackend, retryAfter: 100 * time.Millisecond},
+		"ends soon":                {duration: 500 * time.Millisecond, waits: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				d := dispatch.New(rand.New(rand.NewPCG(1, 1)), 10)
-				d.Configure(declared(routing.Backend{ID: "b0", Slots: 1, Window: 1, Warm: true}), 10)
-				made := without("b0", one.lasts)
-				made.Wait = 2 * time.Second
-				begun := time.Now()
-				grant, err := d.Acquire(t.Context(), made)
-				if one.waits {
+				d.Configure(fixedBackends(routing.Backend{ID: "b0", Slots: 1, Window: 1, Warm: true}), 10)
+				req := requestExcluding("b0", test.duration)
+				req.Wait = 2 * time.Second
+				start := time.Now()
+				grant, err := d.Acquire(t.Context(), req)
+				if test.waits {
 					require.NoError(t, err)
-					require.InDelta(t, one.lasts.Seconds(), time.Since(begun).Seconds(), 0.05)
+					require.InDelta(t, test.duration.Seconds(), time.Since(start).Seconds(), 0.05)
 					grant.Done(routing.Success, time.Millisecond, nil)
 					return
 				}
-				require.Zero(t, time.Since(begun))
+				require.Zero(t, time.Since(start))
 				failure := resultcode.AsFailure(err, 0)
-				require.Equal(t, one.code, failure.Code)
-				require.Equal(t, one.after, failure.RetryAfter)
+				require.Equal(t, test.code, failure.Code)
+				require.Equal(t, test.retryAfter, failure.RetryAfter)
 			})
 		})
 	}
--- a/dispatch/follow.go
+++ b/dispatch/follow.go
@@ -7,56 +7,57 @@
 	"github.com/tuliphall/tuliphall/routing"
 )
 
-// metWithin is how long after a request began a report of its back end tells what it met:
-// what is told later may have begun later. It is the arrival at the back end, and a probe
-// that waits for a slot there.
-const metWithin = 40 * time.Millisecond
-
-// followed are the places of which it is to be learned whether their requests met a
-// disturbed back end. The zero value holds none.
-type followed struct {
+// disturbanceWindow is how long after the grant a report that the back end is disturbed
+// applies to the request; a disturbance that is reported later may have begun later. It
+// covers the arrival at the back end and a probe that waits for a slot there.
+const disturbanceWindow = 40 * time.Millisecond
+
+// followedPermits holds the permits whose requests may turn out to have met a disturbed back
+// end. The zero value is empty.
+type followedPermits struct {
 	byBackend map[*routing.BackendState][]*Permit
 }
 
-func (f *followed) add(place *Permit) {
+func (f *followedPermits) add(permit *Permit) {
 	if f.byBackend == nil {
 		f.byBackend = make(map[*routing.BackendState][]*Permit)
 	}
-	f.byBackend[place.Backend] = append(f.byBackend[place.Backend], place)
+	f.byBackend[permit.Backend] = append(f.byBackend[permit.Backend], permit)
 }
 
-func (f *followed) remove(place *Permit) {
-	left := slices.DeleteFunc(f.byBackend[place.Backend], func(one *Permit) bool { return one == place })
-	if len(left) == 0 {
-		delete(f.byBackend, place.Backend)
+func (f *followedPermits) remove(permit *Permit) {
+	remaining := slices.DeleteFunc(f.byBackend[permit.Backend], func(followed *Permit) bool { return followed == permit })
+	if len(remaining) == 0 {
+		delete(f.byBackend, permit.Backend)
 		return
 	}
-	f.byBackend[place.Backend] = left
+	f.byBackend[permit.Backend] = remaining
 }
 
-// met takes out the places whose requests met a disturbance, after a back end has told how
-// it is.
-func (f *followed) met(now time.Time, state *routing.BackendState) []*Permit {
+// takeDisturbed removes and returns the permits whose requests met a disturbance, given that
+// the back end has just reported its state.
+func (f *followedPermits) takeDisturbed(now time.Time, state *routing.BackendState) []*Permit {
 	if !state.Disturbed() {
 		return nil
 	}
-	var met []*Permit
-	for _, place := range slices.Clone(f.byBackend[state]) {
-		if now.Sub(place.GrantedAt) <= metWithin {
-			f.remove(place)
-			met = append(met, place)
+	var disturbed []*Permit
+	for _, permit := range slices.Clone(f.byBackend[state]) {
+		if now.Sub(permit.GrantedAt) <= disturbanceWindow {
+			f.remove(permit)
+			disturbed = append(disturbed, permit)
 		}
 	}
-	return met
+	return disturbed
 }
 
-// RecordLoadProbe takes in the report that a probe brought, and returns the places whose requests
-// have just met a disturbance at the back end: a second attempt is worth making at once.
+// RecordLoadProbe records the load report that a load probe returned, and returns the permits
+// whose requests have just met a disturbed back end, for which an immediate hedge is
+// worthwhile.
 func (c *Core) RecordLoadProbe(now time.Time, id string, report routing.Report) []*Permit {
 	c.Group.RecordLoadProbe(now, id, report)
 	state := c.Group.State(id)
 	if state == nil {
 		return nil
 	}
-	return c.followed.met(now, state)
+	return c.followed.takeDisturbed(now, state)
 }
--- a/dispatch/follow_test.go
+++ b/dispatch/follow_test.go
@@ -9,79 +9,81 @@
 	"github.com/tuliphall/tuliphall/routing"
 )
 
-// followedReading is a reading that may be sent again.
-func followedReading(ago time.Duration) Request {
-	request := reading(ago)
+// repeatableRead returns a read request that may be sent again.
+func repeatableRead(age time.Duration) Request {
+	request := readRequest(age)
 	request.Routing.Repeatable = true
 	return request
 }
 
-// offered returns the place that a request gets.
-func offered(t *testing.T, core *Core, now time.Time, request Request) *Permit {
+// mustOffer returns the permit that a request gets at once.
+func mustOffer(t *testing.T, core *Core, now time.Time, request Request) *Permit {
 	t.Helper()
 	decision := core.Offer(now, request, nil)
 	require.NotNil(t, decision.Place)
 	return decision.Place
 }
 
-// calm lets a back end tell often that it is undisturbed.
-func calm(core *Core, id string) {
+// reportUndisturbed records many load reports of a back end that is not disturbed.
+func reportUndisturbed(core *Core, id string) {
 	for range 100 {
 		core.RecordLoadProbe(epoch, id, routing.Report{Slowdown: 1})
 	}
 }
 
-// TestDisturbanceIsToldSoon asks a back end how it is as soon as a request has reached it,
-// and names the requests that met a disturbance, once each.
-func TestDisturbanceIsToldSoon(t *testing.T) {
-	core := learned(1)
-	calm(core, "a")
-	place := offered(t, core, epoch, followedReading(0))
-	require.True(t, place.Followed)
+// TestDisturbanceIsReportedOnArrivalProbe checks that a back end is probed as soon as a request
+// has reached it, and that each request that met a disturbance is reported once.
+func TestDisturbanceIsReportedOnArrivalProbe(t *testing.T) {
+	core := newTrainedCore(1)
+	reportUndisturbed(core, "a")
+	permit := mustOffer(t, core, epoch, repeatableRead(0))
+	require.True(t, permit.Followed)
 	_, wanted := core.Group.LoadProbeTarget(epoch.Add(time.Millisecond), time.Second, 0)
-	require.False(t, wanted, "the request is still on its way")
+	require.False(t, wanted, "the request has not arrived yet")
 	reached := epoch.Add(5 * time.Millisecond)
 	id, wanted := core.Group.LoadProbeTarget(reached, time.Second, 0)
 	require.True(t, wanted)
 	require.Equal(t, "a", id)
-	require.Equal(t, []*Permit{place}, core.RecordLoadProbe(reached, id, routing.Report{Slowdown: 5}))
-	require.Empty(t, core.RecordLoadProbe(reached, id, routing.Report{Slowdown: 5}), "it is told once")
+	require.Equal(t, []*Permit{permit}, core.RecordLoadProbe(reached, id, routing.Report{Slowdown: 5}))
+	require.Empty(t, core.RecordLoadProbe(reached, id, routing.Report{Slowdown: 5}), "a disturbance is reported once")
 }
 
-// TestOnlyFreshDisturbancesCount says nothing of requests whose back end is well, that ended,
-// or that began long before.
-func TestOnlyFreshDisturbancesCount(t *testing.T) {
-	core := learned(1)
-	calm(core, "a")
-	offered(t, core, epoch, followedReading(0))
-	require.Empty(t, core.RecordLoadProbe(epoch.Add(5*time.Millisecond), "a", routing.Report{Slowdown: 1.1}), "it is well")
-	require.Empty(t, core.RecordLoadProbe(epoch.Add(metWithin+time.Millisecond), "a", routing.Report{Slowdown: 5}), "it may have turned so later")
+// TestOnlyRecentDisturbancesCount checks that requests are not reported whose back end is not
+// disturbed, that have ended, or that began long before the report.
+func TestOnlyRecentDisturbancesCount(t *testing.T) {
+	core := newTrainedCore(1)
+	reportUndisturbed(core, "a")
+	mustOffer(t, core, epoch, repeatableRead(0))
+	require.Empty(t, core.RecordLoadProbe(epoch.Add(5*time.Millisecond), "a", routing.Report{Slowdown: 1.1}), "the back end is not disturbed")
+	require.Empty(t, core.RecordLoadProbe(epoch.Add(disturbanceWindow+time.Millisecond), "a", routing.Report{Slowdown: 5}), "the disturbance may have begun later")
 
-	core = learned(1)
-	calm(core, "a")
-	place := offered(t, core, epoch, followedReading(0))
-	core.Done(epoch.Add(time.Millisecond), place, routing.Success, time.Millisecond)
-	require.Empty(t, core.RecordLoadProbe(epoch.Add(5*time.Millisecond), "a", routing.Report{Slowdown: 5}), "it has ended")
+	core = newTrainedCore(1)
+	reportUndisturbed(core, "a")
+	permit := mustOffer(t, core, epoch, repeatableRead(0))
+	core.Done(epoch.Add(time.Millisecond), permit, routing.Success, time.Millisecond)
+	require.Empty(t, core.RecordLoadProbe(epoch.Add(5*time.Millisecond), "a", routing.Report{Slowdown: 5}), "the request has ended")
 }
 
-// TestNobodyAsksWhoTellsNothing asks no back end what a request met where none ever told it.
-func TestNobodyAsksWhoTellsNothing(t *testing.T) {
-	core := learned(1)
+// TestNoArrivalProbeWithoutSlowdownReports checks that back ends which never reported a slowdown
+// are not probed when a request arrives.
+func TestNoArrivalProbeWithoutSlowdownReports(t *testing.T) {
+	core := newTrainedCore(1)
 	core.RecordLoadProbe(epoch, "a", routing.Report{InFlight: 1})
-	offered(t, core, epoch, followedReading(0))
+	mustOffer(t, core, epoch, repeatableRead(0))
 	_, wanted := core.Group.LoadProbeTarget(epoch.Add(5*time.Millisecond), time.Second, 0)
 	require.False(t, wanted)
 }
 
-// TestFollowedWhereItHelps follows only requests that may get a second attempt in time.
-func TestFollowedWhereItHelps(t *testing.T) {
-	core := learned(4)
-	require.False(t, offered(t, core, epoch, reading(0)).Followed, "it may run once only")
-	again := followedReading(0)
-	again.Routing.Tried = []string{"b"}
-	require.False(t, offered(t, core, epoch, again).Followed, "it is a second attempt")
-	require.False(t, offered(t, core, epoch, followedReading(300*time.Millisecond)).Followed, "a second attempt would be late")
-	unknown := followedReading(0)
+// TestOnlyHedgeableRequestsAreFollowed checks that only requests are followed for which a hedge
+// could be in time.
+func TestOnlyHedgeableRequestsAreFollowed(t *testing.T) {
+	core := newTrainedCore(4)
+	require.False(t, mustOffer(t, core, epoch, readRequest(0)).Followed, "the request is not repeatable")
+	retried := repeatableRead(0)
+	retried.Routing.Tried = []string{"b"}
+	require.False(t, mustOffer(t, core, epoch, retried).Followed, "the request is a second attempt")
+	require.False(t, mustOffer(t, core, epoch, repeatableRead(300*time.Millisecond)).Followed, "a hedge would be late")
+	unknown := repeatableRead(0)
 	unknown.Class = "other"
-	require.False(t, offered(t, core, epoch, unknown).Followed, "nothing is known of its work")
+	require.False(t, mustOffer(t, core, epoch, unknown).Followed, "the latencies of its class are unknown")
 }
--- a/dispatch/standby.go
+++ b/dispatch/standby.go
@@ -8,22 +8,23 @@
 	"github.com/tuliphall/tuliphall/routing"
 )
 
-// standbyAfter is after how long without a place that it gave out a daemon forgets what it knows
-// of the back ends. Most daemons of a fleet give out none of a service: what each keeps of
-// 10,000 back ends for that took 7 MB of it, and 4 ms of its processor for each change of one.
-const standbyAfter = 10 * time.Second
+// standbyDelay is how long after the last request for a permit a daemon discards its state of
+// the back ends. Most daemons of a fleet grant no permits for a service. Keeping the state of
+// 10,000 back ends took 7 MB of memory, and 4 ms of CPU time for each change of one.
+const standbyDelay = 10 * time.Second
 
-// standby is what a daemon keeps of the back ends of a service while it gives out no places.
+// standby is the state that a daemon keeps of a service's back ends while it grants no permits.
 type standby struct {
 	random *rand.Rand
-	// backends returns the back ends as they were last declared; nil: the group has them.
-	backends func(now time.Time) []routing.Backend
-	advice   advice
-	used     time.Time // when a place was last asked for
+	// backends returns the back ends as last declared; nil: the daemon is not on standby and
+	// the group holds them.
+	backends    func(now time.Time) []routing.Backend
+	hint        concurrencyHint
+	lastAcquire time.Time // when a permit was last asked for
 }
 
-// advice is what another daemon has learned of a back end.
-type advice struct {
+// concurrencyHint is a concurrency hint that another daemon has learned.
+type concurrencyHint struct {
 	id       string
 	inFlight int
 }
@@ -34,13 +35,13 @@
 	})
 }
 
-// Configure sets the back ends and the bound of the queue. backends may be called later, and returns them as they
-// are known then.
+// Configure sets the back ends and the limit of the queue. backends may be called later, and
+// returns the back ends as known at that time.
 func (d *Dispatcher) Configure(backends func(now time.Time) []routing.Backend, queueLimit int) {
 	d.change(func() {
 		now := time.Now()
 		d.core.Queue.SetLimit(queueLimit)
-		if d.standby.backends == nil && d.core.idle() && now.Sub(d.standby.used) >= standbyAfter {
+		if d.standby.backends == nil && d.core.idle() && now.Sub(d.standby.lastAcquire) >= standbyDelay {
 			d.core.Group = newGroup(d.standby.random)
 			d.standby.backends = backends
 			d.core.applyVersionRule(now)
@@ -54,37 +55,38 @@
 	})
 }
 
-// build makes the group know the back ends, as a place is asked for. The caller holds the mutex.
-func (d *Dispatcher) build(now time.Time) {
-	d.standby.used = now
+// leaveStandby populates the group if the daemon is on standby, because a permit is asked for.
+// The caller must hold the mutex.
+func (d *Dispatcher) leaveStandby(now time.Time) {
+	d.standby.lastAcquire = now
 	if d.standby.backends == nil {
 		return
 	}
-	d.standby.fill(d.core.Group, now)
+	d.standby.populate(d.core.Group, now)
 	d.standby.backends = nil
 }
 
-// shown returns the group that operators see: on standby one that is made for them. The caller holds
-// the mutex.
-func (d *Dispatcher) shown(now time.Time) *routing.Group {
+// statusGroup returns the group to show to operators. On standby it is a temporary one. The
+// caller must hold the mutex.
+func (d *Dispatcher) statusGroup(now time.Time) *routing.Group {
 	if d.standby.backends == nil {
 		return d.core.Group
 	}
 	group := newGroup(d.standby.random)
-	d.standby.fill(group, now)
+	d.standby.populate(group, now)
 	return group
 }
 
-// fill makes a group know the back ends.
-func (s *standby) fill(group *routing.Group, now time.Time) {
+// populate sets the back ends and the concurrency hint of a group.
+func (s *standby) populate(group *routing.Group, now time.Time) {
 	group.SetBackends(now, s.backends(now))
-	if s.advice.id != "" {
-		group.SetConcurrencyHint(s.advice.id, s.advice.inFlight)
+	if s.hint.id != "" {
+		group.SetConcurrencyHint(s.hint.id, s.hint.inFlight)
 	}
 }
 
-// SetDraining puts in force whether a back end is leaving: what draining returns when it is called, which must
-// not block. On standby it is asked when the back ends are.
+// SetDraining updates whether a back end is draining to the result of draining, which must not
+// block. On standby that is queried together with the back ends instead.
 func (d *Dispatcher) SetDraining(id string, draining func() bool) {
 	d.change(func() {
 		if d.standby.backends == nil {
@@ -93,8 +95,8 @@
 	})
 }
 
-// SetLimit puts in force how many requests a back end takes: what limit returns when it is called,
-// which must not block. On standby it is asked when the back ends are.
+// SetLimit updates the request limit of a back end to the result of limit, which must not
+// block. On standby that is queried together with the back ends instead.
 func (d *Dispatcher) SetLimit(id string, limit func() backendlimit.Limit) {
 	d.change(func() {
 		if d.standby.backends == nil {
@@ -103,8 +105,9 @@
 	})
 }
 
-// SetPause puts in force until when this daemon must not probe a back end: what until returns when it is called, which
-// must not block. On standby it is asked when the back ends are.
+// SetPause updates the time before which this daemon must not probe a back end to the result
+// of until, which must not block. On standby that is queried together with the back ends
+// instead.
 func (d *Dispatcher) SetPause(id string, until func() time.Time) {
 	d.change(func() {
 		if d.standby.backends == nil {
@@ -113,21 +116,23 @@
 	})
 }
 
-// ExcludesVersion says whether a version of the service gets no requests, not even to be judged by.
+// ExcludesVersion reports whether a version of the service gets no requests at all, not even
+// for a comparison.
 func (d *Dispatcher) ExcludesVersion(version string) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.core.Group.ExcludesVersion(version)
 }
 
-// SetConcurrencyHint takes in what another daemon that dispatches the service has learned of back
-// ends like this one, so that this one need not learn it anew when it takes over.
+// SetConcurrencyHint records the concurrency hint that another dispatcher of the service has
+// learned for back ends like this one, so that this daemon need not learn it anew when it
+// takes over.
 func (d *Dispatcher) SetConcurrencyHint(id string, inFlight int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.standby.backends == nil {
 		d.core.Group.SetConcurrencyHint(id, inFlight)
 	} else if inFlight > 0 {
-		d.standby.advice = advice{id: id, inFlight: inFlight}
+		d.standby.hint = concurrencyHint{id: id, inFlight: inFlight}
 	}
 }
--- a/dispatch/standby_test.go
+++ b/dispatch/standby_test.go
@@ -11,9 +11,10 @@
 	"github.com/tuliphall/tuliphall/routing"
 )
 
-// TestStandbyShowsBackends asks a daemon that gives out no places of a service for its back ends, as an
-// operator does who reaches any daemon: it showed none, with all of them declared and one leaving.
-func TestStandbyShowsBackends(t *testing.T) {
+// TestStandbyStatusListsBackends guards against an empty status on standby: a daemon that grants
+// no permits for a service showed operators no back ends, although all were declared and one was
+// leaving.
+func TestStandbyStatusListsBackends(t *testing.T) {
 	d := dispatch.New(rand.New(rand.NewPCG(1, 1)), 10)
 	evacuated := routing.Backend{ID: "b1", Zone: "west", Slots: 1, Window: 1, Warm: true, Drained: true, Evacuated: true}
 	leaving := false
@@ -22,7 +23,7 @@
 	}, 10)
 	leaving = true
 	d.SetDraining("b2", func() bool { return leaving })
-	for range 2 { // looking changes nothing
+	for range 2 { // Status must not change the state
 		states, waiting := d.Status()
 		require.Zero(t, waiting)
 		require.Len(t, states, 3)
--- a/dispatch/work.go
+++ b/dispatch/work.go
@@ -6,139 +6,139 @@
 )
 
 const (
-	// workMemory is how many latencies of a class are remembered: enough to tell the
-	// slowest twentieth of them, and as many as a class of 2 requests a second brings in
-	// a minute.
-	workMemory = 128
-	// workLeast is with how many latencies a class is known: its fastest twentieth is one.
-	workLeast = 20
-	// tailMargin is by which part of the typical latency a request is slower than most
-	// before it gets a second attempt. Where all take about as long, it would else get one
-	// just before its answer comes, and use up the retry budget (TestHedge in
-	// lab/objectstub).
-	tailMargin = 0.1
-	// workRefresh is after how many latencies the quantiles are reckoned anew.
-	workRefresh = 8
-	// maxClasses bounds the classes that are remembered; what is known is forgotten
-	// beyond it, and learned anew within some requests.
+	// latencySamples is the number of latencies kept per class: enough to estimate the 95th
+	// percentile, and as many as a class with 2 requests per second yields in a minute.
+	latencySamples = 128
+	// minLatencySamples is the number of latencies from which the quantiles are used: the
+	// fastest 5% of it is one sample.
+	minLatencySamples = 20
+	// hedgeMarginFactor, times the median, is added to the quantile at which a hedge is sent.
+	// If all requests take about equally long, a hedge would otherwise be sent just before the
+	// answer arrives and would use up the retry budget (TestHedge in lab/objectstub).
+	hedgeMarginFactor = 0.1
+	// quantileRefreshSamples is the number of new latencies after which the quantiles are
+	// recomputed.
+	quantileRefreshSamples = 8
+	// maxClasses bounds the number of classes. Beyond it all statistics are discarded, and
+	// are learned anew within some requests.
 	maxClasses = 1000
 )
 
-// Parts of the latencies of a class: what its fastest, its typical and its slow requests
-// take.
+// Quantiles of the latencies of a class.
 const (
-	fastest = 0.05
-	typical = 0.5
-	// slow is beyond which a request gets a second attempt while most back ends have
-	// places free: the slowest fifth is about what the retry budgets in use pay for. On
-	// quiet days it served 0.003 to 0.008 more of the worth than the slowest twentieth
-	// (means of 3 days at three deployments).
-	slow = 0.8
-	// slowest is the same while most are full, when a second attempt takes the place of
-	// another request: the slowest twentieth (Dean and Barroso, The Tail at Scale, 2013).
-	slowest = 0.95
+	fastestQuantile = 0.05
+	medianQuantile  = 0.5
+	// slowQuantile is the quantile beyond which a request is hedged while most back ends have
+	// free permits. Hedging the slowest 20% is about what the usual retry budgets pay for. On
+	// quiet days it served 0.003 to 0.008 more of the worth than hedging the slowest 5% (means
+	// of 3 days at three deployments).
+	slowQuantile = 0.8
+	// slowestQuantile is the same while most back ends are full, when a hedge takes the permit
+	// of another request: the slowest 5% (Dean and Barroso, The Tail at Scale, 2013).
+	slowestQuantile = 0.95
 )
 
-// latencies are those that requests of one class had of late, from when they were sent to
-// a back end. The zero value has seen none.
-type latencies struct {
-	last             [workMemory]time.Duration
-	seen             int
-	fastest, typical time.Duration // 0: not known yet
-	slow, slowest    time.Duration
+// latencyStats holds the recent latencies of the requests of one class, measured from the
+// grant of the permit. The zero value has no samples.
+type latencyStats struct {
+	samples         [latencySamples]time.Duration
+	count           int
+	fastest, median time.Duration // 0: not known yet
+	slow, slowest   time.Duration
 }
 
-// add takes in the latency of an answer.
-func (l *latencies) add(latency time.Duration) {
-	l.last[l.seen%workMemory] = latency
-	l.seen++
-	if l.seen < workLeast || l.seen%workRefresh != 0 {
+// add records the latency of an answer.
+func (l *latencyStats) add(latency time.Duration) {
+	l.samples[l.count%latencySamples] = latency
+	l.count++
+	if l.count < minLatencySamples || l.count%quantileRefreshSamples != 0 {
 		return
 	}
-	sorted := slices.Sorted(slices.Values(l.last[:min(l.seen, workMemory)]))
-	part := func(share float64) time.Duration { return sorted[int(share*float64(len(sorted)))] }
-	l.fastest, l.typical, l.slow, l.slowest = part(fastest), part(typical), part(slow), part(slowest)
+	sorted := slices.Sorted(slices.Values(l.samples[:min(l.count, latencySamples)]))
+	quantile := func(fraction float64) time.Duration { return sorted[int(fraction*float64(len(sorted)))] }
+	l.fastest, l.median, l.slow, l.slowest = quantile(fastestQuantile), quantile(medianQuantile), quantile(slowQuantile), quantile(slowestQuantile)
 }
 
-// work is what is known of the work of each class of requests. The zero value knows
-// nothing.
-type work struct {
-	byClass map[string]*latencies
+// statsByClass holds the latencies of each class of requests. The zero value is empty.
+type statsByClass struct {
+	byClass map[string]*latencyStats
 }
 
-// nothingKnown is of a class that has had no answers yet. It is never changed.
-var nothingKnown = new(latencies)
+// noLatencyStats stands for a class without answers yet. It must not be modified.
+var noLatencyStats = new(latencyStats)
 
-// of returns what is known of a class. It must not be changed.
-func (w *work) of(class string) *latencies {
-	if known, found := w.byClass[class]; found {
-		return known
+// forClass returns the latencies of a class. The result must not be modified.
+func (w *statsByClass) forClass(class string) *latencyStats {
+	if stats, found := w.byClass[class]; found {
+		return stats
 	}
-	return nothingKnown
+	return noLatencyStats
 }
 
-// learn takes in the latency of an answer to a request of a class, if it has one.
-func (w *work) learn(class string, latency time.Duration) {
+// record records the latency of an answer to a request of a class, if it has one.
+func (w *statsByClass) record(class string, latency time.Duration) {
 	if class == "" {
 		return
 	}
-	known, found := w.byClass[class]
+	stats, found := w.byClass[class]
 	if !found {
 		if w.byClass == nil || len(w.byClass) >= maxClasses {
-			w.byClass = make(map[string]*latencies)
+			w.byClass = make(map[string]*latencyStats)
 		}
-		known = new(latencies)
-		w.byClass[class] = known
+		stats = new(latencyStats)
+		w.byClass[class] = stats
 	}
-	known.add(latency)
+	stats.add(latency)
 }
 
-// servable says whether an answer could come before the deadline, as far as is known.
-func (l *latencies) servable(now time.Time, request Request) bool {
+// canMeetDeadline reports whether an answer may arrive before the deadline, judged by the
+// fastest answers.
+func (l *latencyStats) canMeetDeadline(now time.Time, request Request) bool {
 	return !now.Add(l.fastest).After(request.Deadline)
 }
 
-// useful returns until when a place is worth waiting for: until an answer will commonly
-// come too late for the objective, or else the deadline. One that is late already waits
-// for none: the place that it would get when one comes free, and keep for all of its work,
-// is worth more to those that can be in time. It is served where a place is free.
-func (l *latencies) useful(request Request) time.Time {
-	if objective, given := request.objective(); given {
-		return objective.Add(-l.typical)
+// usefulUntil returns the time until which a permit is worth waiting for: a request granted
+// one later would commonly miss its objective, or its deadline if it has no objective. A
+// request that is already late does not wait, since the permit that it would hold for the
+// whole of its work is worth more to requests that can be in time. It is served only if a
+// permit is free.
+func (l *latencyStats) usefulUntil(request Request) time.Time {
+	if objective, given := request.objectiveDeadline(); given {
+		return objective.Add(-l.median)
 	}
-	return request.Deadline.Add(-l.typical)
+	return request.Deadline.Add(-l.median)
 }
 
-// follows says whether it is worth learning what a request meets at its back end: it is a
-// first attempt that may be sent again, and a second one that were made when that is known
-// would commonly be in time.
-func (l *latencies) follows(sent time.Time, request Request) bool {
-	objective, given := request.objective()
-	if !given || l.typical == 0 || !request.Routing.Repeatable || len(request.Routing.Tried) > 0 {
+// shouldFollow reports whether to watch for a disturbance at the back end of a request: it is
+// a repeatable first attempt, and a hedge sent as soon as the disturbance is known would
+// commonly be in time.
+func (l *latencyStats) shouldFollow(sent time.Time, request Request) bool {
+	objective, given := request.objectiveDeadline()
+	if !given || l.median == 0 || !request.Routing.Repeatable || len(request.Routing.Tried) > 0 {
 		return false
 	}
-	return !sent.Add(metWithin + l.typical).After(objective)
+	return !sent.Add(disturbanceWindow + l.median).After(objective)
 }
 
-// hedgeAfter returns how long after it was sent a request should get a second attempt: as
-// soon as it is one of the slowest of its class, of which there are fewer where most back
-// ends are full, but not so late that the second answer would commonly miss the objective.
-// It returns 0 where that is not known, or even the fastest answer would come too late.
-func (l *latencies) hedgeAfter(sent time.Time, request Request, mostFull bool) time.Duration {
-	objective, given := request.objective()
+// hedgeAfter returns the delay after the grant at which to hedge a request: once it is one of
+// the slowest of its class, with a higher quantile if most back ends are full, but not so late
+// that the hedge would commonly miss the objective. It returns 0 if the latencies are unknown,
+// or if even the fastest answer to a hedge would come too late.
+func (l *latencyStats) hedgeAfter(sent time.Time, request Request, mostlyFull bool) time.Duration {
+	objective, given := request.objectiveDeadline()
 	if !given || l.slowest == 0 {
 		return 0
 	}
-	tail := l.slow
-	if mostFull {
-		tail = l.slowest
+	delay := l.slow
+	if mostlyFull {
+		delay = l.slowest
 	}
-	tail += time.Duration(tailMargin * float64(l.typical))
-	if last := objective.Sub(sent) - l.typical; last > l.typical {
-		tail = min(tail, last)
+	delay += time.Duration(hedgeMarginFactor * float64(l.median))
+	if latest := objective.Sub(sent) - l.median; latest > l.median {
+		delay = min(delay, latest)
 	}
-	if sent.Add(tail + l.fastest).After(objective) {
+	if sent.Add(delay + l.fastest).After(objective) {
 		return 0
 	}
-	return tail
+	return delay
 }
