--- a/slots/client.go
+++ b/slots/client.go
@@ -16,26 +16,27 @@
 	"github.com/tuliphall/tuliphall/routing"
 )
 
-// ErrUnreachable: the dispatcher gave no answer. The request has no place, and
-// will not get one.
+// ErrUnreachable: the dispatcher did not reply. The request has no permit and will not get
+// one.
 const ErrUnreachable = errors.ConstError("dispatcher unreachable")
 
-// ErrStaleDispatcher: the dispatcher has not heard of the service, or of any back end of
-// it: it has just started, or news has not reached it. The request has no place.
-const ErrStaleDispatcher = errors.ConstError("dispatcher behind")
+// ErrStaleDispatcher: the dispatcher does not know the service or any of its back ends,
+// because it has just started or has not received the latest configuration. The request has
+// no permit.
+const ErrStaleDispatcher = errors.ConstError("dispatcher configuration is out of date")
 
-// Timing of requests for places.
+// Timeouts of sessions and of requests for permits.
 const (
-	// openTimeout bounds the opening of a session.
+	// openTimeout bounds the time to open a session.
 	openTimeout = 300 * time.Millisecond
-	// answerTimeout is how long the first answer may take: a grant, a refusal,
-	// or the notice that the request waits.
-	answerTimeout = 300 * time.Millisecond
-	// idleSession is how long an unused session is kept.
-	idleSession = time.Minute
+	// replyTimeout bounds the time to the first reply: a grant, a refusal, or the notice that
+	// the request waits.
+	replyTimeout = 300 * time.Millisecond
+	// sessionIdleTimeout is how long an unused session is kept open.
+	sessionIdleTimeout = time.Minute
 )
 
-// Client asks other daemons for places. It is safe for concurrent use.
+// Client acquires permits from other daemons. It is safe for concurrent use.
 type Client struct {
 	network network.Network
 	log     *slog.Logger
@@ -46,125 +47,124 @@
 }
 
 // NewClient returns a client without sessions.
-func NewClient(over network.Network, log *slog.Logger) *Client {
-	return &Client{network: over, log: logging.Part(log, "slots"), sessions: make(map[string]*session)}
+func NewClient(transport network.Network, log *slog.Logger) *Client {
+	return &Client{network: transport, log: logging.Part(log, "slots"), sessions: make(map[string]*session)}
 }
 
-// Grant is a place at a back end. Its owner calls Done exactly once.
+// Grant is a permit granted by another daemon. Its owner must call Done exactly once.
 type Grant struct {
 	Backend    string
 	Reason     routing.Reason
 	Candidates int
 	ReportAge  time.Duration
 	Waited     time.Duration
-	// BestInFlight is what the dispatcher has learned of back ends like this one; see
+	// BestInFlight is the dispatcher's concurrency hint for back ends like this one; see
 	// routing.PickResult.
 	BestInFlight int
-	// HedgeAfter is when a second attempt is worth making; see dispatch.Place.
+	// HedgeAfter is the delay at which a hedge is worthwhile; see dispatch.Permit.
 	HedgeAfter time.Duration
-	// Disturbed is closed when the dispatcher tells that the request met a disturbed back
-	// end; nil: it will not tell.
+	// Disturbed is closed when the dispatcher reports that the request met a disturbed back
+	// end; nil: it will not report that.
 	Disturbed <-chan struct{}
 
 	session *session
 	id      uint64
 }
 
-// Done gives the place back. latency counts only for a success; report is nil
-// where the back end told nothing. It does not block on the dispatcher.
+// Done releases the permit. latency is used only for a success; report is nil if the back end
+// sent no load report. It does not wait for the dispatcher.
 func (g *Grant) Done(outcome routing.Outcome, latency time.Duration, report *routing.Report) {
-	g.session.unfollow(g.id)
+	g.session.removeFollowed(g.id)
 	g.session.release(g.id, outcome, latency, report)
 }
 
-// Acquire asks the dispatcher at an address for a place. It blocks while the
-// request waits. The error is ErrUnreachable, ErrBehind, service.ErrOverBudget, or a
-// *resultcode.Failure that says "not run".
+// Acquire requests a permit from the dispatcher at an address. It blocks while the request
+// waits. The error is ErrUnreachable, ErrStaleDispatcher, service.ErrOverBudget, or a
+// *resultcode.Failure that says that the request has not run.
 func (c *Client) Acquire(ctx context.Context, address, service string, kind retry.Kind, request dispatch.Request) (*Grant, error) {
-	opened, err := c.session(address)
+	sess, err := c.sessionFor(address)
 	if err != nil {
 		return nil, err
 	}
-	grant, err := opened.acquire(ctx, service, kind, request)
+	grant, err := sess.acquire(ctx, service, kind, request)
 	if errors.Is(err, ErrUnreachable) {
-		c.drop(address, opened)
+		c.closeSession(address, sess)
 	}
 	return grant, err
 }
 
-// session returns the session with an address, and opens it if there is none.
-func (c *Client) session(address string) (*session, error) {
+// sessionFor returns the session with the dispatcher at an address, and opens it if there is
+// none.
+func (c *Client) sessionFor(address string) (*session, error) {
 	c.mutex.Lock()
 	if c.closed {
 		c.mutex.Unlock()
 		return nil, ErrUnreachable
 	}
-	present, known := c.sessions[address]
+	sess, known := c.sessions[address]
 	if !known {
-		present = newSession(address)
-		present.ended = func() { c.forget(address, present) }
-		c.sessions[address] = present
+		sess = newSession(address)
+		sess.onEnd = func() { c.removeSession(address, sess) }
+		c.sessions[address] = sess
 		c.closeIdle(time.Now())
 	}
 	c.mutex.Unlock()
 	if known {
-		// Another request may still be opening it.
-		<-present.opened
-		return present, present.failure()
+		// Another goroutine may still be opening the session.
+		<-sess.opened
+		return sess, sess.endErr()
 	}
-	err := present.open(c.network)
+	err := sess.open(c.network)
 	if err != nil {
 		c.log.Warn("session not opened", "address", address, "error", err)
-		c.drop(address, present)
+		c.closeSession(address, sess)
 	}
-	return present, err
+	return sess, err
 }
 
-// closeIdle ends sessions that nothing was asked over for long. The caller holds
-// the mutex.
+// closeIdle closes sessions that have been idle for too long. The caller must hold the mutex.
 func (c *Client) closeIdle(now time.Time) {
-	for address, one := range c.sessions {
-		if one.idle(now) {
+	for address, sess := range c.sessions {
+		if sess.isIdle(now) {
 			delete(c.sessions, address)
-			go one.close()
+			go sess.close()
 		}
 	}
 }
 
-// drop ends a session that does not answer.
-func (c *Client) drop(address string, failed *session) {
-	c.forget(address, failed)
-	failed.close()
+// closeSession closes a session that does not reply.
+func (c *Client) closeSession(address string, sess *session) {
+	c.removeSession(address, sess)
+	sess.close()
 }
 
-// forget lets the next request open a new session.
-func (c *Client) forget(address string, over *session) {
+// removeSession removes a session, so that the next request opens a new one.
+func (c *Client) removeSession(address string, sess *session) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.sessions[address] == over {
+	if c.sessions[address] == sess {
 		delete(c.sessions, address)
 	}
 }
 
-// Close ends every session; the places held are free again.
+// Close closes all sessions, upon which the dispatchers take back the permits held.
 func (c *Client) Close() {
 	c.mutex.Lock()
 	sessions := c.sessions
 	c.sessions, c.closed = nil, true
 	c.mutex.Unlock()
-	for _, one := range sessions {
-		one.close()
+	for _, sess := range sessions {
+		sess.close()
 	}
 }
 
-// unreachable is the failure that a request ends with when nobody else can serve
-// it either.
+// unreachable wraps the cause of a missing reply as ErrUnreachable.
 func unreachable(cause error) error {
 	return errors.WithType(cause, ErrUnreachable)
 }
 
-// ended says why a caller's context ended a request without a place.
-func ended(ctx context.Context) *resultcode.Failure {
+// contextFailure returns the failure for a request whose context ended before it got a permit.
+func contextFailure(ctx context.Context) *resultcode.Failure {
 	if context.Cause(ctx) == context.DeadlineExceeded {
 		return &resultcode.Failure{Code: resultcode.WaitExpired, Detail: "the deadline passed"}
 	}
--- a/slots/server.go
+++ b/slots/server.go
@@ -17,213 +17,216 @@
 	"github.com/tuliphall/tuliphall/service"
 )
 
-// waitingNotice is after how long a request that waits for a place is told so.
-const waitingNotice = 50 * time.Millisecond
+// waitingNoticeDelay is the delay after which a request that waits for a permit is sent a
+// notice that it waits.
+const waitingNoticeDelay = 50 * time.Millisecond
 
-// Server answers other daemons that ask for places.
+// Server grants permits to other daemons.
 type Server struct {
 	services *service.Registry
-	rates    ReportHandler
+	reports  ReportHandler
 }
 
-// ReportHandler is what daemons that give out places tell each other of tenants. Hear takes in what
-// another one tells and returns what it is told in turn; it must not block.
+// ReportHandler handles the reports of tenant usage that daemons exchange which grant permits.
+// HandleReport processes the report of another daemon and returns the reply; it must not
+// block.
 type ReportHandler interface {
 	HandleReport(report ratelimit.Report) ratelimit.Report
 }
 
-// NewServer returns a server for the places of the services; rates nil: tenants have none.
-func NewServer(services *service.Registry, rates ReportHandler) *Server {
-	return &Server{services: services, rates: rates}
+// NewServer returns a server for the permits of the services. reports may be nil, in which
+// case reports of tenant usage are ignored.
+func NewServer(services *service.Registry, reports ReportHandler) *Server {
+	return &Server{services: services, reports: reports}
 }
 
-// Session implements peerpb.DRPCSlotsServer. It blocks until the other side ends
-// the session.
+// Session implements peerpb.DRPCSlotsServer. It blocks until the other side ends the session.
 func (s *Server) Session(stream peerpb.DRPCSlots_SessionStream) error {
 	ctx, cancel := context.WithCancel(stream.Context())
-	held := &holdings{
+	sess := &serverSession{
 		services: s.services, stream: stream, cancel: cancel,
-		queue: make(chan *peerpb.SlotReply, queueLength), requests: make(map[uint64]*holding),
+		queue: make(chan *peerpb.SlotReply, queueLength), requests: make(map[uint64]*permitRequest),
 	}
-	defer held.freeAll()
-	defer held.running.Wait()
+	defer sess.releaseAll()
+	defer sess.tasks.Wait()
 	defer cancel()
-	held.running.Go(func() { held.write(ctx) })
+	sess.tasks.Go(func() { sess.writeLoop(ctx) })
 	for {
 		request, err := stream.Recv()
 		if err != nil {
-			return nil // the session is over
+			return nil // the session has ended
 		}
 		switch {
 		case request.Acquire != nil:
-			held.acquire(ctx, request.Id, request.Acquire)
+			sess.acquire(ctx, request.Id, request.Acquire)
 		case request.Release != nil:
-			held.release(request.Id, request.Release)
-		case request.Uses != nil && s.rates != nil:
-			held.send(&peerpb.SlotReply{Id: request.Id, Uses: encodeReport(s.rates.HandleReport(decodeReport(request.Uses)))})
+			sess.release(request.Id, request.Release)
+		case request.Uses != nil && s.reports != nil:
+			sess.send(&peerpb.SlotReply{Id: request.Id, Uses: encodeReport(s.reports.HandleReport(decodeReport(request.Uses)))})
 		}
 	}
 }
 
-// holdings are the requests of one session.
-type holdings struct {
+// serverSession holds the requests of one session.
+type serverSession struct {
 	services *service.Registry
-	running  sync.WaitGroup
+	tasks    sync.WaitGroup
 	cancel   context.CancelFunc // ends the session
 	stream   peerpb.DRPCSlots_SessionStream
 	queue    chan *peerpb.SlotReply // to be sent, in order
 
 	mutex    sync.Mutex
-	requests map[uint64]*holding
+	requests map[uint64]*permitRequest
 }
 
-// holding is one request that waits for a place or has it.
-type holding struct {
+// permitRequest is a request that waits for a permit or holds one.
+type permitRequest struct {
 	service *service.Service
 	cancel  context.CancelFunc
 	grant   *dispatch.Grant // nil while it waits
 }
 
-// send queues one message. It does not block; a full queue ends the session: the
-// other side does not read.
-func (h *holdings) send(reply *peerpb.SlotReply) {
+// send queues a message without blocking. A full queue ends the session, because the other
+// side does not read.
+func (s *serverSession) send(reply *peerpb.SlotReply) {
 	select {
-	case h.queue <- reply:
+	case s.queue <- reply:
 	default:
-		h.end()
+		s.abort()
 	}
 }
 
-// end ends the session from this side.
-func (h *holdings) end() {
-	h.cancel()
-	_ = h.stream.Close()
+// abort ends the session from this side.
+func (s *serverSession) abort() {
+	s.cancel()
+	_ = s.stream.Close()
 }
 
-// write sends queued messages until the session ends.
-func (h *holdings) write(ctx context.Context) {
+// writeLoop sends queued messages until the session ends.
+func (s *serverSession) writeLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case reply := <-h.queue:
-			if err := h.stream.Send(reply); err != nil {
-				h.end()
+		case reply := <-s.queue:
+			if err := s.stream.Send(reply); err != nil {
+				s.abort()
 				return
 			}
 		}
 	}
 }
 
-func (h *holdings) acquire(ctx context.Context, id uint64, request *peerpb.Acquire) {
-	running, known := h.services.Find(request.Service)
+func (s *serverSession) acquire(ctx context.Context, id uint64, request *peerpb.Acquire) {
+	found, known := s.services.Find(request.Service)
 	if !known {
-		h.send(refusal(id, &resultcode.Failure{Code: resultcode.NoService, Detail: "service " + request.Service}))
+		s.send(encodeRefusal(id, &resultcode.Failure{Code: resultcode.NoService, Detail: "service " + request.Service}))
 		return
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	one := &holding{service: running, cancel: cancel}
-	h.mutex.Lock()
-	h.requests[id] = one
-	h.mutex.Unlock()
+	pending := &permitRequest{service: found, cancel: cancel}
+	s.mutex.Lock()
+	s.requests[id] = pending
+	s.mutex.Unlock()
 	kind := retry.Kind(request.Attempt)
-	h.running.Go(func() { h.wait(ctx, id, one, kind, decodeRequest(time.Now(), request)) })
+	s.tasks.Go(func() { s.awaitPermit(ctx, id, pending, kind, decodeRequest(time.Now(), request)) })
 }
 
-// wait waits for the request's place and tells what became of it.
-func (h *holdings) wait(ctx context.Context, id uint64, one *holding, kind retry.Kind, request dispatch.Request) {
-	notice := time.AfterFunc(waitingNotice, func() { h.send(&peerpb.SlotReply{Id: id, Waiting: true}) })
-	grant, err := one.service.Acquire(ctx, service.AsDispatcher(), kind, request)
+// awaitPermit waits for the request's permit and sends the result.
+func (s *serverSession) awaitPermit(ctx context.Context, id uint64, pending *permitRequest, kind retry.Kind, request dispatch.Request) {
+	notice := time.AfterFunc(waitingNoticeDelay, func() { s.send(&peerpb.SlotReply{Id: id, Waiting: true}) })
+	grant, err := pending.service.Acquire(ctx, service.AsDispatcher(), kind, request)
 	notice.Stop()
 	if err != nil {
-		h.forget(id)
-		h.send(refusal(id, err))
+		s.remove(id)
+		s.send(encodeRefusal(id, err))
 		return
 	}
-	if !h.hold(id, one, grant) {
+	if !s.attachGrant(id, pending, grant) {
 		grant.Done(routing.Canceled, 0, nil)
 		return
 	}
-	h.send(&peerpb.SlotReply{Id: id, Grant: &peerpb.Grant{
+	s.send(&peerpb.SlotReply{Id: id, Grant: &peerpb.Grant{
 		Backend: grant.Backend.ID, Reason: string(grant.Reason), Candidates: int64(grant.Candidates),
 		ReportAgeUs: grant.ReportAge.Microseconds(), WaitedUs: grant.Waited().Microseconds(),
 		BestInFlight: int64(grant.BestInFlight), HedgeAfterUs: grant.HedgeAfter.Microseconds(), Followed: grant.Followed,
 	}})
 	if grant.Followed {
-		grant.OnDisturbed(func() { h.send(&peerpb.SlotReply{Id: id, Disturbed: true}) })
+		grant.OnDisturbed(func() { s.send(&peerpb.SlotReply{Id: id, Disturbed: true}) })
 	}
 }
 
-// hold notes the grant unless the request was given up in the meantime.
-func (h *holdings) hold(id uint64, one *holding, grant *dispatch.Grant) bool {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	if h.requests[id] != one {
+// attachGrant stores the grant, and returns false if the request has been abandoned in the
+// meantime.
+func (s *serverSession) attachGrant(id uint64, pending *permitRequest, grant *dispatch.Grant) bool {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if s.requests[id] != pending {
 		return false
 	}
-	one.grant = grant
+	pending.grant = grant
 	return true
 }
 
-func (h *holdings) forget(id uint64) *holding {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	one := h.requests[id]
-	delete(h.requests, id)
-	return one
+func (s *serverSession) remove(id uint64) *permitRequest {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	pending := s.requests[id]
+	delete(s.requests, id)
+	return pending
 }
 
-// release takes a place back, or ends the wait for it.
-func (h *holdings) release(id uint64, told *peerpb.Release) {
-	one := h.forget(id)
-	if one == nil {
+// release releases a permit, or cancels the wait for it.
+func (s *serverSession) release(id uint64, message *peerpb.Release) {
+	pending := s.remove(id)
+	if pending == nil {
 		return
 	}
-	one.cancel()
-	if one.grant == nil {
+	pending.cancel()
+	if pending.grant == nil {
 		return
 	}
 	var report *routing.Report
-	if told.Load != nil {
-		report = &routing.Report{InFlight: int(told.Load.InFlight), Slowdown: told.Load.Slowdown}
+	if message.Load != nil {
+		report = &routing.Report{InFlight: int(message.Load.InFlight), Slowdown: message.Load.Slowdown}
 	}
-	one.grant.Done(routing.Outcome(told.Outcome), microseconds(told.LatencyUs), report)
+	pending.grant.Done(routing.Outcome(message.Outcome), microseconds(message.LatencyUs), report)
 }
 
-// freeAll takes every place back. Nothing waits any more.
-func (h *holdings) freeAll() {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	for _, one := range h.requests {
-		one.cancel()
-		if one.grant != nil {
-			one.grant.Done(routing.Canceled, 0, nil)
+// releaseAll releases all permits. It is called once no request waits any more.
+func (s *serverSession) releaseAll() {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	for _, pending := range s.requests {
+		pending.cancel()
+		if pending.grant != nil {
+			pending.grant.Done(routing.Canceled, 0, nil)
 		}
 	}
-	h.requests = nil
+	s.requests = nil
 }
 
-func decodeRequest(now time.Time, from *peerpb.Acquire) dispatch.Request {
+func decodeRequest(now time.Time, encoded *peerpb.Acquire) dispatch.Request {
 	return dispatch.Request{
-		Weight: int(from.Weight), Wait: microseconds(from.WaitUs), Deadline: now.Add(microseconds(from.RemainingUs)), FirstTry: now.Add(-microseconds(from.AgeUs)),
-		Class: from.Class, Tenant: from.Tenant, Objective: microseconds(from.ObjectiveUs), Fingerprints: quarantine.Fingerprints{Exact: quarantine.Fingerprint(from.Fingerprint), Broad: quarantine.Fingerprint(from.Broad)},
-		Routing: routing.Request{Session: from.Session, Tried: from.Tried, Repeatable: from.Repeatable, Zone: from.Zone, Excluded: decodeExclusions(now, from.Excluded)},
+		Weight: int(encoded.Weight), Wait: microseconds(encoded.WaitUs), Deadline: now.Add(microseconds(encoded.RemainingUs)), FirstTry: now.Add(-microseconds(encoded.AgeUs)),
+		Class: encoded.Class, Tenant: encoded.Tenant, Objective: microseconds(encoded.ObjectiveUs), Fingerprints: quarantine.Fingerprints{Exact: quarantine.Fingerprint(encoded.Fingerprint), Broad: quarantine.Fingerprint(encoded.Broad)},
+		Routing: routing.Request{Session: encoded.Session, Tried: encoded.Tried, Repeatable: encoded.Repeatable, Zone: encoded.Zone, Excluded: decodeExclusions(now, encoded.Excluded)},
 	}
 }
 
 func decodeExclusions(now time.Time, encoded []*peerpb.Exclusion) []routing.Exclusion {
 	exclusions := make([]routing.Exclusion, 0, len(encoded))
-	for _, one := range encoded {
-		exclusion := routing.Exclusion{Backend: one.Backend}
-		if one.LeftUs > 0 {
-			exclusion.Until = now.Add(microseconds(one.LeftUs))
+	for _, entry := range encoded {
+		exclusion := routing.Exclusion{Backend: entry.Backend}
+		if entry.LeftUs > 0 {
+			exclusion.Until = now.Add(microseconds(entry.LeftUs))
 		}
 		exclusions = append(exclusions, exclusion)
 	}
 	return exclusions
 }
 
-func refusal(id uint64, err error) *peerpb.SlotReply {
+func encodeRefusal(id uint64, err error) *peerpb.SlotReply {
 	if errors.Is(err, service.ErrOverBudget) {
 		return &peerpb.SlotReply{Id: id, Refusal: &peerpb.Refusal{OverBudget: true}}
 	}
--- a/slots/session.go
+++ b/slots/session.go
@@ -17,44 +17,44 @@
 	"github.com/tuliphall/tuliphall/service"
 )
 
-// session is one stream of requests to a dispatcher.
+// session is a stream of messages to a dispatcher.
 type session struct {
 	address string
 	opened  chan struct{} // closed once open has ended
-	ended   func()        // called once the stream has ended
+	onEnd   func()        // called once the stream has ended
 	cancel  context.CancelFunc
 	conn    *drpcconn.Conn
 	stream  peerpb.DRPCSlots_SessionClient
 	queue   chan *peerpb.SlotRequest // to be sent, in order
 
-	mutex   sync.Mutex
-	err     error // why the session is over
-	next    uint64
-	waiting map[uint64]chan *peerpb.SlotReply
-	held    int
-	// followed are closed when it is told that the request that has the place met a
-	// disturbed back end.
+	mutex       sync.Mutex
+	err         error // why the session ended
+	lastID      uint64
+	pending     map[uint64]chan *peerpb.SlotReply
+	heldPermits int
+	// followed holds a channel per permit whose request may turn out to have met a disturbed
+	// back end. The channel is closed when the dispatcher reports that.
 	followed map[uint64]chan struct{}
-	used     time.Time
+	lastUsed time.Time
 }
 
-// queueLength bounds the messages of a session that are not written yet. A full
-// queue ends the session: the dispatcher does not read.
+// queueLength bounds the messages of a session that wait to be sent. A full queue ends the
+// session, because the other side does not read.
 const queueLength = 1024
 
 func newSession(address string) *session {
 	return &session{
 		address: address, opened: make(chan struct{}), queue: make(chan *peerpb.SlotRequest, queueLength),
-		waiting: make(map[uint64]chan *peerpb.SlotReply), followed: make(map[uint64]chan struct{}), used: time.Now(),
+		pending: make(map[uint64]chan *peerpb.SlotReply), followed: make(map[uint64]chan struct{}), lastUsed: time.Now(),
 	}
 }
 
-// open connects and starts to read answers.
-func (s *session) open(over network.Network) error {
+// open connects to the dispatcher and starts to read replies.
+func (s *session) open(transport network.Network) error {
 	defer close(s.opened)
-	dialing, done := context.WithTimeout(context.Background(), openTimeout)
-	defer done()
-	conn, err := over.Dial(dialing, s.address)
+	dialCtx, cancelDial := context.WithTimeout(context.Background(), openTimeout)
+	defer cancelDial()
+	conn, err := transport.Dial(dialCtx, s.address)
 	if err != nil {
 		return s.fail(err)
 	}
@@ -67,107 +67,105 @@
 		return s.fail(err)
 	}
 	s.stream = stream
-	go s.read()
-	go s.write(ctx)
+	go s.readLoop()
+	go s.writeLoop(ctx)
 	return nil
 }
 
-func (s *session) failure() error {
+func (s *session) endErr() error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.err
 }
 
-// fail ends the session for every request that waits, and returns the error that
-// they get.
+// fail ends the session for every waiting request, and returns the error that they get.
 func (s *session) fail(cause error) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.err == nil {
 		s.err = unreachable(cause)
-		for id, told := range s.waiting {
-			close(told)
-			delete(s.waiting, id)
+		for id, replies := range s.pending {
+			close(replies)
+			delete(s.pending, id)
 		}
 	}
 	return s.err
 }
 
-// read hands out answers until the session ends.
-func (s *session) read() {
+// readLoop handles replies until the session ends.
+func (s *session) readLoop() {
 	for {
 		reply, err := s.stream.Recv()
 		if err != nil {
 			_ = s.fail(err)
 			s.cancel()
 			s.conn.Close()
-			s.ended()
+			s.onEnd()
 			return
 		}
-		s.take(reply)
+		s.handleReply(reply)
 	}
 }
 
-func (s *session) take(reply *peerpb.SlotReply) {
+func (s *session) handleReply(reply *peerpb.SlotReply) {
 	if reply.Disturbed {
-		s.tellDisturbed(reply.Id)
+		s.notifyDisturbed(reply.Id)
 		return
 	}
 	s.mutex.Lock()
-	told, known := s.waiting[reply.Id]
+	replies, known := s.pending[reply.Id]
 	if known && reply.Grant.GetFollowed() {
 		s.followed[reply.Id] = make(chan struct{})
 	}
 	if known {
 		select {
-		case told <- reply:
-		default: // a second notice that the request waits tells nothing new
+		case replies <- reply:
+		default: // a second waiting notice carries no new information
 		}
 	}
 	s.mutex.Unlock()
 	if !known && reply.Grant != nil {
-		// The request was given up on in the meantime.
+		// The request was abandoned in the meantime.
 		s.send(&peerpb.SlotRequest{Id: reply.Id, Release: &peerpb.Release{Outcome: int32(routing.Canceled)}})
 	}
 }
 
-// following returns what is closed when it is told that a request met a disturbed back end;
-// nil: it will not be told.
-func (s *session) following(id uint64) <-chan struct{} {
+// disturbedChan returns the channel that is closed when the dispatcher reports that a request
+// met a disturbed back end; nil: it will not report that.
+func (s *session) disturbedChan(id uint64) <-chan struct{} {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.followed[id]
 }
 
-// unfollow forgets a place whose request has ended.
-func (s *session) unfollow(id uint64) {
+// removeFollowed removes the channel of a permit whose request has ended.
+func (s *session) removeFollowed(id uint64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	delete(s.followed, id)
 }
 
-// tellDisturbed tells that the request that has a place met a disturbed back end.
-func (s *session) tellDisturbed(id uint64) {
+// notifyDisturbed closes the channel of a permit whose request met a disturbed back end.
+func (s *session) notifyDisturbed(id uint64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if told, known := s.followed[id]; known {
-		close(told)
+	if notified, known := s.followed[id]; known {
+		close(notified)
 		delete(s.followed, id)
 	}
 }
 
-// send queues one message. It does not block.
+// send queues a message without blocking. A full queue ends the session.
 func (s *session) send(request *peerpb.SlotRequest) {
 	select {
 	case s.queue <- request:
 	default:
-		_ = s.fail(errors.New("the dispatcher does not read"))
+		_ = s.fail(errors.New("send queue is full: the dispatcher does not read"))
 	}
 }
 
-// write sends queued messages until the session ends. What it cannot send ends
-// the session.
-func (s *session) write(ctx context.Context) {
+// writeLoop sends queued messages until the session ends. A failed send ends the session.
+func (s *session) writeLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -192,124 +190,125 @@
 	}
 }
 
-// idle says whether nothing was asked for a while and no place is held.
-func (s *session) idle(now time.Time) bool {
+// isIdle reports whether the session has been unused for sessionIdleTimeout and holds no
+// permits.
+func (s *session) isIdle(now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.held == 0 && len(s.waiting) == 0 && now.Sub(s.used) > idleSession
+	return s.heldPermits == 0 && len(s.pending) == 0 && now.Sub(s.lastUsed) > sessionIdleTimeout
 }
 
-// enter notes a request that waits for its answer. There is room for the notice
-// that it waits and for the answer itself.
-func (s *session) enter() (uint64, chan *peerpb.SlotReply, error) {
+// register adds a request that waits for its reply. The channel has room for the waiting
+// notice and the reply itself, so that handleReply never blocks.
+func (s *session) register() (uint64, chan *peerpb.SlotReply, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.err != nil {
 		return 0, nil, s.err
 	}
-	s.next++
-	told := make(chan *peerpb.SlotReply, 2)
-	s.waiting[s.next] = told
-	s.used = time.Now()
-	return s.next, told, nil
+	s.lastID++
+	replies := make(chan *peerpb.SlotReply, 2)
+	s.pending[s.lastID] = replies
+	s.lastUsed = time.Now()
+	return s.lastID, replies, nil
 }
 
-// leave notes that a request no longer waits, and whether it got a place.
-func (s *session) leave(id uint64, granted bool) {
+// unregister removes a request that no longer waits, and records whether it got a permit.
+func (s *session) unregister(id uint64, granted bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	delete(s.waiting, id)
+	delete(s.pending, id)
 	if granted {
-		s.held++
+		s.heldPermits++
 	}
 }
 
-// acquire asks for a place and waits for the answer.
+// acquire requests a permit and waits for the reply.
 func (s *session) acquire(ctx context.Context, service string, kind retry.Kind, request dispatch.Request) (*Grant, error) {
-	id, told, err := s.enter()
+	id, replies, err := s.register()
 	if err != nil {
 		return nil, err
 	}
 	s.send(&peerpb.SlotRequest{Id: id, Acquire: encodeRequest(time.Now(), service, kind, request)})
-	timer := time.NewTimer(answerTimeout)
+	timer := time.NewTimer(replyTimeout)
 	defer timer.Stop()
 	for {
 		select {
-		case reply, open := <-told:
+		case reply, open := <-replies:
 			switch {
 			case !open:
-				return nil, s.failure()
+				return nil, s.endErr()
 			case reply.Waiting:
-				// It answers; it may now take as long as the request may wait.
-				timer.Reset(longestWait(time.Now(), request) + answerTimeout)
+				// The dispatcher is alive. The permit may now take as long as the request may wait.
+				timer.Reset(maxWait(time.Now(), request) + replyTimeout)
 			default:
-				s.leave(id, reply.Grant != nil)
-				return s.unpack(reply)
+				s.unregister(id, reply.Grant != nil)
+				return s.decodeReply(reply)
 			}
 		case <-timer.C:
-			s.giveUp(id)
-			return nil, unreachable(errors.New("no answer in time"))
+			s.abandon(id)
+			return nil, unreachable(errors.New("the dispatcher did not reply within the timeout"))
 		case <-ctx.Done():
-			s.giveUp(id)
-			return nil, ended(ctx)
+			s.abandon(id)
+			return nil, contextFailure(ctx)
 		}
 	}
 }
 
-// longestWait is how long the dispatcher may let the request wait.
-func longestWait(now time.Time, request dispatch.Request) time.Duration {
-	left := request.Deadline.Sub(now)
+// maxWait returns how long the dispatcher may let the request wait.
+func maxWait(now time.Time, request dispatch.Request) time.Duration {
+	remaining := request.Deadline.Sub(now)
 	if request.Wait > 0 {
-		return min(left, request.Wait)
+		return min(remaining, request.Wait)
 	}
-	return left
+	return remaining
 }
 
-// giveUp ends the wait for a place.
-func (s *session) giveUp(id uint64) {
-	s.leave(id, false)
-	s.unfollow(id)
+// abandon cancels the wait for a permit.
+func (s *session) abandon(id uint64) {
+	s.unregister(id, false)
+	s.removeFollowed(id)
 	s.send(&peerpb.SlotRequest{Id: id, Release: &peerpb.Release{Outcome: int32(routing.Canceled)}})
 }
 
-func (s *session) unpack(reply *peerpb.SlotReply) (*Grant, error) {
+func (s *session) decodeReply(reply *peerpb.SlotReply) (*Grant, error) {
 	if reply.Refusal != nil {
-		return nil, refusalError(reply.Refusal)
+		return nil, decodeRefusal(reply.Refusal)
 	}
-	granted := reply.Grant
+	grant := reply.Grant
 	return &Grant{
-		Disturbed: s.following(reply.Id),
-		Backend:   granted.Backend, Reason: routing.Reason(granted.Reason), Candidates: int(granted.Candidates),
-		ReportAge: microseconds(granted.ReportAgeUs), Waited: microseconds(granted.WaitedUs), BestInFlight: int(granted.BestInFlight), HedgeAfter: microseconds(granted.HedgeAfterUs), session: s, id: reply.Id,
+		Disturbed: s.disturbedChan(reply.Id),
+		Backend:   grant.Backend, Reason: routing.Reason(grant.Reason), Candidates: int(grant.Candidates),
+		ReportAge: microseconds(grant.ReportAgeUs), Waited: microseconds(grant.WaitedUs), BestInFlight: int(grant.BestInFlight), HedgeAfter: microseconds(grant.HedgeAfterUs), session: s, id: reply.Id,
 	}, nil
 }
 
-// refusalError is what a refusal means for the request. What a dispatcher lacks says
-// nothing of what this daemon knows.
-func refusalError(refused *peerpb.Refusal) error {
-	if refused.OverBudget {
+// decodeRefusal returns the error for a refusal. If the dispatcher lacks the service or its
+// back ends, that is not a failure of the request, because this daemon may know them.
+func decodeRefusal(refusal *peerpb.Refusal) error {
+	if refusal.OverBudget {
 		return service.ErrOverBudget
 	}
-	code := resultcode.Code(refused.Code)
+	code := resultcode.Code(refusal.Code)
 	if code.Lacks() {
-		return errors.Annotate(ErrStaleDispatcher, refused.Detail)
+		return errors.Annotate(ErrStaleDispatcher, refusal.Detail)
 	}
-	return &resultcode.Failure{Code: code, Detail: refused.Detail, RetryAfter: microseconds(refused.RetryAfterUs)}
+	return &resultcode.Failure{Code: code, Detail: refusal.Detail, RetryAfter: microseconds(refusal.RetryAfterUs)}
 }
 
 func (s *session) release(id uint64, outcome routing.Outcome, latency time.Duration, report *routing.Report) {
 	s.mutex.Lock()
-	s.held--
-	over := s.err != nil
+	s.heldPermits--
+	ended := s.err != nil
 	s.mutex.Unlock()
-	if over {
-		return // the dispatcher has taken the place back
+	if ended {
+		return // the dispatcher has released the permit already
 	}
-	told := &peerpb.Release{Outcome: int32(outcome), LatencyUs: latency.Microseconds()}
+	message := &peerpb.Release{Outcome: int32(outcome), LatencyUs: latency.Microseconds()}
 	if report != nil {
-		told.Load = &peerpb.Load{InFlight: int64(report.InFlight), Slowdown: report.Slowdown}
+		message.Load = &peerpb.Load{InFlight: int64(report.InFlight), Slowdown: report.Slowdown}
 	}
-	s.send(&peerpb.SlotRequest{Id: id, Release: told})
+	s.send(&peerpb.SlotRequest{Id: id, Release: message})
 }
 
 func encodeRequest(now time.Time, service string, kind retry.Kind, request dispatch.Request) *peerpb.Acquire {
@@ -326,16 +325,16 @@
 func encodeExclusions(now time.Time, exclusions []routing.Exclusion) []*peerpb.Exclusion {
 	encoded := make([]*peerpb.Exclusion, 0, len(exclusions))
 	for _, exclusion := range exclusions {
-		one := &peerpb.Exclusion{Backend: exclusion.Backend}
+		entry := &peerpb.Exclusion{Backend: exclusion.Backend}
 		if !exclusion.Until.IsZero() {
-			one.LeftUs = max(exclusion.Until.Sub(now).Microseconds(), 1)
+			entry.LeftUs = max(exclusion.Until.Sub(now).Microseconds(), 1)
 		}
-		encoded = append(encoded, one)
+		encoded = append(encoded, entry)
 	}
 	return encoded
 }
 
-// age returns for how long the caller has waited; 0 where that is not known.
+// age returns how long ago the caller first sent the request; 0 if unknown.
 func age(now, firstTry time.Time) time.Duration {
 	if firstTry.IsZero() {
 		return 0
--- a/slots/slots_test.go
+++ b/slots/slots_test.go
@@ -26,14 +26,14 @@
 
 const serviceName = "prices"
 
-// dispatcher is a daemon that gives out the one place of a service.
-type dispatcher struct {
+// testDispatcher is a daemon that grants the single permit of a service.
+type testDispatcher struct {
 	address string
 	service *service.Service
 	stop    func()
 }
 
-func startDispatcher(t testing.TB) *dispatcher {
+func startDispatcher(t testing.TB) *testDispatcher {
 	t.Helper()
 	services := service.NewRegistry(service.Options{Network: network.TCP{}, Seed: 1})
 	snapshot, err := config.NewSnapshot(config.Document{Revision: 1, Content: config.Content{
@@ -52,8 +52,8 @@
 		defer close(done)
 		_ = drpcserver.New(mux).Serve(ctx, listener)
 	}()
-	running, _ := services.Find(serviceName)
-	return &dispatcher{address: listener.Addr().String(), service: running, stop: func() {
+	found, _ := services.Find(serviceName)
+	return &testDispatcher{address: listener.Addr().String(), service: found, stop: func() {
 		cancel()
 		<-done
 	}}
@@ -67,7 +67,7 @@
 	return dispatch.Request{Weight: 1, Wait: wait, Deadline: time.Now().Add(time.Minute)}
 }
 
-func acquire(t *testing.T, client *slots.Client, d *dispatcher) *slots.Grant {
+func acquire(t *testing.T, client *slots.Client, d *testDispatcher) *slots.Grant {
 	t.Helper()
 	grant, err := client.Acquire(t.Context(), d.address, serviceName, retry.First, request(0))
 	require.NoError(t, err)
@@ -75,8 +75,9 @@
 	return grant
 }
 
-// TestPlaceGoesOn lets a second request wait until the first gives its place back.
-func TestPlaceGoesOn(t *testing.T) {
+// TestPermitPassesToWaitingRequest checks that a second request waits until the first one
+// releases its permit.
+func TestPermitPassesToWaitingRequest(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	d := startDispatcher(t)
 	defer d.stop()
@@ -92,14 +93,14 @@
 		}
 		second <- grant
 	}()
-	// Its wait begins when it has reached the dispatcher, not when it was asked.
+	// The wait starts when the request reaches the dispatcher, not when it is sent.
 	require.Eventually(t, func() bool {
 		_, waiting := d.service.Dispatcher.Status()
 		return waiting == 1
 	}, 5*time.Second, time.Millisecond)
 	select {
 	case <-second:
-		t.Fatal("two requests hold one place")
+		t.Fatal("two requests hold one permit")
 	case <-time.After(100 * time.Millisecond):
 	}
 	first.Done(routing.Success, time.Millisecond, &routing.Report{InFlight: 1, Slowdown: 2})
@@ -109,8 +110,9 @@
 	grant.Done(routing.Success, time.Millisecond, nil)
 }
 
-// TestSessionEnds gives the places of a daemon that is gone to others.
-func TestSessionEnds(t *testing.T) {
+// TestSessionEndReleasesPermits checks that the permits of a daemon that is gone pass to
+// others.
+func TestSessionEndReleasesPermits(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	d := startDispatcher(t)
 	defer d.stop()
@@ -121,8 +123,9 @@
 	acquire(t, client, d).Done(routing.Canceled, 0, nil)
 }
 
-// TestGivenUp takes back the place of a request whose caller left while it waited.
-func TestGivenUp(t *testing.T) {
+// TestCanceledAcquireLeavesNoPermit checks that no permit stays with a request whose caller
+// left while it waited.
+func TestCanceledAcquireLeavesNoPermit(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	d := startDispatcher(t)
 	defer d.stop()
@@ -137,9 +140,9 @@
 	acquire(t, client, d).Done(routing.Canceled, 0, nil)
 }
 
-// TestRefused passes the dispatcher's refusal on, with its advice, unless it only
-// tells that the dispatcher has not heard of the service.
-func TestRefused(t *testing.T) {
+// TestRefusalIsPassedOn checks that the dispatcher's refusal and its Retry-After are passed on,
+// except that an unknown service yields ErrStaleDispatcher.
+func TestRefusalIsPassedOn(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	d := startDispatcher(t)
 	defer d.stop()
@@ -156,7 +159,8 @@
 	require.ErrorIs(t, err, slots.ErrStaleDispatcher)
 }
 
-// TestSilentDispatcher gives up on one that takes connections and never answers.
+// TestSilentDispatcher checks that a dispatcher which accepts connections but never replies is
+// given up on.
 func TestSilentDispatcher(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -168,15 +172,16 @@
 	require.ErrorIs(t, err, slots.ErrUnreachable)
 }
 
-// TestNewSession opens another session after the dispatcher has come back.
-func TestNewSession(t *testing.T) {
+// TestNewSessionAfterDispatcherRestart checks that a new session is opened after a dispatcher
+// has stopped and another one has started.
+func TestNewSessionAfterDispatcherRestart(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	d := startDispatcher(t)
 	client := newClient()
 	defer client.Close()
-	held := acquire(t, client, d)
+	grant := acquire(t, client, d)
 	d.stop()
-	held.Done(routing.Success, time.Millisecond, nil) // nobody takes it back; nothing breaks
+	grant.Done(routing.Success, time.Millisecond, nil) // releasing a permit of a stopped dispatcher must do no harm
 	other := startDispatcher(t)
 	defer other.stop()
 	acquire(t, client, other).Done(routing.Canceled, 0, nil)
@@ -184,8 +189,8 @@
 	require.ErrorIs(t, err, slots.ErrUnreachable)
 }
 
-// BenchmarkPlace asks for a place over loopback and gives it back.
-func BenchmarkPlace(b *testing.B) {
+// BenchmarkAcquire acquires and releases a permit over loopback.
+func BenchmarkAcquire(b *testing.B) {
 	d := startDispatcher(b)
 	defer d.stop()
 	client := newClient()
--- a/slots/uses.go
+++ b/slots/uses.go
@@ -9,31 +9,31 @@
 	"github.com/tuliphall/tuliphall/ratelimit"
 )
 
-// Exchange tells the daemon at an address what this one has let through for tenants, and
-// returns what it tells. It blocks for the way there and back; the error is
-// ErrUnreachable, or that of ctx.
+// Exchange sends this daemon's report of tenant usage to the daemon at an address, and returns
+// that daemon's report. It blocks for one round trip; the error is ErrUnreachable or that of
+// ctx.
 func (c *Client) Exchange(ctx context.Context, address string, report ratelimit.Report) (ratelimit.Report, error) {
-	opened, err := c.session(address)
+	sess, err := c.sessionFor(address)
 	if err != nil {
 		return ratelimit.Report{}, err
 	}
-	return opened.exchange(ctx, report)
+	return sess.exchange(ctx, report)
 }
 
 func (s *session) exchange(ctx context.Context, report ratelimit.Report) (ratelimit.Report, error) {
-	id, told, err := s.enter()
+	id, replies, err := s.register()
 	if err != nil {
 		return ratelimit.Report{}, err
 	}
-	defer s.leave(id, false)
+	defer s.unregister(id, false)
 	s.send(&peerpb.SlotRequest{Id: id, Uses: encodeReport(report)})
 	select {
-	case reply, open := <-told:
+	case reply, open := <-replies:
 		if !open {
-			return ratelimit.Report{}, s.failure()
+			return ratelimit.Report{}, s.endErr()
 		}
 		if reply.Uses == nil {
-			return ratelimit.Report{}, unreachable(errors.New("the answer tells no uses"))
+			return ratelimit.Report{}, unreachable(errors.New("the reply contains no tenant usage"))
 		}
 		return decodeReport(reply.Uses), nil
 	case <-ctx.Done():
