--- a/admission/chance_test.go
+++ b/admission/chance_test.go
@@ -66,7 +66,7 @@
 		within := time.Duration(rapid.Int64Range(1, int64(time.Minute)).Draw(t, "within"))
 		probability := rates.grantProbability(ahead, within)
 		if math.IsNaN(probability) || probability < 0 || probability > 1 {
-			t.Fatalf("chance %g", probability)
+			t.Fatalf("probability %g", probability)
 		}
 		const tolerance = 1e-6
 		if behindOneMore := rates.grantProbability(ahead+1, within); behindOneMore > probability+tolerance {
@@ -135,7 +135,7 @@
 }
 
 // TestShedKeepsLikelyTickets checks that Shed removes nothing from a queue that drains faster
-// than it fills.
+// than it fills, until too little time is left to serve all of it.
 func TestShedKeepsLikelyTickets(t *testing.T) {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	queue := NewQueue(1000)
--- a/admission/saturation_test.go
+++ b/admission/saturation_test.go
@@ -29,7 +29,7 @@
 }
 
 // TestNoReleaseRateBeforeFirstRelease lets requests wait behind one that occupies the only
-// back end for seconds. They must not be refused because nothing has been released yet.
+// back end for seconds. That nothing has been released yet is no reason to refuse them.
 func TestNoReleaseRateBeforeFirstRelease(t *testing.T) {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	queue := NewQueue(1000)
--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -35,7 +35,7 @@
 }
 
 // minCallerRetryAge is the age from which a request counts as a retry by its caller. Callers
-// state their remaining patience in milliseconds, so that a first try may appear to be a few
+// state their remaining wait in milliseconds, so that a first try may appear to be a few
 // milliseconds old.
 const minCallerRetryAge = 10 * time.Millisecond
 
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -189,7 +189,8 @@
 	refusal *resultcode.Failure
 }
 
-// resultChan has a buffer of one, so that the sender never blocks.
+// resultChan delivers the result to a waiting request. It is made with a buffer of one, so that
+// the sender never blocks.
 type resultChan chan acquireResult
 
 // Acquire returns a permit for the request. It blocks while the request waits. The error is a
@@ -321,7 +322,7 @@
 	Zone     string `json:"zone"`
 	Slots    int    `json:"slots"`
 	InFlight int    `json:"in_flight"`
-	// BestInFlight is the learned concurrency hint; 0: no bound is known.
+	// BestInFlight is the learned concurrency hint; 0: nothing bounds it.
 	BestInFlight int     `json:"best_in_flight"`
 	PeerInFlight float64 `json:"others"`
 	Draining     bool    `json:"draining"`
