--- a/admission/chance_test.go
+++ b/admission/chance_test.go
@@ -31,9 +31,9 @@
 	}
 }
 
-// TestGrantProbabilityMatchesSimulation compares the formula with simulations of the two
+// TestChanceIsThatOfTheStreams compares the formula with simulations of the two
 // Poisson processes that it describes.
-func TestGrantProbabilityMatchesSimulation(t *testing.T) {
+func TestChanceIsThatOfTheStreams(t *testing.T) {
 	const trials = 20_000
 	random := rand.New(rand.NewPCG(1, 2))
 	for _, test := range []struct {
@@ -57,9 +57,9 @@
 	}
 }
 
-// TestGrantProbabilityIsMonotonic checks that the probability is between 0 and 1, does not
+// TestChanceFallsAndGrows checks that the probability is between 0 and 1, does not
 // grow with the number of requests ahead, and does not shrink with the time.
-func TestGrantProbabilityIsMonotonic(t *testing.T) {
+func TestChanceFallsAndGrows(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rates := contention{releasesPerSecond: rapid.Float64Range(0.1, 1e5).Draw(t, "served"), overtakesPerSecond: rapid.Float64Range(0, 1e5).Draw(t, "ahead")}
 		ahead := rapid.IntRange(0, 2000).Draw(t, "waiting")
@@ -107,9 +107,9 @@
 	}
 }
 
-// TestShedRemovesUnlikelyTickets fills a queue while arrivals far exceed releases. Shed must
+// TestHopelessAreTakenOut fills a queue while arrivals far exceed releases. Shed must
 // remove the tickets that are unlikely to get a permit, and keep the rest.
-func TestShedRemovesUnlikelyTickets(t *testing.T) {
+func TestHopelessAreTakenOut(t *testing.T) {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	queue := NewQueue(1000)
 	for i := range 400 {
@@ -134,9 +134,9 @@
 	}
 }
 
-// TestShedKeepsLikelyTickets checks that Shed removes nothing from a queue that drains faster
+// TestHopefulStay checks that Shed removes nothing from a queue that drains faster
 // than it fills, until too little time is left to serve all of it.
-func TestShedKeepsLikelyTickets(t *testing.T) {
+func TestHopefulStay(t *testing.T) {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	queue := NewQueue(1000)
 	for range 100 {
--- a/admission/saturation_test.go
+++ b/admission/saturation_test.go
@@ -28,9 +28,9 @@
 	require.InDelta(t, 200, releasesPerSecond(start.Add(time.Second+2*saturationGap)), 1, "no request waits any more")
 }
 
-// TestNoReleaseRateBeforeFirstRelease lets requests wait behind one that occupies the only
+// TestNothingIsKnownBeforeTheFirstPlace lets requests wait behind one that occupies the only
 // back end for seconds. That nothing has been released yet is no reason to refuse them.
-func TestNoReleaseRateBeforeFirstRelease(t *testing.T) {
+func TestNothingIsKnownBeforeTheFirstPlace(t *testing.T) {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	queue := NewQueue(1000)
 	for i := range 100 {
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -64,9 +64,9 @@
 	})
 }
 
-// TestHigherWeightGoesFirst checks that waiting requests are served by weight, and that the one
+// TestHeavierGoesFirst checks that waiting requests are served by weight, and that the one
 // with the lowest weight is displaced when the queue is full.
-func TestHigherWeightGoesFirst(t *testing.T) {
+func TestHeavierGoesFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDispatcher(1, 2)
 		blocking := acquireColdPermit(t, d)
@@ -91,9 +91,9 @@
 	})
 }
 
-// TestBurstAfterIdle sends many requests at once after an idle period, and more while the first
+// TestBurstAfterQuiet sends many requests at once after an idle period, and more while the first
 // are in flight. All can be served long before their deadlines, so none may be refused.
-func TestBurstAfterIdle(t *testing.T) {
+func TestBurstAfterQuiet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDispatcher(4, 1000)
 		time.Sleep(time.Minute)
@@ -131,8 +131,8 @@
 	})
 }
 
-// TestDrainingBackendGetsNoRequests checks that a draining back end gets no new requests.
-func TestDrainingBackendGetsNoRequests(t *testing.T) {
+// TestDraining checks that a draining back end gets no new requests.
+func TestDraining(t *testing.T) {
 	list := backends(2)
 	d := dispatch.New(rand.New(rand.NewPCG(1, 1)), 10)
 	d.Configure(fixedBackends(list...), 10)
@@ -148,8 +148,8 @@
 	require.Equal(t, resultcode.NoBackend, err.(*resultcode.Failure).Code)
 }
 
-// TestSessionsBindToSameBackend checks that all daemons bind a session to the same back end.
-func TestSessionsBindToSameBackend(t *testing.T) {
+// TestSessionsStay checks that all daemons bind a session to the same back end.
+func TestSessionsStay(t *testing.T) {
 	first, second := newDispatcher(10, 10), newDispatcher(10, 10)
 	for session := range 50 {
 		req := request(1, 0)
@@ -243,10 +243,10 @@
 	}
 }
 
-// TestHeldBackBackendIsUsedAfterDelay lets a request wait while the only back end with a free
+// TestHeldBackEndsByItself lets a request wait while the only back end with a free
 // permit is held back, as it has just reported a disturbance. The request must get the permit
 // once the report is old, although no other event occurs.
-func TestHeldBackBackendIsUsedAfterDelay(t *testing.T) {
+func TestHeldBackEndsByItself(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDispatcher(2, 10)
 		busy, disturbed := acquireColdPermit(t, d), acquireColdPermit(t, d)
@@ -290,9 +290,9 @@
 	return req
 }
 
-// TestMostRecentFirstTryGoesFirst checks that among waiting requests the one with the most time
+// TestNewestFirstTryGoesFirst checks that among waiting requests the one with the most time
 // left gets the permit first, and those with the least time left come last.
-func TestMostRecentFirstTryGoesFirst(t *testing.T) {
+func TestNewestFirstTryGoesFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDispatcher(1, 10)
 		blocking := acquireColdPermit(t, d)
@@ -313,9 +313,9 @@
 	})
 }
 
-// TestRetryAfterGrowsWithAge checks that the Retry-After grows with the time since the caller's
+// TestComeBackLater checks that the Retry-After grows with the time since the caller's
 // first try, within bounds, and has the minimum if that time is unknown.
-func TestRetryAfterGrowsWithAge(t *testing.T) {
+func TestComeBackLater(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDispatcher(1, 10)
 		acquireColdPermit(t, d)
@@ -330,10 +330,10 @@
 	})
 }
 
-// TestNewBackendInEvacuatedZone declares a back end in an evacuated zone while a request waits.
+// TestNewInEvacuatedZone declares a back end in an evacuated zone while a request waits.
 // The back end must never be available, not even between its declaration and the update that
 // drains it.
-func TestNewBackendInEvacuatedZone(t *testing.T) {
+func TestNewInEvacuatedZone(t *testing.T) {
 	d := dispatch.New(rand.New(rand.NewPCG(1, 1)), 10)
 	occupied := routing.Backend{ID: "b0", Slots: 1, Window: 1, Warm: true}
 	d.Configure(fixedBackends(occupied), 10)
--- a/dispatch/exclusion_test.go
+++ b/dispatch/exclusion_test.go
@@ -32,9 +32,9 @@
 	return req
 }
 
-// TestExcludedRequestDoesNotBlockOthers guards against requests that wait behind one that must
+// TestExcludedRequestHoldsNobodyUp guards against requests that wait behind one that must
 // not use the back end that is free.
-func TestExcludedRequestDoesNotBlockOthers(t *testing.T) {
+func TestExcludedRequestHoldsNobodyUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTwoSlotDispatcher()
 		held := map[string]*dispatch.Grant{}
@@ -64,10 +64,10 @@
 	})
 }
 
-// TestAllBackendsExcludedFailsFast checks that a request for which all back ends are excluded
+// TestAllExcludedIsRefusedAtOnce checks that a request for which all back ends are excluded
 // beyond its time is refused at once with a Retry-After, and that it waits if an exclusion ends
 // soon enough.
-func TestAllBackendsExcludedFailsFast(t *testing.T) {
+func TestAllExcludedIsRefusedAtOnce(t *testing.T) {
 	for name, test := range map[string]struct {
 		duration   time.Duration
 		waits      bool
--- a/dispatch/follow_test.go
+++ b/dispatch/follow_test.go
@@ -31,9 +31,9 @@
 	}
 }
 
-// TestDisturbanceIsReportedOnArrivalProbe checks that a back end is probed as soon as a request
+// TestDisturbanceIsToldSoon checks that a back end is probed as soon as a request
 // has reached it, and that each request that met a disturbance is reported once.
-func TestDisturbanceIsReportedOnArrivalProbe(t *testing.T) {
+func TestDisturbanceIsToldSoon(t *testing.T) {
 	core := newTrainedCore(1)
 	reportUndisturbed(core, "a")
 	permit := mustOffer(t, core, epoch, repeatableRead(0))
@@ -48,9 +48,9 @@
 	require.Empty(t, core.RecordLoadProbe(reached, id, routing.Report{Slowdown: 5}), "a disturbance is reported once")
 }
 
-// TestOnlyRecentDisturbancesCount checks that requests are not reported whose back end is not
+// TestOnlyFreshDisturbancesCount checks that requests are not reported whose back end is not
 // disturbed, that have ended, or that began long before the report.
-func TestOnlyRecentDisturbancesCount(t *testing.T) {
+func TestOnlyFreshDisturbancesCount(t *testing.T) {
 	core := newTrainedCore(1)
 	reportUndisturbed(core, "a")
 	mustOffer(t, core, epoch, repeatableRead(0))
@@ -74,9 +74,9 @@
 	require.False(t, wanted)
 }
 
-// TestOnlyHedgeableRequestsAreFollowed checks that only requests are followed for which a hedge
+// TestFollowedWhereItHelps checks that only requests are followed for which a hedge
 // could be in time.
-func TestOnlyHedgeableRequestsAreFollowed(t *testing.T) {
+func TestFollowedWhereItHelps(t *testing.T) {
 	core := newTrainedCore(4)
 	require.False(t, mustOffer(t, core, epoch, readRequest(0)).Followed, "the request is not repeatable")
 	retried := repeatableRead(0)
--- a/dispatch/work_test.go
+++ b/dispatch/work_test.go
@@ -38,17 +38,17 @@
 	return Request{Weight: 1, Class: "read", FirstTry: firstTry, Objective: 400 * time.Millisecond, Deadline: firstTry.Add(time.Second)}
 }
 
-// TestUnservableRequestFailsFast checks that a request which no back end could answer before its
+// TestUnservableIsRefusedAtOnce checks that a request which no back end could answer before its
 // deadline is refused at once, although permits are free.
-func TestUnservableRequestFailsFast(t *testing.T) {
+func TestUnservableIsRefusedAtOnce(t *testing.T) {
 	core := newTrainedCore(2)
 	require.Equal(t, resultcode.DeadlineTooShort, core.Offer(epoch, readRequest(930*time.Millisecond), nil).Refused)
 	require.NotNil(t, core.Offer(epoch, readRequest(900*time.Millisecond), nil).Place, "100 ms are left, the fastest answers take 80 ms")
 }
 
-// TestLateRequestDoesNotWait checks that a request which is already late gets a free permit but
+// TestLateTakesFreePlacesOnly checks that a request which is already late gets a free permit but
 // does not wait for one.
-func TestLateRequestDoesNotWait(t *testing.T) {
+func TestLateTakesFreePlacesOnly(t *testing.T) {
 	core := newTrainedCore(1)
 	require.NotNil(t, core.Offer(epoch, readRequest(500*time.Millisecond), nil).Place)
 	decision := core.Offer(epoch, readRequest(500*time.Millisecond), nil)
@@ -56,9 +56,9 @@
 	require.NotNil(t, core.Offer(epoch, readRequest(0), nil).Ticket, "a request that can be in time waits")
 }
 
-// TestNoWaitRequestDoesNotQueue checks that a hedge gets a permit only if one is free, and never
+// TestSpareDoesNotWait checks that a hedge gets a permit only if one is free, and never
 // enters the queue.
-func TestNoWaitRequestDoesNotQueue(t *testing.T) {
+func TestSpareDoesNotWait(t *testing.T) {
 	core := newTrainedCore(1)
 	hedge := readRequest(0)
 	hedge.NoWait = true
@@ -67,9 +67,9 @@
 	require.Zero(t, core.Queue.Len())
 }
 
-// TestShedWhenTooLate checks that a waiting request is shed with a Retry-After as soon as its
+// TestWaitingEndsWhenLate checks that a waiting request is shed with a Retry-After as soon as its
 // answer would commonly be too late.
-func TestShedWhenTooLate(t *testing.T) {
+func TestWaitingEndsWhenLate(t *testing.T) {
 	core := newTrainedCore(1)
 	core.Offer(epoch, readRequest(0), nil)
 	require.NotNil(t, core.Offer(epoch, readRequest(0), "waits").Ticket)
@@ -81,9 +81,9 @@
 	require.GreaterOrEqual(t, core.Refusal(tooLate, shed[0].Request, resultcode.DeadlineTooShort).RetryAfter, minRetryAfter)
 }
 
-// TestHedgeDelay checks that a hedge is sent when a request is slower than most of its class,
+// TestHedgeAfter checks that a hedge is sent when a request is slower than most of its class,
 // later while most back ends are full, and never when its answer could not be in time.
-func TestHedgeDelay(t *testing.T) {
+func TestHedgeAfter(t *testing.T) {
 	stats := newTrainedCore(1).latencies.forClass("read")
 	normal := stats.hedgeAfter(epoch, readRequest(0), false)
 	require.Greater(t, normal, 110*time.Millisecond)
@@ -106,8 +106,8 @@
 	require.NotNil(t, core.Offer(epoch, unclassified, nil).Place)
 }
 
-// TestClassCountIsBounded checks that the number of classes kept is bounded.
-func TestClassCountIsBounded(t *testing.T) {
+// TestClassesAreForgottenNotPiledUp checks that the number of classes kept is bounded.
+func TestClassesAreForgottenNotPiledUp(t *testing.T) {
 	var stats statsByClass
 	for i := range 3 * maxClasses {
 		stats.record(string(rune(i)), time.Second)
--- a/slots/slots_test.go
+++ b/slots/slots_test.go
@@ -75,9 +75,9 @@
 	return grant
 }
 
-// TestPermitPassesToWaitingRequest checks that a second request waits until the first one
+// TestPlaceGoesOn checks that a second request waits until the first one
 // releases its permit.
-func TestPermitPassesToWaitingRequest(t *testing.T) {
+func TestPlaceGoesOn(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	d := startDispatcher(t)
 	defer d.stop()
@@ -110,9 +110,9 @@
 	grant.Done(routing.Success, time.Millisecond, nil)
 }
 
-// TestSessionEndReleasesPermits checks that the permits of a daemon that is gone pass to
+// TestSessionEnds checks that the permits of a daemon that is gone pass to
 // others.
-func TestSessionEndReleasesPermits(t *testing.T) {
+func TestSessionEnds(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	d := startDispatcher(t)
 	defer d.stop()
@@ -123,9 +123,9 @@
 	acquire(t, client, d).Done(routing.Canceled, 0, nil)
 }
 
-// TestCanceledAcquireLeavesNoPermit checks that no permit stays with a request whose caller
+// TestGivenUp checks that no permit stays with a request whose caller
 // left while it waited.
-func TestCanceledAcquireLeavesNoPermit(t *testing.T) {
+func TestGivenUp(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	d := startDispatcher(t)
 	defer d.stop()
@@ -140,9 +140,9 @@
 	acquire(t, client, d).Done(routing.Canceled, 0, nil)
 }
 
-// TestRefusalIsPassedOn checks that the dispatcher's refusal and its Retry-After are passed on,
+// TestRefused checks that the dispatcher's refusal and its Retry-After are passed on,
 // except that an unknown service yields ErrStaleDispatcher.
-func TestRefusalIsPassedOn(t *testing.T) {
+func TestRefused(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	d := startDispatcher(t)
 	defer d.stop()
@@ -172,9 +172,9 @@
 	require.ErrorIs(t, err, slots.ErrUnreachable)
 }
 
-// TestNewSessionAfterDispatcherRestart checks that a new session is opened after a dispatcher
+// TestNewSession checks that a new session is opened after a dispatcher
 // has stopped and another one has started.
-func TestNewSessionAfterDispatcherRestart(t *testing.T) {
+func TestNewSession(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	d := startDispatcher(t)
 	client := newClient()
@@ -189,8 +189,8 @@
 	require.ErrorIs(t, err, slots.ErrUnreachable)
 }
 
-// BenchmarkAcquire acquires and releases a permit over loopback.
-func BenchmarkAcquire(b *testing.B) {
+// BenchmarkPlace acquires and releases a permit over loopback.
+func BenchmarkPlace(b *testing.B) {
 	d := startDispatcher(b)
 	defer d.stop()
 	client := newClient()
