--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -1,17 +1,16 @@
-// Package quarantine keeps requests that end their back ends away from them.
+// Package quarantine stops requests that crash back ends from reaching more of them.
 //
-// A request may crash each back end that begins to run it, and its caller sends it again,
-// through any daemon and each time under a new id. What it shares with its repeats is its
-// Fingerprint. Daemons note for each fingerprint under which back ends ended, tell each other,
-// and refuse a request once three back ends have ended under it. An answer that a back end
-// gives to such a request refutes what was noted of it: most requests that are at a back end
-// when it ends are bystanders.
+// A request may crash every back end that starts to run it, and its caller retries it through any
+// daemon, each time under a new request id. Its Fingerprint identifies it across these retries.
+// Daemons record for each fingerprint which back ends crashed, exchange these records by gossip,
+// and refuse a request after three back ends have crashed under it. A response from a back end to
+// such a request clears its record, because most requests in flight at a back end that crashes are
+// not the cause.
 //
-// A Table is the pure part: what is noted, how two tables become one whatever the order of the
-// news, and what is forgotten first. A Keeper is a daemon's table, safe for concurrent use; it
-// keeps the requests that are held back in the platform's store, so that they stay so when all
-// daemons have lost their memory.
+// Table does no I/O: it holds the records, merges them independently of their order, and decides
+// which to evict first. Tracker is a daemon's table, safe for concurrent use; it saves the
+// quarantined requests to the platform's store, so that they stay quarantined when all daemons
+// have restarted.
 //
-// Times that daemons tell each other are times of day, so that what is noted also lapses while
-// a machine sleeps.
+// Daemons exchange wall-clock times, so that records also expire while a machine is suspended.
 package quarantine
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -9,17 +9,17 @@
 	"github.com/juju/errors"
 )
 
-// Fingerprint tells requests apart by what a caller repeats when it sends one again: the
-// method, the host, the target, the caller's address and the body. It does not depend on the
-// request's id, which is new each time. 0 is no fingerprint.
+// Fingerprint identifies a request across retries. It is a hash of what a caller repeats: the
+// method, host, target, caller address and body, but not the request id, which is new each time.
+// 0 means no fingerprint.
 type Fingerprint uint64
 
-// String spells the fingerprint as logs and operators have it.
+// String formats the fingerprint as logs and commands show it.
 func (f Fingerprint) String() string {
 	return strconv.FormatUint(uint64(f), 16)
 }
 
-// ParseFingerprint reads what String spells.
+// ParseFingerprint parses the format of String.
 func ParseFingerprint(text string) (Fingerprint, error) {
 	value, err := strconv.ParseUint(text, 16, 64)
 	if err != nil || value == 0 {
@@ -28,14 +28,14 @@
 	return Fingerprint(value), nil
 }
 
-// Fingerprints are what a request shares with its repeats. A caller that sends a request again may
-// come from another address, or with another query: what comes again is then told by the rest.
+// Fingerprints are the two fingerprints of a request. A caller may retry a request from another
+// address or with another query; Broad then still identifies it.
 type Fingerprints struct {
-	Exact Fingerprint // all of an Identity
-	Broad Fingerprint // without caller and query; 0: not told
+	Exact Fingerprint // of the whole Identity
+	Broad Fingerprint // without caller and query; 0: not known
 }
 
-// Fingerprints returns both.
+// Fingerprints returns both fingerprints.
 func (i Identity) Fingerprints() Fingerprints {
 	broad := i
 	broad.Caller = ""
@@ -44,20 +44,20 @@
 	return Fingerprints{Exact: i.Fingerprint(), Broad: broad.Fingerprint()}
 }
 
-// Identity is what a request is told apart by.
+// Identity holds the properties of a request that its fingerprint covers.
 type Identity struct {
 	Method string
-	Host   string // its port counts for nothing: a caller may reach each daemon at another one
-	Target string // path and query, as they came
+	Host   string // its port is ignored, as a caller may reach each daemon at a different one
+	Target string // path and query, as received
 	Caller string // IP address
-	Body   []byte // of a request whose body is kept
-	Length int64  // of the body, also where it is not kept; below 0: not told
-	// broad keeps fingerprints apart where a request has neither caller nor query.
+	Body   []byte // empty if the body was not buffered
+	Length int64  // of the body, also if it was not buffered; negative: unknown
+	// broad makes the broad fingerprint differ even if the request has neither caller nor query.
 	broad bool
 }
 
-// Fingerprint returns the fingerprint. It allocates nothing: a request without a body takes
-// 0.1 µs (BenchmarkFingerprint).
+// Fingerprint returns the exact fingerprint. It does not allocate, and takes 0.1 µs for a request
+// without a body (BenchmarkFingerprint).
 func (i Identity) Fingerprint() Fingerprint {
 	var digest xxhash.Digest
 	digest.Reset()
@@ -69,13 +69,13 @@
 	if i.broad {
 		length[7] ^= 0x80 // no body is that long
 	}
-	// Writes to a digest do not fail.
+	// Writes to a digest never fail.
 	_, _ = digest.Write(length[:])
 	_, _ = digest.Write(i.Body)
 	return Fingerprint(max(digest.Sum64(), 1))
 }
 
-// withoutPort returns the host of a Host header. What is in brackets is an IPv6 address.
+// withoutPort removes the port from a Host header. A host in brackets is an IPv6 address.
 func withoutPort(host string) string {
 	colon := strings.LastIndexByte(host, ':')
 	if colon < 0 || strings.HasSuffix(host, "]") {
@@ -84,7 +84,8 @@
 	return host[:colon]
 }
 
-// addPart adds a part and its length, so that no two rows of parts give the same bytes.
+// addPart adds the length of a part and the part, so that different sequences of parts never
+// give the same bytes.
 func addPart(digest *xxhash.Digest, part string) {
 	var length [4]byte
 	binary.LittleEndian.PutUint32(length[:], uint32(len(part)))
--- a/quarantine/fingerprint_test.go
+++ b/quarantine/fingerprint_test.go
@@ -10,9 +10,9 @@
 
 var identity = quarantine.Identity{Method: "GET", Host: "prices.example", Target: "/funds/17?day=2", Caller: "10.0.0.1"}
 
-// TestFingerprintTellsRequestsApart changes one part at a time, and moves bytes from one part
-// to the next.
-func TestFingerprintTellsRequestsApart(t *testing.T) {
+// TestFingerprintCoversEachPart changes each part of an identity in turn, and moves bytes from one
+// part to the next: the fingerprint must differ.
+func TestFingerprintCoversEachPart(t *testing.T) {
 	others := map[string]func(*quarantine.Identity){
 		"method": func(i *quarantine.Identity) { i.Method = "PUT" },
 		"host":   func(i *quarantine.Identity) { i.Host = "prices.example2" },
@@ -24,9 +24,9 @@
 		"moved":  func(i *quarantine.Identity) { i.Host, i.Target = "prices.example/", "funds/17?day=2" },
 	}
 	require.Equal(t, identity.Fingerprint(), identity.Fingerprint())
-	for plain, withPort := range map[string]string{"prices.example": "prices.example:8080", "[::1]": "[::1]:80", "": ":80"} {
+	for host, withPort := range map[string]string{"prices.example": "prices.example:8080", "[::1]": "[::1]:80", "": ":80"} {
 		one, other := identity, identity
-		one.Host, other.Host = plain, withPort
+		one.Host, other.Host = host, withPort
 		require.Equal(t, one.Fingerprint(), other.Fingerprint(), withPort)
 	}
 	for name, change := range others {
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestBroadFingerprint is shared by repeats from another address or with another query, and by
-// nothing else.
+// TestBroadFingerprint: retries from another address or with another query share the broad
+// fingerprint, and other requests do not.
 func TestBroadFingerprint(t *testing.T) {
 	repeat := identity
 	repeat.Caller, repeat.Target = "10.9.9.9", "/funds/17"
@@ -51,7 +51,7 @@
 	require.NotEqual(t, bare.Fingerprints().Exact, bare.Fingerprints().Broad)
 }
 
-func TestFingerprintIsReadAsItIsSpelled(t *testing.T) {
+func TestParseFingerprintReadsString(t *testing.T) {
 	want := identity.Fingerprint()
 	got, err := quarantine.ParseFingerprint(want.String())
 	require.NoError(t, err)
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -9,119 +9,119 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// BackendRun is one run of one back end, from its start to its end.
+// BackendRun identifies one run of a back end process, from its start to its exit.
 type BackendRun uint64
 
-// RunOf returns the run of the back end that goes by an id and started at a time (Unix
-// milliseconds; 0: it does not say).
+// RunOf returns the run of the back end with the given id and start time (Unix milliseconds;
+// 0 if the back end does not report it).
 func RunOf(id string, started int64) BackendRun {
 	return BackendRun(xxhash.Sum64String(id + "@" + strconv.FormatInt(started, 10)))
 }
 
-// Crash is a back end that ended while it ran a request.
+// Crash is a back end process that ended while it ran a request.
 type Crash struct {
 	Backend BackendRun `json:"backend"`
 	At      Timestamp  `json:"at"`
 }
 
-// Timestamp is a time of day in Unix milliseconds; 0: never.
+// Timestamp is a wall-clock time in Unix milliseconds; 0 means never.
 type Timestamp int64
 
-// NewTimestamp returns the moment of a time.
+// NewTimestamp converts a time to a Timestamp.
 func NewTimestamp(at time.Time) Timestamp {
 	return Timestamp(at.UnixMilli())
 }
 
-// Time returns the moment as a time.
-func (m Timestamp) Time() time.Time {
-	return time.UnixMilli(int64(m))
+// Time converts the timestamp to a time.Time.
+func (t Timestamp) Time() time.Time {
+	return time.UnixMilli(int64(t))
 }
 
-// after returns the moment so much later.
-func (m Timestamp) after(length time.Duration) Timestamp {
-	return m + Timestamp(length.Milliseconds())
+// add returns the timestamp plus the delay.
+func (t Timestamp) add(delay time.Duration) Timestamp {
+	return t + Timestamp(delay.Milliseconds())
 }
 
-// maxEndings is how many endings of a request are remembered, the newest ones: more than it
-// takes to hold it back, since of some that were in the same moment one counts.
-const maxEndings = 8
+// maxCrashes is how many crashes of a request are kept, the newest ones. It exceeds the crash
+// threshold because crashes within coincidenceInterval count as one.
+const maxCrashes = 8
 
-// sameMoment is how close endings count as one: a rack that fails ends many back ends at once, and
-// a request with two attempts under way is on two of them for no fault of its own. Daemons hear of
-// it within the difference of their ways, 3 ms between zones. Of endings of a request that comes 8
-// times a second, 4 in 100 are so close by chance.
-const sameMoment = 5 * time.Millisecond
+// coincidenceInterval is the interval within which crashes count as one: a rack failure ends many
+// back ends at once, and a request with two concurrent attempts is on two of them without being the
+// cause. Daemons observe such crashes up to 3 ms apart, the difference in latency between zones. Of
+// the crashes of a request that arrives 8 times a second, 4 in 100 are this close by chance.
+const coincidenceInterval = 5 * time.Millisecond
 
-// Record is what is noted of a request.
+// Record is what daemons know and exchange about a request that crashed back ends.
 type Record struct {
 	Fingerprint Fingerprint `json:"fingerprint"`
 	Service     string      `json:"service"`
-	// Description says to operators what it is: method, host, target and caller.
+	// Description shows operators the method, host, target and caller.
 	Description string `json:"request"`
-	// Broad: the fingerprint is one without caller and query.
+	// Broad is true if the fingerprint excludes caller and query.
 	Broad   bool    `json:"broad,omitempty"`
-	Crashes []Crash `json:"endings,omitempty"` // after Cleared, oldest first
-	// ClearedAt is when it was refuted last, by an answer or by an operator.
+	Crashes []Crash `json:"endings,omitempty"` // after ClearedAt, oldest first
+	// ClearedAt is when a response or an operator last cleared the record.
 	ClearedAt Timestamp `json:"cleared,omitempty"`
-	// ManualAt is when an operator last ordered to hold it back.
+	// ManualAt is when an operator last quarantined the request.
 	ManualAt Timestamp `json:"ordered,omitempty"`
 }
 
-// merge joins what two daemons know. The outcome does not depend on the order in which news
-// is merged, nor on how often: of each run of a back end the latest word counts, the newest
-// endings are kept, and what is cleared is older than what is kept.
+// merge combines the records of two daemons. It is commutative, associative and idempotent, so
+// the order and number of merges do not matter: it keeps the latest crash of each back end run
+// and the newest maxCrashes of these, and drops crashes that are not newer than ClearedAt.
 func merge(a, b Record) Record {
-	joined := a
-	joined.Broad = a.Broad || b.Broad
-	if joined.Description == "" {
-		joined.Service, joined.Description = b.Service, b.Description
+	merged := a
+	merged.Broad = a.Broad || b.Broad
+	if merged.Description == "" {
+		merged.Service, merged.Description = b.Service, b.Description
 	}
-	joined.ClearedAt, joined.ManualAt = max(a.ClearedAt, b.ClearedAt), max(a.ManualAt, b.ManualAt)
-	if joined.ManualAt <= joined.ClearedAt {
-		joined.ManualAt = 0
+	merged.ClearedAt, merged.ManualAt = max(a.ClearedAt, b.ClearedAt), max(a.ManualAt, b.ManualAt)
+	if merged.ManualAt <= merged.ClearedAt {
+		merged.ManualAt = 0
 	}
-	joined.Crashes = slices.Concat(a.Crashes, b.Crashes)
-	joined.Crashes = slices.DeleteFunc(joined.Crashes, func(one Crash) bool { return one.At <= joined.ClearedAt })
-	slices.SortFunc(joined.Crashes, func(x, y Crash) int { return cmp.Or(cmp.Compare(x.Backend, y.Backend), cmp.Compare(y.At, x.At)) })
-	joined.Crashes = slices.CompactFunc(joined.Crashes, func(x, y Crash) bool { return x.Backend == y.Backend })
-	slices.SortFunc(joined.Crashes, func(x, y Crash) int { return cmp.Or(cmp.Compare(x.At, y.At), cmp.Compare(x.Backend, y.Backend)) })
-	joined.Crashes = joined.Crashes[max(len(joined.Crashes)-maxEndings, 0):]
-	return joined
+	merged.Crashes = slices.Concat(a.Crashes, b.Crashes)
+	merged.Crashes = slices.DeleteFunc(merged.Crashes, func(crash Crash) bool { return crash.At <= merged.ClearedAt })
+	slices.SortFunc(merged.Crashes, func(x, y Crash) int { return cmp.Or(cmp.Compare(x.Backend, y.Backend), cmp.Compare(y.At, x.At)) })
+	merged.Crashes = slices.CompactFunc(merged.Crashes, func(x, y Crash) bool { return x.Backend == y.Backend })
+	slices.SortFunc(merged.Crashes, func(x, y Crash) int { return cmp.Or(cmp.Compare(x.At, y.At), cmp.Compare(x.Backend, y.Backend)) })
+	merged.Crashes = merged.Crashes[max(len(merged.Crashes)-maxCrashes, 0):]
+	return merged
 }
 
-// same says whether two records of a request say the same.
-func same(a, b Record) bool {
+// equal reports whether two records of the same request have the same crashes and timestamps.
+func equal(a, b Record) bool {
 	return a.ClearedAt == b.ClearedAt && a.ManualAt == b.ManualAt && slices.Equal(a.Crashes, b.Crashes)
 }
 
-// moments counts when back ends ended, those in the same moment once, up to the given number,
-// and returns the last one that it counted. It allocates nothing: the request path calls it.
-func (r Record) moments(most int) (count int, last Timestamp) {
-	for _, one := range r.Crashes {
-		if count == most {
+// distinctCrashes counts up to limit crashes, those within coincidenceInterval once, and returns the
+// time of the last one counted. It does not allocate, as it is called for every request.
+func (r Record) distinctCrashes(limit int) (count int, last Timestamp) {
+	for _, crash := range r.Crashes {
+		if count == limit {
 			break
 		}
-		if count == 0 || one.At >= last.after(sameMoment) {
-			count, last = count+1, one.At
+		if count == 0 || crash.At >= last.add(coincidenceInterval) {
+			count, last = count+1, crash.At
 		}
 	}
 	return count, last
 }
 
-// heldSince returns since when the request is held back, given how many endings that takes; 0:
-// it is not.
-func (r Record) heldSince(endings int) Timestamp {
+// quarantinedSince returns when the request was quarantined, given the crash threshold; 0 if it
+// is not quarantined.
+func (r Record) quarantinedSince(threshold int) Timestamp {
 	if r.ManualAt > 0 {
 		return r.ManualAt
 	}
-	if count, last := r.moments(endings); count == endings {
+	if count, last := r.distinctCrashes(threshold); count == threshold {
 		return last
 	}
 	return 0
 }
 
-// last returns when there was the last news of the request.
-func (r Record) last() Timestamp {
+// lastChange returns the time of the record's latest change.
+func (r Record) lastChange() Timestamp {
 	last := max(r.ClearedAt, r.ManualAt)
 	if count := len(r.Crashes); count > 0 {
 		last = max(last, r.Crashes[count-1].At)
--- a/quarantine/save.go
+++ b/quarantine/save.go
@@ -11,175 +11,178 @@
 	"github.com/tuliphall/tuliphall/wait"
 )
 
-// Key is the object of the platform's store that has the requests that are held back.
+// Key is the object in the platform's store that holds the quarantined requests.
 var Key = objectstore.Key{Kind: "quarantine", Name: "held"}
 
 const (
-	// maxSaved is how many requests are kept in the store: 1,000 take up to 0.4 MB of the
-	// megabyte that an object holds.
+	// maxSaved is how many requests are kept in the store: 1,000 take up to 0.4 MB of the 1 MB
+	// that an object may hold.
 	maxSaved = 1000
-	// readInterval is how often a daemon looks whether it has to read the store.
+	// readInterval is how often a daemon checks whether it has to read the store.
 	readInterval = time.Second
-	// saveBackoff is the pause after a call to the store that failed.
+	// saveBackoff is the delay after a failed save.
 	saveBackoff = time.Second
-	// sweepInterval is how often what has lapsed is forgotten.
-	sweepInterval = time.Minute
+	// pruneInterval is how often expired records are removed.
+	pruneInterval = time.Minute
 )
 
-// saved is what the store holds.
+// saved is the value of the store object.
 type saved struct {
 	Records []Record `json:"records"`
 }
 
-// Run reads from the store what is held back, and saves it there, until ctx ends. A daemon reads
-// it once each time that it becomes one of those that do. If the store comes back older, these save again what is held back.
-func (k *Tracker) Run(ctx context.Context) {
-	reading := time.NewTicker(readInterval)
-	defer reading.Stop()
-	sweeping := time.NewTicker(sweepInterval)
-	defer sweeping.Stop()
-	read, era := false, k.options.Store.Era()
+// Run loads the quarantined requests from the store and saves changes to it, until ctx ends. A
+// daemon loads them once each time that Options.ReadsStore becomes true. After a store rollback, the
+// daemons that have loaded them save their quarantined requests again.
+func (t *Tracker) Run(ctx context.Context) {
+	readTicker := time.NewTicker(readInterval)
+	defer readTicker.Stop()
+	pruneTicker := time.NewTicker(pruneInterval)
+	defer pruneTicker.Stop()
+	loaded, era := false, t.options.Store.Era()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-reading.C:
-			reads := k.options.ReadsStore()
-			read = reads && (read || k.read(ctx))
-			if newest := k.options.Store.Era(); newest != era && read {
-				era = newest
-				k.saveHeld()
+		case <-readTicker.C:
+			readsStore := t.options.ReadsStore()
+			loaded = readsStore && (loaded || t.read(ctx))
+			if current := t.options.Store.Era(); current != era && loaded {
+				era = current
+				t.saveQuarantined()
 			}
-		case <-sweeping.C:
-			k.sweep()
-		case <-k.save:
-			if !k.saveAll(ctx) {
+		case <-pruneTicker.C:
+			t.prune()
+		case <-t.saveRequested:
+			if !t.savePending(ctx) {
 				wait.Sleep(ctx, saveBackoff)
-				k.saveSoon()
+				t.scheduleSave()
 			}
 		}
 	}
 }
 
-// saveHeld lets all be saved that is held back.
-func (k *Tracker) saveHeld() {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	for _, record := range k.table.Quarantined(time.Now()) {
-		k.saveSoon(record.Fingerprint)
+// saveQuarantined schedules a save of all quarantined requests.
+func (t *Tracker) saveQuarantined() {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	for _, record := range t.table.Quarantined(time.Now()) {
+		t.scheduleSave(record.Fingerprint)
 	}
 }
 
-// sweep forgets what has lapsed.
-func (k *Tracker) sweep() {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
+// prune removes expired records.
+func (t *Tracker) prune() {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
 	now := time.Now()
-	k.table.Prune(now)
-	for fingerprint := range k.witnessed {
-		if _, known := k.table.Record(fingerprint); !known {
-			delete(k.witnessed, fingerprint)
+	t.table.Prune(now)
+	for fingerprint := range t.observedLocally {
+		if _, known := t.table.Record(fingerprint); !known {
+			delete(t.observedLocally, fingerprint)
 		}
 	}
-	k.held.Update(float64(len(k.table.Quarantined(now))))
+	t.quarantined.Update(float64(len(t.table.Quarantined(now))))
 }
 
-// read takes in what the store holds, tells others what of it is news, and says whether the
-// store answered.
-func (k *Tracker) read(ctx context.Context) bool {
-	found, _, err := k.load(ctx)
+// read merges the records from the store, broadcasts the changed ones, and reports whether the
+// store could be read.
+func (t *Tracker) read(ctx context.Context) bool {
+	stored, _, err := t.load(ctx)
 	if err != nil {
-		k.log.Warn("store not read", "error", err)
+		t.log.Warn("cannot read quarantined requests from the store", "error", err)
 		return false
 	}
-	for _, record := range k.Merge(found.Records) {
-		k.options.Broadcast(record)
+	for _, record := range t.Merge(stored.Records) {
+		t.options.Broadcast(record)
 	}
 	return true
 }
 
-// load reads the object; version is 0 where there is none.
-func (k *Tracker) load(ctx context.Context) (found saved, version objectstore.Version, err error) {
-	ctx, cancel := context.WithTimeout(ctx, k.options.StoreTimeout)
+// load reads the object; version is 0 if it does not exist.
+func (t *Tracker) load(ctx context.Context) (stored saved, version objectstore.Version, err error) {
+	ctx, cancel := context.WithTimeout(ctx, t.options.StoreTimeout)
 	defer cancel()
-	object, err := k.options.Store.Get(ctx, Key)
+	object, err := t.options.Store.Get(ctx, Key)
 	if errors.Is(err, objectstore.ErrNotFound) {
 		return saved{}, 0, nil
 	}
 	if err != nil {
 		return saved{}, 0, err
 	}
-	if err := json.Unmarshal(object.Value, &found); err != nil {
-		// What cannot be read is replaced: it holds back nothing.
-		k.log.Error("what is held back in the store cannot be read", "error", err)
+	if err := json.Unmarshal(object.Value, &stored); err != nil {
+		// An unreadable object quarantines nothing and is overwritten by the next save.
+		t.log.Error("cannot decode quarantined requests from the store", "error", err)
 		return saved{}, object.Version, nil
 	}
-	return found, object.Version, nil
+	return stored, object.Version, nil
 }
 
-// saveSoon lets requests be saved.
-func (k *Tracker) saveSoon(fingerprints ...Fingerprint) {
+// scheduleSave marks requests as unsaved and wakes Run. The caller holds the mutex if it passes
+// fingerprints.
+func (t *Tracker) scheduleSave(fingerprints ...Fingerprint) {
 	for _, fingerprint := range fingerprints {
-		k.unsaved[fingerprint] = true
+		t.unsaved[fingerprint] = true
 	}
 	select {
-	case k.save <- struct{}{}:
-	default: // it is asked for already
+	case t.saveRequested <- struct{}{}:
+	default: // a save is already scheduled
 	}
 }
 
-// saveAll writes what is unsaved, and says whether nothing is left to do. A write that was
-// overtaken, or whose outcome is not known, is settled by reading anew.
-func (k *Tracker) saveAll(ctx context.Context) bool {
-	found, version, err := k.load(ctx)
+// savePending writes the unsaved requests, and returns false if the save must be retried. A write
+// that conflicted, or whose outcome is unknown, is resolved by reading the object again.
+func (t *Tracker) savePending(ctx context.Context) bool {
+	stored, version, err := t.load(ctx)
 	if err != nil {
-		k.log.Warn("requests held back not saved", "error", err)
+		t.log.Warn("cannot save quarantined requests to the store", "error", err)
 		return false
 	}
-	next, changed, taken := k.next(found)
+	next, changed, included := t.mergeUnsaved(stored)
 	if !changed {
 		return true
 	}
-	if err := k.put(ctx, next, version); err != nil {
-		k.log.Warn("requests held back not saved", "error", err)
-		k.mutex.Lock()
-		defer k.mutex.Unlock()
-		k.saveSoon(taken...)
+	if err := t.put(ctx, next, version); err != nil {
+		t.log.Warn("cannot save quarantined requests to the store", "error", err)
+		t.mutex.Lock()
+		defer t.mutex.Unlock()
+		t.scheduleSave(included...)
 		return false
 	}
 	return true
 }
 
-// next takes what is unsaved, and returns what the store is to hold, whether that is another
-// thing than it does, and what was taken.
-func (k *Tracker) next(found saved) (next saved, changed bool, taken []Fingerprint) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
+// mergeUnsaved merges the unsaved records into the stored ones and empties the unsaved set. It
+// returns the next value of the object, whether its quarantined requests differ from the stored
+// ones, and the fingerprints that were taken from the unsaved set.
+func (t *Tracker) mergeUnsaved(stored saved) (next saved, changed bool, included []Fingerprint) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
 	now := time.Now()
-	joined := NewTable(k.options.Policy)
-	for _, record := range found.Records {
-		joined.Merge(now, record)
-	}
-	before := joined.Digest(now)
-	for fingerprint := range k.unsaved {
-		taken = append(taken, fingerprint)
-		if record, known := k.table.Record(fingerprint); known {
-			joined.Merge(now, record)
+	merged := NewTable(t.options.Policy)
+	for _, record := range stored.Records {
+		merged.Merge(now, record)
+	}
+	before := merged.Digest(now)
+	for fingerprint := range t.unsaved {
+		included = append(included, fingerprint)
+		if record, known := t.table.Record(fingerprint); known {
+			merged.Merge(now, record)
 		}
 	}
-	clear(k.unsaved)
-	held := joined.Quarantined(now)
-	return saved{Records: held[:min(len(held), maxSaved)]}, joined.Digest(now) != before, taken
+	clear(t.unsaved)
+	quarantined := merged.Quarantined(now)
+	return saved{Records: quarantined[:min(len(quarantined), maxSaved)]}, merged.Digest(now) != before, included
 }
 
 // put writes the object if its version is still the given one.
-func (k *Tracker) put(ctx context.Context, next saved, version objectstore.Version) error {
+func (t *Tracker) put(ctx context.Context, next saved, version objectstore.Version) error {
 	value, err := json.Marshal(next)
 	if err != nil {
-		return errors.Annotate(err, "encoding for the store")
+		return errors.Annotate(err, "encoding quarantined requests")
 	}
-	ctx, cancel := context.WithTimeout(ctx, k.options.StoreTimeout)
+	ctx, cancel := context.WithTimeout(ctx, t.options.StoreTimeout)
 	defer cancel()
-	_, err = k.options.Store.Put(ctx, Key, value, version)
+	_, err = t.options.Store.Put(ctx, Key, value, version)
 	return err
 }
--- a/quarantine/save_test.go
+++ b/quarantine/save_test.go
@@ -14,41 +14,41 @@
 	"github.com/tuliphall/tuliphall/objectstore"
 )
 
-// TestHeldRequestsAreSavedAgainWhenStoreComesBackOlder lets the store lose which requests are held back: it has them again soon, by
-// one write.
+// TestHeldRequestsAreSavedAgainWhenStoreComesBackOlder: a store rollback loses the quarantined
+// requests; the trackers save them again within 5 s, by one write in total.
 func TestHeldRequestsAreSavedAgainWhenStoreComesBackOlder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := objectstore.NewMemory()
-		copied := store.Copy()
+		backup := store.Copy()
 		ctx, cancel := context.WithCancel(t.Context())
-		var keepers []*Tracker
+		var trackers []*Tracker
 		for range 3 {
-			keeper := NewTracker(Options{
+			tracker := NewTracker(Options{
 				Policy: Policy{CrashThreshold: 3, Duration: time.Hour, CrashWindow: 15 * time.Minute}, Store: store, StoreTimeout: time.Second,
 				ReadsStore: func() bool { return true }, Broadcast: func(Record) {}, Log: slog.New(slog.DiscardHandler), Metrics: tally.NoopScope,
 			})
-			keepers = append(keepers, keeper)
-			go keeper.Run(ctx)
+			trackers = append(trackers, tracker)
+			go tracker.Run(ctx)
 		}
 		identity := Identity{Method: "GET", Target: "/a"}
 		for number := range 3 {
-			keepers[0].RecordCrash(identity, "board", RunOf(fmt.Sprint(number), 0))
+			trackers[0].RecordCrash(identity, "board", RunOf(fmt.Sprint(number), 0))
 			time.Sleep(time.Second)
 		}
-		for _, record := range keepers[0].Records(10) {
-			for _, other := range keepers[1:] {
-				other.Merge([]Record{record})
+		for _, record := range trackers[0].Records(10) {
+			for _, peer := range trackers[1:] {
+				peer.Merge([]Record{record})
 			}
 		}
 		time.Sleep(5 * time.Second)
 		saved, err := store.Get(ctx, Key)
 		require.NoError(t, err)
-		store.ComeBackOlder(copied)
+		store.ComeBackOlder(backup)
 		time.Sleep(5 * time.Second)
-		again, err := store.Get(ctx, Key)
+		restored, err := store.Get(ctx, Key)
 		require.NoError(t, err)
-		require.JSONEq(t, string(saved.Value), string(again.Value))
-		require.EqualValues(t, 1, again.Version.Revision())
+		require.JSONEq(t, string(saved.Value), string(restored.Value))
+		require.EqualValues(t, 1, restored.Version.Revision())
 		cancel()
 		synctest.Wait()
 	})
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -8,43 +8,43 @@
 
 // Defaults of a Policy.
 const (
-	// DefaultCrashThreshold is how many back ends a request may end. A bystander is at a back end that
-	// ends as often as the culprit the first time, and seldom three times without an answer in
-	// between (TestBystandersAreSeldomHeld).
+	// DefaultCrashThreshold is how many back ends a request may crash. When a back end crashes,
+	// the other requests in flight there record a crash too, but seldom three without a response
+	// in between (TestBystandersAreSeldomHeld).
 	DefaultCrashThreshold = 3
-	// MaxCrashThreshold is the most that a Policy may have: half of what is remembered, as some that are
-	// remembered were in the same moment.
-	MaxCrashThreshold = maxEndings / 2
-	// DefaultDuration is how long a request is then held back: each time it ends, the request may
-	// cost as many back ends again, so that an hour bounds that to three in an hour.
+	// MaxCrashThreshold is the highest threshold that a Policy may have: half of the crashes that
+	// are kept, as some of those may be coincident and count as one.
+	MaxCrashThreshold = maxCrashes / 2
+	// DefaultDuration is how long a request stays quarantined. After each quarantine the request
+	// may crash as many back ends again, so an hour limits it to three crashes an hour.
 	DefaultDuration = time.Hour
-	// broadHold is how long requests are held back by what they share without caller and query:
-	// it may be the doing of one of them, so that it is for less than the others.
-	broadHold = 10 * time.Minute
-	// DefaultCrashWindow is for how long endings count together. A request that ends a back end
-	// each quarter of an hour costs less than one in a hundred of a service's back ends.
+	// maxBroadDuration limits the quarantine of fingerprints without caller and query. It is shorter
+	// than the others because one of the requests that share the fingerprint may be the only cause.
+	maxBroadDuration = 10 * time.Minute
+	// DefaultCrashWindow is the period within which crashes are counted together. A request that
+	// crashes a back end every quarter of an hour affects less than 1 in 100 back ends of a service.
 	DefaultCrashWindow = 15 * time.Minute
-	// DefaultCapacity is how many requests are noted, in about 300 bytes each
+	// DefaultCapacity is the maximum number of records, of about 300 bytes each
 	// (TestFloodOfDistinctRequests).
 	DefaultCapacity = 4096
 )
 
-// Policy says when requests are held back, and for how long. Fields of 0 stand for the defaults.
+// Policy determines when requests are quarantined, and for how long. Zero fields take the defaults.
 type Policy struct {
-	CrashThreshold int           // of back ends, after which a request is held back
-	Duration       time.Duration // how long it is
-	CrashWindow    time.Duration // for how long an ending counts
-	Capacity       int           // requests that are noted
+	CrashThreshold int           // back end crashes after which a request is quarantined
+	Duration       time.Duration // of a quarantine
+	CrashWindow    time.Duration // for how long a crash counts
+	Capacity       int           // maximum number of records
 }
 
-func (p *Policy) provision() {
+func (p *Policy) setDefaults() {
 	p.CrashThreshold = cmp.Or(p.CrashThreshold, DefaultCrashThreshold)
 	p.Duration = cmp.Or(p.Duration, DefaultDuration)
 	p.CrashWindow = cmp.Or(p.CrashWindow, DefaultCrashWindow)
 	p.Capacity = cmp.Or(p.Capacity, DefaultCapacity)
 }
 
-// Table is what a daemon has noted of requests. It is pure, and not safe for concurrent use.
+// Table holds the records of one daemon. It does no I/O and is not safe for concurrent use.
 type Table struct {
 	policy  Policy
 	records map[Fingerprint]Record
@@ -52,116 +52,116 @@
 
 // NewTable returns an empty table.
 func NewTable(policy Policy) *Table {
-	policy.provision()
+	policy.setDefaults()
 	return &Table{policy: policy, records: make(map[Fingerprint]Record)}
 }
 
-// Len returns how many requests are noted.
+// Len returns the number of records.
 func (t *Table) Len() int {
 	return len(t.records)
 }
 
-// Merge takes in what another daemon has noted, or this one has seen. It returns what is noted
-// now, and whether that is news.
-func (t *Table) Merge(now time.Time, told Record) (Record, bool) {
-	before, known := t.records[told.Fingerprint]
-	joined := merge(before, told)
-	joined.Fingerprint = told.Fingerprint
-	if t.lapsed(now, joined) {
-		delete(t.records, told.Fingerprint)
-		return joined, false
+// Merge merges a record from a peer, or one observed by this daemon. It returns the merged record
+// and whether the table changed.
+func (t *Table) Merge(now time.Time, update Record) (Record, bool) {
+	before, found := t.records[update.Fingerprint]
+	merged := merge(before, update)
+	merged.Fingerprint = update.Fingerprint
+	if t.expired(now, merged) {
+		delete(t.records, update.Fingerprint)
+		return merged, false
 	}
-	if known && same(before, joined) {
+	if found && equal(before, merged) {
 		return before, false
 	}
-	if !known && len(t.records) >= t.policy.Capacity {
-		t.forget(now)
+	if !found && len(t.records) >= t.policy.Capacity {
+		t.evict(now)
 	}
-	t.records[told.Fingerprint] = joined
-	return joined, true
+	t.records[update.Fingerprint] = merged
+	return merged, true
 }
 
-// RecordSuccess notes that a back end answered the request, which refutes what was noted of it. It
-// returns false where there was nothing to refute.
+// RecordSuccess records that a back end answered the request, which clears its crashes. It returns
+// false if there was nothing to clear.
 func (t *Table) RecordSuccess(now time.Time, fingerprint Fingerprint) (Record, bool) {
-	record, known := t.records[fingerprint]
-	if !known || len(record.Crashes) == 0 || record.ManualAt > 0 {
+	record, found := t.records[fingerprint]
+	if !found || len(record.Crashes) == 0 || record.ManualAt > 0 {
 		return Record{}, false
 	}
 	return t.Release(now, fingerprint)
 }
 
-// Release lifts what was noted of the request. It returns false where that is nothing.
+// Release clears the record of a request. It returns false if there is none.
 func (t *Table) Release(now time.Time, fingerprint Fingerprint) (Record, bool) {
-	record, known := t.records[fingerprint]
-	if !known {
+	record, found := t.records[fingerprint]
+	if !found {
 		return Record{}, false
 	}
-	// The clock of another daemon may be ahead.
-	return t.Merge(now, Record{Fingerprint: fingerprint, ClearedAt: max(NewTimestamp(now), record.last())})
+	// The clock of the daemon that made the record may be ahead.
+	return t.Merge(now, Record{Fingerprint: fingerprint, ClearedAt: max(NewTimestamp(now), record.lastChange())})
 }
 
-// QuarantinedUntil returns until when the request is held back, and false when it is not.
+// QuarantinedUntil returns when the quarantine of a request ends, and false if it is not quarantined.
 func (t *Table) QuarantinedUntil(now time.Time, fingerprint Fingerprint) (time.Time, bool) {
-	record, known := t.records[fingerprint]
-	if !known {
+	record, found := t.records[fingerprint]
+	if !found {
 		return time.Time{}, false
 	}
-	return t.heldUntil(now, record)
+	return t.quarantineEnd(now, record)
 }
 
-func (t *Table) heldUntil(now time.Time, record Record) (time.Time, bool) {
-	since := record.heldSince(t.policy.CrashThreshold)
+func (t *Table) quarantineEnd(now time.Time, record Record) (time.Time, bool) {
+	since := record.quarantinedSince(t.policy.CrashThreshold)
 	if since == 0 {
 		return time.Time{}, false
 	}
-	until := since.Time().Add(t.hold(record))
+	until := since.Time().Add(t.duration(record))
 	return until, now.Before(until)
 }
 
-// hold is for how long a request is held back.
-func (t *Table) hold(record Record) time.Duration {
+// duration returns how long a request with this record stays quarantined.
+func (t *Table) duration(record Record) time.Duration {
 	if record.Broad {
-		return min(t.policy.Duration, broadHold)
+		return min(t.policy.Duration, maxBroadDuration)
 	}
 	return t.policy.Duration
 }
 
-// CrashCount returns how many back ends have ended under the request, as far as that counts.
+// CrashCount returns how many back end crashes currently count against the request.
 func (t *Table) CrashCount(now time.Time, fingerprint Fingerprint) int {
-	record, known := t.records[fingerprint]
-	if !known || t.lapsed(now, record) {
+	record, found := t.records[fingerprint]
+	if !found || t.expired(now, record) {
 		return 0
 	}
-	count, _ := record.moments(maxEndings)
+	count, _ := record.distinctCrashes(maxCrashes)
 	return count
 }
 
-// lapsed says whether a record says nothing any more.
-func (t *Table) lapsed(now time.Time, record Record) bool {
-	if since := record.heldSince(t.policy.CrashThreshold); since > 0 {
-		return !now.Before(since.Time().Add(t.hold(record)))
+// expired reports whether a record no longer has any effect.
+func (t *Table) expired(now time.Time, record Record) bool {
+	if since := record.quarantinedSince(t.policy.CrashThreshold); since > 0 {
+		return !now.Before(since.Time().Add(t.duration(record)))
 	}
-	return !now.Before(record.last().Time().Add(t.policy.CrashWindow))
+	return !now.Before(record.lastChange().Time().Add(t.policy.CrashWindow))
 }
 
-// Prune forgets what says nothing any more.
+// Prune removes expired records.
 func (t *Table) Prune(now time.Time) {
 	for fingerprint, record := range t.records {
-		if t.lapsed(now, record) {
+		if t.expired(now, record) {
 			delete(t.records, fingerprint)
 		}
 	}
 }
 
-// Record returns what is noted of a request.
+// Record returns the record of a request.
 func (t *Table) Record(fingerprint Fingerprint) (Record, bool) {
-	record, known := t.records[fingerprint]
-	return record, known
+	record, found := t.records[fingerprint]
+	return record, found
 }
 
-// Records returns what is noted, what matters most first: requests that are held back, then
-// those with more endings, then those with later news.
+// Records returns all records, most important first: quarantined requests, then those with more
+// crashes, then those that changed later.
 func (t *Table) Records(now time.Time) []Record {
 	t.Prune(now)
 	records := make([]Record, 0, len(t.records))
@@ -172,42 +172,42 @@
 	return records
 }
 
-// Quarantined returns the requests that are held back, the one with the latest news first.
+// Quarantined returns the records of quarantined requests, in the order of Records.
 func (t *Table) Quarantined(now time.Time) []Record {
-	return slices.DeleteFunc(t.Records(now), func(record Record) bool { return record.heldSince(t.policy.CrashThreshold) == 0 })
+	return slices.DeleteFunc(t.Records(now), func(record Record) bool { return record.quarantinedSince(t.policy.CrashThreshold) == 0 })
 }
 
-// Digest tells tables apart that hold back other requests.
+// Digest is a hash of the set of quarantined requests.
 func (t *Table) Digest(now time.Time) uint64 {
 	var digest uint64
 	for fingerprint, record := range t.records {
-		if _, held := t.heldUntil(now, record); held {
+		if _, quarantined := t.quarantineEnd(now, record); quarantined {
 			digest ^= uint64(fingerprint)
 		}
 	}
 	return digest
 }
 
-// compare orders records by what they matter: negative where a matters more.
+// compare orders records by importance: negative if a is more important.
 func (t *Table) compare(a, b Record) int {
-	heldA, heldB := a.heldSince(t.policy.CrashThreshold) > 0, b.heldSince(t.policy.CrashThreshold) > 0
+	quarantinedA, quarantinedB := a.quarantinedSince(t.policy.CrashThreshold) > 0, b.quarantinedSince(t.policy.CrashThreshold) > 0
 	switch {
-	case heldA && !heldB:
+	case quarantinedA && !quarantinedB:
 		return -1
-	case heldB && !heldA:
+	case quarantinedB && !quarantinedA:
 		return 1
 	}
-	return cmp.Or(cmp.Compare(len(b.Crashes), len(a.Crashes)), cmp.Compare(b.last(), a.last()), cmp.Compare(a.Fingerprint, b.Fingerprint))
+	return cmp.Or(cmp.Compare(len(b.Crashes), len(a.Crashes)), cmp.Compare(b.lastChange(), a.lastChange()), cmp.Compare(a.Fingerprint, b.Fingerprint))
 }
 
-// forgottenAtOnce is which part of a full table is forgotten at once, so that a flood of distinct
-// requests does not have all of it sorted for each.
-const forgottenAtOnce = 16
+// evictionDivisor is the fraction (1/16) of a full table that is evicted at once, so that a flood of
+// distinct requests does not sort the whole table for each one.
+const evictionDivisor = 16
 
-// forget makes room: what matters least is forgotten.
-func (t *Table) forget(now time.Time) {
+// evict removes the least important records.
+func (t *Table) evict(now time.Time) {
 	records := t.Records(now)
-	keep := t.policy.Capacity - max(t.policy.Capacity/forgottenAtOnce, 1)
+	keep := t.policy.Capacity - max(t.policy.Capacity/evictionDivisor, 1)
 	for _, record := range records[min(keep, len(records)):] {
 		delete(t.records, record.Fingerprint)
 	}
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -19,109 +19,109 @@
 	return start.Add(offset)
 }
 
-// ended is a record of one ending.
-func ended(fingerprint Fingerprint, backend BackendRun, offset time.Duration) Record {
+// crashRecord returns a record of one crash.
+func crashRecord(fingerprint Fingerprint, backend BackendRun, offset time.Duration) Record {
 	return Record{Fingerprint: fingerprint, Crashes: []Crash{{Backend: backend, At: NewTimestamp(at(offset))}}}
 }
 
-// end notes endings of different back ends, a second apart.
-func end(table *Table, fingerprint Fingerprint, count int) time.Time {
+// addCrashes merges crashes of different back ends, a second apart, and returns the time of the last.
+func addCrashes(table *Table, fingerprint Fingerprint, count int) time.Time {
 	var now time.Time
 	for number := range count {
 		offset := time.Duration(number+1) * time.Second
 		now = at(offset)
-		table.Merge(now, ended(fingerprint, BackendRun(number+1), offset))
+		table.Merge(now, crashRecord(fingerprint, BackendRun(number+1), offset))
 	}
 	return now
 }
 
-// TestHeldAfterThree holds a request back with the third ending, for as long as the policy says.
-func TestHeldAfterThree(t *testing.T) {
+// TestQuarantinedAfterThreeCrashes checks that the third crash quarantines a request, for the policy's duration.
+func TestQuarantinedAfterThreeCrashes(t *testing.T) {
 	table := NewTable(Policy{})
-	now := end(table, 7, 2)
-	_, held := table.QuarantinedUntil(now, 7)
-	require.False(t, held)
+	now := addCrashes(table, 7, 2)
+	_, quarantined := table.QuarantinedUntil(now, 7)
+	require.False(t, quarantined)
 	require.Equal(t, 2, table.CrashCount(now, 7))
-	now = end(table, 7, 3)
-	until, held := table.QuarantinedUntil(now, 7)
-	require.True(t, held)
+	now = addCrashes(table, 7, 3)
+	until, quarantined := table.QuarantinedUntil(now, 7)
+	require.True(t, quarantined)
 	require.True(t, until.Equal(now.Add(DefaultDuration)))
-	_, held = table.QuarantinedUntil(until, 7)
-	require.False(t, held)
-	_, held = table.QuarantinedUntil(now, 8)
-	require.False(t, held)
+	_, quarantined = table.QuarantinedUntil(until, 7)
+	require.False(t, quarantined)
+	_, quarantined = table.QuarantinedUntil(now, 8)
+	require.False(t, quarantined)
 }
 
-// TestSameBackendCountsOnce: many daemons may see the same back end end.
+// TestSameBackendCountsOnce: many daemons may observe the same back end crash.
 func TestSameBackendCountsOnce(t *testing.T) {
 	table := NewTable(Policy{})
 	for number := range 5 {
-		table.Merge(at(0), ended(7, 1, time.Duration(number)*time.Second))
+		table.Merge(at(0), crashRecord(7, 1, time.Duration(number)*time.Second))
 	}
 	require.Equal(t, 1, table.CrashCount(at(0), 7))
 }
 
-// TestSameMomentCountsOnce: a rack that fails ends many back ends for no request's sake.
-func TestSameMomentCountsOnce(t *testing.T) {
+// TestCoincidentCrashesCountOnce: a rack failure ends many back ends without any request being the cause.
+func TestCoincidentCrashesCountOnce(t *testing.T) {
 	table := NewTable(Policy{})
 	for number := range 5 {
-		table.Merge(at(0), ended(7, BackendRun(number), time.Duration(number)*time.Millisecond))
+		table.Merge(at(0), crashRecord(7, BackendRun(number), time.Duration(number)*time.Millisecond))
 	}
 	require.Equal(t, 1, table.CrashCount(at(0), 7))
-	table.Merge(at(0), ended(7, 99, sameMoment))
+	table.Merge(at(0), crashRecord(7, 99, coincidenceInterval))
 	require.Equal(t, 2, table.CrashCount(at(0), 7))
 }
 
-// TestAnswerRefutes clears a request that a back end has answered, also one that is held back,
-// but not one that an operator holds back; and news of before changes nothing any more.
-func TestAnswerRefutes(t *testing.T) {
+// TestResponseClearsCrashes: a response clears a request's crashes, also while it is quarantined, but not a
+// quarantine by an operator. Crashes from before the response have no effect afterwards.
+func TestResponseClearsCrashes(t *testing.T) {
 	table := NewTable(Policy{})
-	now := end(table, 7, 3)
-	_, news := table.RecordSuccess(now.Add(time.Second), 7)
-	require.True(t, news)
-	_, held := table.QuarantinedUntil(now, 7)
-	require.False(t, held)
-	_, news = table.Merge(now, ended(7, 3, 3*time.Second))
-	require.False(t, news)
-	_, news = table.RecordSuccess(now, 7)
-	require.False(t, news, "nothing is left to refute")
+	now := addCrashes(table, 7, 3)
+	_, changed := table.RecordSuccess(now.Add(time.Second), 7)
+	require.True(t, changed)
+	_, quarantined := table.QuarantinedUntil(now, 7)
+	require.False(t, quarantined)
+	_, changed = table.Merge(now, crashRecord(7, 3, 3*time.Second))
+	require.False(t, changed)
+	_, changed = table.RecordSuccess(now, 7)
+	require.False(t, changed, "nothing is left to clear")
 
 	table.Merge(now, Record{Fingerprint: 8, ManualAt: NewTimestamp(now)})
-	_, news = table.RecordSuccess(now.Add(time.Second), 8)
-	require.False(t, news)
-	_, held = table.QuarantinedUntil(now.Add(time.Second), 8)
-	require.True(t, held)
+	_, changed = table.RecordSuccess(now.Add(time.Second), 8)
+	require.False(t, changed)
+	_, quarantined = table.QuarantinedUntil(now.Add(time.Second), 8)
+	require.True(t, quarantined)
 }
 
-// TestReleaseTakesWhateverTheClocks: the daemon that saw the endings may be ahead by an hour.
+// TestReleaseTakesWhateverTheClocks: the clock of the daemon that saw the crashes may be an hour ahead.
 func TestReleaseTakesWhateverTheClocks(t *testing.T) {
 	table := NewTable(Policy{Duration: 3 * time.Hour})
 	for number := range 3 {
-		table.Merge(at(0), ended(7, BackendRun(number), time.Hour+time.Duration(number)*time.Second))
+		table.Merge(at(0), crashRecord(7, BackendRun(number), time.Hour+time.Duration(number)*time.Second))
 	}
-	_, held := table.QuarantinedUntil(at(0), 7)
-	require.True(t, held)
-	_, news := table.Release(at(0), 7)
-	require.True(t, news)
-	_, held = table.QuarantinedUntil(at(0), 7)
-	require.False(t, held)
-	_, news = table.Release(at(0), 8)
-	require.False(t, news)
+	_, quarantined := table.QuarantinedUntil(at(0), 7)
+	require.True(t, quarantined)
+	_, changed := table.Release(at(0), 7)
+	require.True(t, changed)
+	_, quarantined = table.QuarantinedUntil(at(0), 7)
+	require.False(t, quarantined)
+	_, changed = table.Release(at(0), 8)
+	require.False(t, changed)
 }
 
-// TestEndingsLapse forgets endings that are not followed by others in time.
+// TestEndingsLapse: crashes expire if no others follow within the crash window.
 func TestEndingsLapse(t *testing.T) {
 	table := NewTable(Policy{})
-	table.Merge(at(0), ended(7, 1, 0))
+	table.Merge(at(0), crashRecord(7, 1, 0))
 	require.Equal(t, 1, table.CrashCount(at(DefaultCrashWindow-time.Second), 7))
 	require.Zero(t, table.CrashCount(at(DefaultCrashWindow), 7))
 	table.Prune(at(DefaultCrashWindow))
 	require.Zero(t, table.Len())
-	_, news := table.Merge(at(DefaultCrashWindow), ended(7, 1, 0))
-	require.False(t, news, "what has lapsed is not brought back by others")
+	_, changed := table.Merge(at(DefaultCrashWindow), crashRecord(7, 1, 0))
+	require.False(t, changed, "a peer does not restore an expired record")
 }
 
-// records draws news of one request.
+// records draws a record of one request.
 var records = rapid.Custom(func(t *rapid.T) Record {
 	record := Record{
 		Fingerprint: 7, ClearedAt: Timestamp(rapid.IntRange(0, 5).Draw(t, "cleared")), ManualAt: Timestamp(rapid.IntRange(0, 5).Draw(t, "ordered")),
@@ -134,47 +134,47 @@
 	return merge(Record{Fingerprint: 7}, record)
 })
 
-// TestOrderOfNewsDoesNotMatter: daemons that have heard the same news, in any order and any
-// number of times, believe the same.
+// TestOrderOfNewsDoesNotMatter: daemons that have received the same records, in any order and any
+// number of times, end with the same record.
 func TestOrderOfNewsDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		checkOrder(t, records.Draw(t, "a"), records.Draw(t, "b"), records.Draw(t, "c"))
 	})
 }
 
-// TestOrderOfNewsOfTheSameEndings guards against records that differ by which of two times of an ending they keep.
-func TestOrderOfNewsOfTheSameEndings(t *testing.T) {
+// TestMergeOrderOfSameCrashes: records with different times for the same crash merge to the same
+// time in any order.
+func TestMergeOrderOfSameCrashes(t *testing.T) {
 	early := Record{Fingerprint: 7, Crashes: []Crash{{Backend: 1, At: 1}, {Backend: 2, At: 1}}}
 	late := Record{Fingerprint: 7, Crashes: []Crash{{Backend: 1, At: 1}, {Backend: 2, At: 9}}}
 	checkOrder(t, early, late, Record{Fingerprint: 7, ClearedAt: 1})
 }
 
-// checkOrder merges three records in several orders.
+// checkOrder checks that merge is commutative, idempotent and associative for three records.
 func checkOrder(t require.TestingT, a, b, c Record) {
-	require.True(t, same(merge(a, b), merge(b, a)), "either order")
-	require.True(t, same(merge(merge(a, b), b), merge(a, b)), "twice")
-	require.True(t, same(merge(merge(a, b), c), merge(a, merge(b, c))), "any grouping")
+	require.True(t, equal(merge(a, b), merge(b, a)), "commutative")
+	require.True(t, equal(merge(merge(a, b), b), merge(a, b)), "idempotent")
+	require.True(t, equal(merge(merge(a, b), c), merge(a, merge(b, c))), "associative")
 }
 
-// TestFloodOfDistinctRequests notes 100,000 distinct requests, each of which ended a back end:
-// the memory stays bounded, what is held back is not forgotten for those that are not, and a
-// look-up takes no longer.
+// TestFloodOfDistinctRequests records 100,000 distinct requests, each with one crash: memory stays
+// bounded, a quarantined request is not evicted in favor of others, and a lookup takes no longer.
 func TestFloodOfDistinctRequests(t *testing.T) {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	table := NewTable(Policy{})
-	now := end(table, 7, 3)
+	now := addCrashes(table, 7, 3)
 	for number := range 100_000 {
-		record := ended(Fingerprint(1000+number), BackendRun(1000+number), 3*time.Second)
+		record := crashRecord(Fingerprint(1000+number), BackendRun(1000+number), 3*time.Second)
 		record.Description = strings.Repeat("x", maxDescription)
 		table.Merge(now, record)
 		require.LessOrEqual(t, table.Len(), DefaultCapacity)
 	}
-	_, held := table.QuarantinedUntil(now, 7)
-	require.True(t, held)
+	_, quarantined := table.QuarantinedUntil(now, 7)
+	require.True(t, quarantined)
 	require.GreaterOrEqual(t, table.Len(), DefaultCapacity*3/4)
-	took := testing.Benchmark(func(b *testing.B) {
+	benchmark := testing.Benchmark(func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
 			table.QuarantinedUntil(now, 7)
@@ -183,15 +183,15 @@
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	bytes := (after.HeapAlloc - before.HeapAlloc) / uint64(table.Len())
-	t.Logf("%d noted in %d bytes each; a look-up takes %d ns and allocates %d times", table.Len(), bytes, took.NsPerOp(), took.AllocsPerOp())
+	t.Logf("%d records of %d bytes each; a lookup takes %d ns and allocates %d times", table.Len(), bytes, benchmark.NsPerOp(), benchmark.AllocsPerOp())
 	require.Less(t, bytes, uint64(1000))
-	require.Less(t, took.NsPerOp(), int64(10_000)) // a tenth of a microsecond here; CI may be busy
-	require.Zero(t, took.AllocsPerOp())
+	require.Less(t, benchmark.NsPerOp(), int64(10_000)) // about 100 ns on an idle machine; CI may be busy
+	require.Zero(t, benchmark.AllocsPerOp())
 }
 
-// bystanders plays a service whose back ends a request ends, one after the other, for an hour,
-// and returns how many other requests are held back.
-func bystanders(random *rand.Rand, kinds int, answeredBetween float64) (held, endings int) {
+// bystanders simulates a service whose back ends one request crashes, one after the other, until it
+// is quarantined, and returns how many other requests are quarantined then.
+func bystanders(random *rand.Rand, requests int, successRate float64) (quarantined, crashes int) {
 	table := NewTable(Policy{})
 	const culprit = Fingerprint(1)
 	for run := BackendRun(1); ; run++ {
@@ -199,44 +199,44 @@
 		if _, stopped := table.QuarantinedUntil(at(offset), culprit); stopped {
 			break
 		}
-		endings++
-		table.Merge(at(offset), ended(culprit, run, offset))
-		for range 2 { // the other slots
-			table.Merge(at(offset), ended(Fingerprint(2+random.IntN(kinds)), run, offset))
+		crashes++
+		table.Merge(at(offset), crashRecord(culprit, run, offset))
+		for range 2 { // requests in the other slots
+			table.Merge(at(offset), crashRecord(Fingerprint(2+random.IntN(requests)), run, offset))
 		}
-		for kind := range kinds {
-			if random.Float64() < answeredBetween {
-				table.RecordSuccess(at(offset+time.Millisecond), Fingerprint(2+kind))
+		for number := range requests {
+			if random.Float64() < successRate {
+				table.RecordSuccess(at(offset+time.Millisecond), Fingerprint(2+number))
 			}
 		}
 	}
-	return len(table.Quarantined(at(time.Minute))) - 1, endings
+	return len(table.Quarantined(at(time.Minute))) - 1, crashes
 }
 
-// TestBystandersAreSeldomHeld counts how often a request is held back that was at back ends by
-// chance as another one ended them: with five kinds of requests in all the world, none of which
-// is answered in between, in one case of four; with fifty in three of a thousand; where they are
-// answered meanwhile, in one of a thousand or none.
+// TestBystandersAreSeldomHeld counts how often requests are quarantined that were only in flight
+// when another request crashed the back ends. With 5 distinct requests and no responses in between,
+// this happens in one case of four; with 50, in three of a thousand; with responses in between, in
+// one of a thousand or none.
 func TestBystandersAreSeldomHeld(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
-	for _, one := range []struct {
-		kinds    int
-		answered float64
-		most     float64
+	for _, test := range []struct {
+		requests    int
+		successRate float64
+		limit       float64
 	}{{5, 0, 0.8}, {50, 0, 0.02}, {5, 0.9, 0.02}, {50, 0.5, 0.002}, {1000, 0, 0.002}} {
 		const runs = 1000
-		heldBack := 0
+		total := 0
 		for range runs {
-			held, endings := bystanders(random, one.kinds, one.answered)
-			require.Equal(t, DefaultCrashThreshold, endings)
-			heldBack += held
+			quarantined, crashes := bystanders(random, test.requests, test.successRate)
+			require.Equal(t, DefaultCrashThreshold, crashes)
+			total += quarantined
 		}
-		t.Logf("%d kinds of requests, answered between two endings with a chance of %.1f: %.4f bystanders held back for one culprit", one.kinds, one.answered, float64(heldBack)/runs)
-		require.LessOrEqual(t, float64(heldBack)/runs, one.most)
+		t.Logf("%d distinct requests, response between two crashes with probability %.1f: %.4f bystanders quarantined per culprit", test.requests, test.successRate, float64(total)/runs)
+		require.LessOrEqual(t, float64(total)/runs, test.limit)
 	}
 }
 
-func BenchmarkLookUpNothingNoted(b *testing.B) {
+func BenchmarkLookupEmptyTable(b *testing.B) {
 	table := NewTable(Policy{})
 	b.ReportAllocs()
 	for b.Loop() {
