--- a/operation/ledger.go
+++ b/operation/ledger.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// EntryKind says what an entry records.
+// EntryKind is the kind of a journal entry.
 type EntryKind string
 
-// The kinds of entry.
+// Kinds of entries.
 const (
 	Claimed  EntryKind = "claimed"
 	Finished EntryKind = "finished"
-	Released EntryKind = "released" // claimed, and certainly not run
+	Released EntryKind = "released" // claimed, and known not to have run
 )
 
-// Entry is one line of a journal.
+// Entry is one record in a journal.
 type Entry struct {
 	Kind        EntryKind `json:"kind"`
 	Key         string    `json:"key"`
-	Token       string    `json:"token"` // unique to one claim
+	Token       string    `json:"token"` // unique per claim
 	Fingerprint uint64    `json:"fingerprint,omitempty"`
-	At          int64     `json:"at"` // unix milliseconds, by the writer's clock
+	At          int64     `json:"at"` // Unix milliseconds, by the writer's clock
 	Result      *Result   `json:"result,omitempty"`
 }
 
-// Result is the recorded answer of an operation that has run.
+// Result is the recorded response of an operation that has run.
 type Result struct {
 	Status      int    `json:"status"`
 	ContentType string `json:"content_type,omitempty"`
 	Body        []byte `json:"body,omitempty"`
-	Complete    bool   `json:"complete"` // false: the answer could not be kept whole
+	Complete    bool   `json:"complete"` // false: the response was not recorded in full
 }
 
-// record is what the ledger knows of one key.
+// record is the current state of one key.
 type record struct {
 	kind        EntryKind
 	token       string
@@ -39,106 +39,107 @@
 	result      *Result
 }
 
-// Ledger is the state that a journal's entries lead to. It is pure and not safe
-// for concurrent use.
+// Ledger is the state that results from applying a journal's entries. It does no I/O and is not
+// safe for concurrent use.
 type Ledger struct {
 	retention time.Duration
 	records   map[string]record
 }
 
-// NewLedger returns an empty ledger that forgets a key when retention has
-// passed since its last entry.
+// NewLedger returns an empty ledger. A key expires when retention has passed since its last
+// entry.
 func NewLedger(retention time.Duration) *Ledger {
 	return &Ledger{retention: retention, records: make(map[string]record)}
 }
 
-// Apply takes in an entry. Entries of a claim that is not the key's present one
-// change nothing.
+// Apply applies an entry. Finished and Released entries have no effect unless their token is that
+// of the key's current claim.
 func (l *Ledger) Apply(entry Entry) {
-	present, known := l.records[entry.Key]
+	current, found := l.records[entry.Key]
 	switch entry.Kind {
 	case Claimed:
 		l.records[entry.Key] = record{kind: Claimed, token: entry.Token, fingerprint: entry.Fingerprint, at: entry.At}
 	case Finished:
-		if known && present.token == entry.Token {
-			present.kind, present.result, present.at = Finished, entry.Result, entry.At
-			l.records[entry.Key] = present
+		if found && current.token == entry.Token {
+			current.kind, current.result, current.at = Finished, entry.Result, entry.At
+			l.records[entry.Key] = current
 		}
 	case Released:
-		if known && present.token == entry.Token && present.kind == Claimed {
+		if found && current.token == entry.Token && current.kind == Claimed {
 			delete(l.records, entry.Key)
 		}
 	}
 }
 
-// KeyState says whether a key may be claimed.
+// KeyState is the state of a key as seen by a request that wants to claim it.
 type KeyState int
 
-// The verdicts.
+// States of a key.
 const (
 	// Unclaimed: the key may be claimed.
 	Unclaimed KeyState = iota
-	// Completed: the operation has run; its answer is recorded.
+	// Completed: the operation has run and its outcome is recorded.
 	Completed
 	// Pending: the key is claimed and no outcome is recorded.
 	Pending
-	// Reused: the key belongs to a different request.
+	// Reused: the key was claimed for a different request.
 	Reused
 )
 
-// Lookup says whether a key may be claimed at this time.
+// Lookup returns the state of a key at the given time, and its record unless it is unclaimed.
 func (l *Ledger) Lookup(now time.Time, key string, fingerprint uint64) (KeyState, record) {
-	present, known := l.records[key]
+	current, found := l.records[key]
 	switch {
-	case !known || l.expired(now, present.at):
+	case !found || l.expired(now, current.at):
 		return Unclaimed, record{}
-	case present.fingerprint != fingerprint:
-		return Reused, present
-	case present.kind == Finished:
-		return Completed, present
+	case current.fingerprint != fingerprint:
+		return Reused, current
+	case current.kind == Finished:
+		return Completed, current
 	}
-	return Pending, present
+	return Pending, current
 }
 
-// HasClaim says whether a claim's token is the key's present one.
+// HasClaim reports whether the token is that of the key's current claim.
 func (l *Ledger) HasClaim(key, token string) bool {
-	present, known := l.records[key]
-	return known && present.token == token
+	current, found := l.records[key]
+	return found && current.token == token
 }
 
 func (l *Ledger) expired(now time.Time, at int64) bool {
 	return now.Sub(time.UnixMilli(at)) > l.retention
 }
 
-// MissingFrom returns the entries that another ledger lacks to know of each claim and outcome what this one does. A key that
-// is claimed anew there is left as it is.
+// MissingFrom returns the claims and outcomes that this ledger holds and the other lacks, as
+// entries to append. Expired keys, and keys that the other ledger holds with a different claim,
+// are left out.
 func (l *Ledger) MissingFrom(other *Ledger, now time.Time) []Entry {
 	var missing []Entry
-	for key, known := range l.records {
-		theirs, claimed := other.records[key]
-		if l.expired(now, known.at) || claimed && theirs.token != known.token {
+	for key, own := range l.records {
+		otherRecord, found := other.records[key]
+		if l.expired(now, own.at) || found && otherRecord.token != own.token {
 			continue
 		}
-		if !claimed {
-			missing = append(missing, Entry{Kind: Claimed, Key: key, Token: known.token, Fingerprint: known.fingerprint, At: known.at})
+		if !found {
+			missing = append(missing, Entry{Kind: Claimed, Key: key, Token: own.token, Fingerprint: own.fingerprint, At: own.at})
 		}
-		if known.kind == Finished && theirs.kind != Finished {
-			missing = append(missing, Entry{Kind: Finished, Key: key, Token: known.token, At: known.at, Result: known.result})
+		if own.kind == Finished && otherRecord.kind != Finished {
+			missing = append(missing, Entry{Kind: Finished, Key: key, Token: own.token, At: own.at, Result: own.result})
 		}
 	}
 	return missing
 }
 
-// Expire forgets the keys whose retention has passed.
+// Expire removes the keys whose retention has passed.
 func (l *Ledger) Expire(now time.Time) {
-	for key, present := range l.records {
-		if l.expired(now, present.at) {
+	for key, current := range l.records {
+		if l.expired(now, current.at) {
 			delete(l.records, key)
 		}
 	}
 }
 
-// Len returns the number of keys known.
+// Len returns the number of keys.
 func (l *Ledger) Len() int {
 	return len(l.records)
 }
--- a/operation/operation_test.go
+++ b/operation/operation_test.go
@@ -20,14 +20,13 @@
 	"github.com/tuliphall/tuliphall/resultcode"
 )
 
-// faultyStore loses answers of writes that took effect, refuses calls, and is
-// slow.
+// faultyStore is a slow store that fails calls, and loses the responses of writes that took effect.
 type faultyStore struct {
 	*objectstore.Memory
 	mutex  sync.Mutex
 	random *rand.Rand
-	lost   float64
-	down   float64
+	lost   float64 // share of writes whose response is lost
+	down   float64 // share of writes that fail
 	writes int
 }
 
@@ -59,26 +58,26 @@
 	return s.writes
 }
 
-func newExecutor(store objectstore.Store) *operation.Claimer {
+func newClaimer(store objectstore.Store) *operation.Claimer {
 	return operation.NewClaimer(operation.Options{
 		Store: store, WriteLimiter: rate.NewLimiter(100, 1), Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 	})
 }
 
-// begin is one claim in a history.
-type begin struct {
+// claimEvent is the input and output of one operation in a history.
+type claimEvent struct {
 	key      string
-	released bool // the claim is given back by the next operation of the history
+	released bool // the operation releases the claim of the one before it
 	claimed  bool
 }
 
-// model allows a key to be claimed once until it is released. A claim that was
-// refused is always allowed: it promises nothing.
+// model allows a key to be claimed once until it is released. A refused claim is always allowed, as
+// it guarantees nothing.
 var model = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := make(map[string][]porcupine.Operation)
 		for _, one := range history {
-			key := one.Input.(begin).key
+			key := one.Input.(claimEvent).key
 			byKey[key] = append(byKey[key], one)
 		}
 		var parts [][]porcupine.Operation
@@ -91,17 +90,17 @@
 	Step: func(state, input, output any) (bool, any) {
 		taken := state.(bool)
 		switch {
-		case input.(begin).released:
+		case input.(claimEvent).released:
 			return true, false
-		case !output.(begin).claimed:
+		case !output.(claimEvent).claimed:
 			return true, taken
 		}
 		return !taken, true
 	},
 }
 
-// TestClaimsAreLinearizable lets daemons race for the same keys over a store that
-// loses answers, and checks the history.
+// TestClaimsAreLinearizable has daemons claim the same keys concurrently, with a store that loses
+// responses, and checks the history for linearizability.
 func TestClaimsAreLinearizable(t *testing.T) {
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
@@ -112,11 +111,11 @@
 	}
 }
 
-// race runs three daemons with two callers each over few keys.
+// race runs three daemons with two callers each, which claim a few keys concurrently.
 func race(t *testing.T, store objectstore.Store, seed uint64) []porcupine.Operation {
 	var mutex sync.Mutex
 	var history []porcupine.Operation
-	note := func(client int, called time.Time, input, output begin) {
+	record := func(client int, called time.Time, input, output claimEvent) {
 		mutex.Lock()
 		defer mutex.Unlock()
 		history = append(history, porcupine.Operation{ClientId: client, Input: input, Output: output, Call: called.UnixNano(), Return: time.Now().UnixNano()})
@@ -124,8 +123,8 @@
 	var callers sync.WaitGroup
 	claimed := 0
 	for daemon := range 3 {
-		executor := newExecutor(store)
-		defer executor.Close(t.Context())
+		claimer := newClaimer(store)
+		defer claimer.Close(t.Context())
 		for caller := range 2 {
 			client := daemon*2 + caller
 			random := rand.New(rand.NewPCG(seed, uint64(client)))
@@ -133,8 +132,8 @@
 				for range 15 {
 					key := fmt.Sprint("key-", random.IntN(12))
 					called := time.Now()
-					claim, _, _ := executor.Claim(t.Context(), "swaps", key, 1)
-					note(client, called, begin{key: key}, begin{claimed: claim != nil})
+					claim, _, _ := claimer.Claim(t.Context(), "swaps", key, 1)
+					record(client, called, claimEvent{key: key}, claimEvent{claimed: claim != nil})
 					if claim == nil {
 						continue
 					}
@@ -145,7 +144,7 @@
 					if random.IntN(3) == 0 {
 						called = time.Now()
 						claim.Release()
-						note(client, called, begin{key: key, released: true}, begin{})
+						record(client, called, claimEvent{key: key, released: true}, claimEvent{})
 						continue
 					}
 					claim.Finish(operation.Result{Status: 200, Complete: true})
@@ -158,20 +157,20 @@
 	return history
 }
 
-// TestHistoryCheckCanFail gives the checker a key that was claimed twice.
+// TestHistoryCheckCanFail checks that the model rejects a key that was claimed twice.
 func TestHistoryCheckCanFail(t *testing.T) {
 	twice := []porcupine.Operation{
-		{ClientId: 0, Input: begin{key: "a"}, Output: begin{claimed: true}, Call: 0, Return: 1},
-		{ClientId: 1, Input: begin{key: "a"}, Output: begin{claimed: true}, Call: 2, Return: 3},
+		{ClientId: 0, Input: claimEvent{key: "a"}, Output: claimEvent{claimed: true}, Call: 0, Return: 1},
+		{ClientId: 1, Input: claimEvent{key: "a"}, Output: claimEvent{claimed: true}, Call: 2, Return: 3},
 	}
 	require.False(t, porcupine.CheckOperations(model, twice))
 }
 
-// TestReplayAndReuse answers a key that was seen before with the record.
+// TestReplayAndReuse checks the replies to claims of a key that was claimed before.
 func TestReplayAndReuse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &faultyStore{Memory: objectstore.NewMemory(), random: rand.New(rand.NewPCG(1, 1))}
-		first, second := newExecutor(store), newExecutor(store)
+		first, second := newClaimer(store), newClaimer(store)
 		claim, _, failure := first.Claim(t.Context(), "swaps", "key", 1)
 		require.Nil(t, failure)
 		_, _, failure = first.Claim(t.Context(), "swaps", "key", 1)
@@ -189,12 +188,11 @@
 	})
 }
 
-// TestLongJournal fills many segments and lets another daemon read them, and lets
-// them expire.
+// TestLongJournal fills many segments, has another daemon read them, and waits until they expire.
 func TestLongJournal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &faultyStore{Memory: objectstore.NewMemory(), random: rand.New(rand.NewPCG(1, 1))}
-		first := newExecutor(store)
+		first := newClaimer(store)
 		const keys = 2000
 		var callers sync.WaitGroup
 		for number := range keys {
@@ -206,8 +204,8 @@
 		}
 		callers.Wait()
 		time.Sleep(time.Second)
-		require.Less(t, store.written(), keys/20, "claims were not grouped")
-		second := newExecutor(store)
+		require.Less(t, store.written(), keys/20, "claims were not batched")
+		second := newClaimer(store)
 		for number := range keys {
 			claim, _, _ := second.Claim(t.Context(), "swaps", fmt.Sprint(number), 1)
 			require.Nil(t, claim, "key %d was claimed twice", number)
@@ -215,7 +213,7 @@
 		segments, err := store.List(t.Context(), "operations-swaps")
 		require.NoError(t, err)
 		require.Greater(t, len(segments), 3)
-		// Records expire with their segments once the retention has passed.
+		// Segments are removed once the retention of all their entries has passed.
 		time.Sleep(operation.DefaultRetention + 10*time.Minute)
 		segments, err = store.List(t.Context(), "operations-swaps")
 		require.NoError(t, err)
@@ -230,32 +228,32 @@
 // TestOldClaimIsNotUsable holds a claim past its lifetime, as a paused daemon does.
 func TestOldClaimIsNotUsable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		executor := newExecutor(objectstore.NewMemory())
-		claim, _, failure := executor.Claim(t.Context(), "swaps", "key", 1)
+		claimer := newClaimer(objectstore.NewMemory())
+		claim, _, failure := claimer.Claim(t.Context(), "swaps", "key", 1)
 		require.Nil(t, failure)
 		require.True(t, claim.Valid())
 		time.Sleep(operation.ClaimLifetime)
 		require.False(t, claim.Valid())
-		executor.Close(t.Context())
+		claimer.Close(t.Context())
 	})
 }
 
-// TestClaimOfSleepingMachineIsNotUsable lets the machine sleep with a claim whose request has not
-// been sent: after as long as others respect the claim it may not be, though the steady clock has
-// stood still.
+// TestClaimOfSleepingMachineIsNotUsable suspends the machine while it holds a claim that it has not
+// used. Once the claim's lifetime has passed, the claim must be invalid, although the monotonic clock
+// has not advanced.
 func TestClaimOfSleepingMachineIsNotUsable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, slept := range []time.Duration{time.Second, 5 * time.Second, 30 * time.Second} {
 			var offset time.Duration
-			executor := operation.NewClaimer(operation.Options{
+			claimer := operation.NewClaimer(operation.Options{
 				Store: objectstore.NewMemory(), WriteLimiter: rate.NewLimiter(100, 1), Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 				Now: func() time.Time { return time.Now().Add(offset) },
 			})
-			claim, _, failure := executor.Claim(t.Context(), "swaps", "key", 1)
+			claim, _, failure := claimer.Claim(t.Context(), "swaps", "key", 1)
 			require.Nil(t, failure)
 			offset = slept
 			require.Equal(t, slept < operation.ClaimLifetime, claim.Valid(), slept)
-			executor.Close(t.Context())
+			claimer.Close(t.Context())
 		}
 	})
 }
--- a/operation/writer.go
+++ b/operation/writer.go
@@ -12,16 +12,17 @@
 	"github.com/tuliphall/tuliphall/wait"
 )
 
-// command asks the writer to add an entry. answer is nil where nobody waits.
+// command asks the writer to append an entry, or to signal done once the commands before it are
+// handled. reply is nil if no caller waits for the entry.
 type command struct {
-	entry  Entry
-	begun  time.Time
-	answer chan verdict
-	done   chan struct{} // of a flush
+	entry     Entry
+	startedAt time.Time
+	reply     chan claimReply
+	done      chan struct{} // closed for a flush
 }
 
-// verdict is the answer to a claim.
-type verdict struct {
+// claimReply is the reply to a claim; one field is set.
+type claimReply struct {
 	claim   *Claim
 	result  *Result
 	failure *resultcode.Failure
@@ -29,35 +30,35 @@
 
 // writer owns the journal of one service.
 type writer struct {
-	executor *Claimer
-	service  string
-	queue    chan *command
-	journal  *journal
-	backlog  []Entry // outcomes and releases that could not be written yet
-	expired  time.Time
+	claimer    *Claimer
+	service    string
+	queue      chan *command
+	journal    *journal
+	backlog    []Entry // outcomes and releases to write
+	lastExpiry time.Time
 
-	mutex   sync.Mutex
-	pending map[string]bool // tokens of claims whose requests this daemon runs
+	mutex        sync.Mutex
+	activeClaims map[string]bool // tokens of claims whose requests this daemon runs
 }
 
-// outcomeInterval is how long an outcome may wait for a claim to be written with.
-// A daemon that crashes meanwhile leaves its keys unsettled, which is safe.
-const outcomeInterval = 250 * time.Millisecond
+// outcomeFlushInterval is the longest time that an outcome waits to be written together with a
+// claim. If the daemon crashes meanwhile, the key stays claimed, which is safe.
+const outcomeFlushInterval = 250 * time.Millisecond
 
-// maxBacklog bounds the outcomes kept while the store is down. The oldest are
-// given up: their keys stay claimed, which is safe.
+// maxBacklog limits the backlog while the store is unavailable. The oldest outcomes are dropped:
+// their keys stay claimed, which is safe.
 const maxBacklog = 20000
 
-func newWriter(e *Claimer, service string) *writer {
+func newWriter(claimer *Claimer, service string) *writer {
 	return &writer{
-		executor: e, service: service, queue: make(chan *command, queueLength),
-		journal: newJournal(e.options.Store, e.options.WriteLimiter, service, e.options.Retention),
-		pending: make(map[string]bool), expired: time.Now(),
+		claimer: claimer, service: service, queue: make(chan *command, queueLength),
+		journal:      newJournal(claimer.options.Store, claimer.options.WriteLimiter, service, claimer.options.Retention),
+		activeClaims: make(map[string]bool), lastExpiry: time.Now(),
 	}
 }
 
-// offer hands a command to the writer, and says whether there was room.
-func (w *writer) offer(c *command) bool {
+// enqueue queues a command, and returns false if the queue is full.
+func (w *writer) enqueue(c *command) bool {
 	select {
 	case w.queue <- c:
 		return true
@@ -66,10 +67,10 @@
 	}
 }
 
-// flush waits until the commands before it are handled.
+// flush waits until the commands queued before it are handled, or ctx ends.
 func (w *writer) flush(ctx context.Context) {
 	done := make(chan struct{})
-	if !w.offer(&command{done: done}) {
+	if !w.enqueue(&command{done: done}) {
 		return
 	}
 	select {
@@ -78,45 +79,45 @@
 	}
 }
 
-func (w *writer) forget(token string) {
+func (w *writer) removeActive(token string) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	delete(w.pending, token)
+	delete(w.activeClaims, token)
 }
 
-func (w *writer) remember(token string) {
+func (w *writer) addActive(token string) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.pending[token] = true
+	w.activeClaims[token] = true
 }
 
-func (w *writer) runsHere(token string) bool {
+func (w *writer) isActive(token string) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.pending[token]
+	return w.activeClaims[token]
 }
 
 func (w *writer) run() {
-	defer w.executor.running.Done()
-	outcomes := time.NewTicker(outcomeInterval)
-	defer outcomes.Stop()
+	defer w.claimer.running.Done()
+	flushTicker := time.NewTicker(outcomeFlushInterval)
+	defer flushTicker.Stop()
 	for {
 		select {
 		case first := <-w.queue:
-			w.handle(w.gather(first))
-		case <-outcomes.C:
-			if len(w.backlog) > 0 || w.journal.cameBackOlder() {
+			w.handle(w.collectBatch(first))
+		case <-flushTicker.C:
+			if len(w.backlog) > 0 || w.journal.storeRolledBack() {
 				w.handle(nil)
 			}
 			w.expire()
-		case <-w.executor.ctx.Done():
+		case <-w.claimer.ctx.Done():
 			return
 		}
 	}
 }
 
-// gather takes the commands that came while the last write was under way.
-func (w *writer) gather(first *command) []*command {
+// collectBatch takes the commands that were queued during the last write.
+func (w *writer) collectBatch(first *command) []*command {
 	batch := []*command{first}
 	for len(batch) < maxBatch {
 		select {
@@ -130,19 +131,19 @@
 }
 
 func (w *writer) expire() {
-	if time.Since(w.expired) < expireInterval || !w.journal.loaded {
+	if time.Since(w.lastExpiry) < expireInterval || !w.journal.loaded {
 		return
 	}
-	w.expired = time.Now()
-	if err := w.journal.expire(w.executor.ctx, time.Now()); err != nil {
-		w.executor.log.Warn("expiry put off", "service", w.service, "error", err)
+	w.lastExpiry = time.Now()
+	if err := w.journal.expire(w.claimer.ctx, time.Now()); err != nil {
+		w.claimer.log.Warn("cannot remove expired journal segments", "service", w.service, "error", err)
 	}
 }
 
-// handle writes a batch and answers its claims.
+// handle writes a batch and replies to its claims.
 func (w *writer) handle(batch []*command) {
-	w.takeOutcomes(batch)
-	if len(batch) > 0 && !urgent(batch) {
+	w.queueOutcomes(batch)
+	if len(batch) > 0 && !hasWaiter(batch) {
 		return
 	}
 	err := w.write(batch)
@@ -150,56 +151,56 @@
 		if c.done != nil {
 			close(c.done)
 		}
-		if c.answer != nil && err != nil {
-			w.giveUp(c, err)
+		if c.reply != nil && err != nil {
+			w.failClaim(c, err)
 		}
 	}
 }
 
-// urgent says whether anybody waits for the batch.
-func urgent(batch []*command) bool {
+// hasWaiter reports whether a caller or a flush waits for the batch.
+func hasWaiter(batch []*command) bool {
 	for _, c := range batch {
-		if c.answer != nil || c.done != nil {
+		if c.reply != nil || c.done != nil {
 			return true
 		}
 	}
 	return false
 }
 
-// takeOutcomes moves the entries nobody waits for to the backlog.
-func (w *writer) takeOutcomes(batch []*command) {
+// queueOutcomes moves entries that no caller waits for to the backlog.
+func (w *writer) queueOutcomes(batch []*command) {
 	for _, c := range batch {
-		if c.answer == nil && c.done == nil {
+		if c.reply == nil && c.done == nil {
 			c.entry.At = time.Now().UnixMilli()
 			w.backlog = append(w.backlog, c.entry)
 		}
 	}
-	if over := len(w.backlog) - maxBacklog; over > 0 {
-		w.executor.log.Error("outcomes given up, their keys stay claimed", "service", w.service, "count", over)
-		w.backlog = append([]Entry(nil), w.backlog[over:]...)
+	if excess := len(w.backlog) - maxBacklog; excess > 0 {
+		w.claimer.log.Error("outcome backlog is full; dropped the oldest outcomes, whose keys stay claimed", "service", w.service, "count", excess)
+		w.backlog = append([]Entry(nil), w.backlog[excess:]...)
 	}
 }
 
-// giveUp refuses a claim that could not be written. Its write may still take
-// effect, so that it is released once the store is back.
-func (w *writer) giveUp(c *command, err error) {
+// failClaim refuses a claim that could not be written. Its write may still take effect, so a
+// release is queued for when the store is available again.
+func (w *writer) failClaim(c *command, err error) {
 	w.backlog = append(w.backlog, Entry{Kind: Released, Key: c.entry.Key, Token: c.entry.Token, At: time.Now().UnixMilli()})
-	c.answer <- verdict{failure: &resultcode.Failure{Code: resultcode.StoreUnavailable, Detail: err.Error(), RetryAfter: time.Second}}
+	c.reply <- claimReply{failure: &resultcode.Failure{Code: resultcode.StoreUnavailable, Detail: err.Error(), RetryAfter: time.Second}}
 }
 
-// write appends the batch's claims and the backlog. On an error no claim of the
-// batch has been answered.
+// write appends the batch's claims and the backlog. On an error none of the batch's claims has
+// been replied to.
 func (w *writer) write(batch []*command) error {
-	ctx := w.executor.ctx
+	ctx := w.claimer.ctx
 	if w.journal.stale() {
 		w.journal.reset()
 	}
 	err := error(errNotLoaded)
 	refreshed := false
-	for range maxTries {
-		if w.journal.cameBackOlder() {
-			if err = w.recover(ctx); err != nil {
-				if !wait.Sleep(ctx, tryPause) {
+	for range maxAttempts {
+		if w.journal.storeRolledBack() {
+			if err = w.recoverLostEntries(ctx); err != nil {
+				if !wait.Sleep(ctx, retryDelay) {
 					return err
 				}
 				continue
@@ -208,14 +209,14 @@
 		if !w.journal.loaded || errors.Is(err, objectstore.ErrConflict) || errors.Is(err, objectstore.ErrOutcomeUnknown) {
 			if loadErr := w.journal.load(ctx); loadErr != nil {
 				err = errors.WithType(loadErr, objectstore.ErrOutcomeUnknown)
-				if !wait.Sleep(ctx, tryPause) {
+				if !wait.Sleep(ctx, retryDelay) {
 					return err
 				}
 				continue
 			}
 		}
-		if !refreshed && w.unsettledElsewhere(batch) {
-			// The outcome may have been recorded by another daemon since.
+		if !refreshed && w.pendingElsewhere(batch) {
+			// Another daemon may have recorded the outcome since the last load.
 			refreshed = true
 			if err = w.journal.load(ctx); err != nil {
 				continue
@@ -225,72 +226,72 @@
 		if err == nil {
 			return nil
 		}
-		if !errors.Is(err, objectstore.ErrConflict) && !wait.Sleep(ctx, tryPause) {
+		if !errors.Is(err, objectstore.ErrConflict) && !wait.Sleep(ctx, retryDelay) {
 			return err
 		}
 	}
 	return err
 }
 
-// recover lets what the store has lost be written again with the next write.
-func (w *writer) recover(ctx context.Context) error {
-	lost, err := w.journal.recover(ctx, time.Now())
+// recoverLostEntries queues the entries that a store rollback lost, for the next write.
+func (w *writer) recoverLostEntries(ctx context.Context) error {
+	lost, err := w.journal.reloadAfterRollback(ctx, time.Now())
 	if err != nil {
 		return errors.WithType(err, objectstore.ErrUnavailable)
 	}
-	w.executor.log.Warn("claims and outcomes that the store has lost are written again", "service", w.service, "entries", len(lost))
+	w.claimer.log.Warn("writing claims and outcomes lost by the store again", "service", w.service, "entries", len(lost))
 	w.backlog = append(lost, w.backlog...)
 	return nil
 }
 
-// unsettledElsewhere says whether the batch asks for a key that another daemon
-// claimed and whose outcome is not known here.
-func (w *writer) unsettledElsewhere(batch []*command) bool {
+// pendingElsewhere reports whether the batch claims a key that another daemon has claimed and whose
+// outcome is not in the ledger.
+func (w *writer) pendingElsewhere(batch []*command) bool {
 	for _, c := range batch {
-		if c.answer == nil {
+		if c.reply == nil {
 			continue
 		}
-		seen, known := w.journal.ledger.Lookup(time.Now(), c.entry.Key, c.entry.Fingerprint)
-		if seen == Pending && !w.runsHere(known.token) {
+		state, existing := w.journal.ledger.Lookup(time.Now(), c.entry.Key, c.entry.Fingerprint)
+		if state == Pending && !w.isActive(existing.token) {
 			return true
 		}
 	}
 	return false
 }
 
-// tryWrite decides every claim against the ledger and appends what is new.
+// tryWrite checks every claim against the ledger and appends the new entries.
 func (w *writer) tryWrite(ctx context.Context, batch []*command) error {
 	now := time.Now()
-	answers := make([]verdict, len(batch))
+	replies := make([]claimReply, len(batch))
 	entries := append([]Entry(nil), w.backlog...)
-	taken := make(map[string]bool)
-	unsettled := w.executor.unsettledFor(w.executor.options.Now())
+	claimedKeys := make(map[string]bool)
+	grace := w.claimer.graceRemaining(w.claimer.options.Now())
 	for index, c := range batch {
-		if c.answer == nil {
+		if c.reply == nil {
 			continue
 		}
 		if w.journal.ledger.HasClaim(c.entry.Key, c.entry.Token) {
-			// An earlier try took effect though its answer was lost.
-			answers[index] = verdict{claim: w.claim(c)}
+			// An earlier attempt took effect, but its response was lost.
+			replies[index] = claimReply{claim: w.newClaim(c)}
 			continue
 		}
-		if taken[c.entry.Key] {
-			answers[index] = verdict{failure: inProgress()}
+		if claimedKeys[c.entry.Key] {
+			replies[index] = claimReply{failure: operationInProgress()}
 			continue
 		}
-		seen, known := w.journal.ledger.Lookup(now, c.entry.Key, c.entry.Fingerprint)
-		if seen != Unclaimed {
-			answers[index] = w.seen(seen, known)
+		state, existing := w.journal.ledger.Lookup(now, c.entry.Key, c.entry.Fingerprint)
+		if state != Unclaimed {
+			replies[index] = w.existingKeyReply(state, existing)
 			continue
 		}
-		if unsettled > 0 {
-			answers[index] = verdict{failure: &resultcode.Failure{Code: resultcode.StoreUnavailable, Detail: "the store came back older, and claims that it lost may not be written again yet", RetryAfter: unsettled}}
+		if grace > 0 {
+			replies[index] = claimReply{failure: &resultcode.Failure{Code: resultcode.StoreUnavailable, Detail: "the store came back older, and claims that it lost may not be written again yet", RetryAfter: grace}}
 			continue
 		}
 		c.entry.At = now.UnixMilli()
-		taken[c.entry.Key] = true
+		claimedKeys[c.entry.Key] = true
 		entries = append(entries, c.entry)
-		answers[index] = verdict{claim: w.claim(c)}
+		replies[index] = claimReply{claim: w.newClaim(c)}
 	}
 	if len(entries) > 0 {
 		if err := w.journal.append(ctx, entries); err != nil {
@@ -298,41 +299,41 @@
 		}
 		w.backlog = nil
 	}
-	w.answer(batch, answers)
+	w.sendReplies(batch, replies)
 	return nil
 }
 
-func (w *writer) claim(c *command) *Claim {
-	return &Claim{writer: w, entry: c.entry, begun: c.begun, lifetime: ClaimLifetime}
+func (w *writer) newClaim(c *command) *Claim {
+	return &Claim{writer: w, entry: c.entry, startedAt: c.startedAt, lifetime: ClaimLifetime}
 }
 
-func (w *writer) answer(batch []*command, answers []verdict) {
+func (w *writer) sendReplies(batch []*command, replies []claimReply) {
 	for index, c := range batch {
-		if c.answer == nil {
+		if c.reply == nil {
 			continue
 		}
-		if answers[index].claim != nil {
-			w.remember(c.entry.Token)
+		if replies[index].claim != nil {
+			w.addActive(c.entry.Token)
 		}
-		c.answer <- answers[index]
+		c.reply <- replies[index]
 	}
 }
 
-// seen answers a claim of a key that was seen before.
-func (w *writer) seen(seen KeyState, known record) verdict {
+// existingKeyReply returns the reply to a claim of a key that is not unclaimed.
+func (w *writer) existingKeyReply(state KeyState, existing record) claimReply {
 	switch {
-	case seen == Reused:
-		return verdict{failure: &resultcode.Failure{Code: resultcode.KeyReused, Detail: "the key was used with another method, path or body"}}
-	case seen == Completed && known.result.Complete:
-		return verdict{result: known.result}
-	case seen == Completed:
-		return verdict{failure: &resultcode.Failure{Code: resultcode.OperationUnknown, Detail: "the operation ran, but its answer could not be kept"}}
-	case w.runsHere(known.token):
-		return verdict{failure: inProgress()}
+	case state == Reused:
+		return claimReply{failure: &resultcode.Failure{Code: resultcode.KeyReused, Detail: "the key was used with another method, path or body"}}
+	case state == Completed && existing.result.Complete:
+		return claimReply{result: existing.result}
+	case state == Completed:
+		return claimReply{failure: &resultcode.Failure{Code: resultcode.OperationUnknown, Detail: "the operation ran, but its answer could not be kept"}}
+	case w.isActive(existing.token):
+		return claimReply{failure: operationInProgress()}
 	}
-	return verdict{failure: &resultcode.Failure{Code: resultcode.OperationUnknown, Detail: "an earlier request with this key was claimed and its outcome was never recorded"}}
+	return claimReply{failure: &resultcode.Failure{Code: resultcode.OperationUnknown, Detail: "an earlier request with this key was claimed and its outcome was never recorded"}}
 }
 
-func inProgress() *resultcode.Failure {
+func operationInProgress() *resultcode.Failure {
 	return &resultcode.Failure{Code: resultcode.OperationInProgress, Detail: "a request with this key is running", RetryAfter: time.Second}
 }
