--- a/lease/lease.go
+++ b/lease/lease.go
@@ -1,18 +1,21 @@
-// Package lease grants one daemon at a time the right to a duty, through the
+// Package lease grants one daemon at a time an exclusive duty, through the
 // platform's store.
 //
 // A lease is an object whose version changes with each renewal. A daemon that
-// wants it reads the object, and takes it only after having seen the same version
-// for the whole lifetime by its own clock, so that clocks need not agree. The
-// holder may act while less than the lifetime, shortened by a margin, has passed
-// since it began its last renewal. That is asked at the moment of use, so that a
-// holder that was paused past the end does nothing. A daemon that restarts goes on with
-// the lease that it held, as nobody else can listen at its address. The object's version is the
-// fence: it grows with each holder.
+// wants the lease reads the object, and acquires it only after having seen the
+// same version for the whole lifetime by its own clock, so that clocks need not
+// be synchronized. The lease is valid for its holder for the lifetime less a
+// margin, counted from the start of the last renewal. The holder checks this at
+// the moment of use, so that a holder that was paused past the end does nothing.
+// A daemon that restarts resumes the lease that it held, as no other process can
+// listen at its address. The object's version serves as a fencing token: it
+// increases with each holder.
 //
-// A store that comes back older may have lost the lease, or hold that of an earlier holder, while the
-// present one has not heard of it. Nobody takes it for a lifetime then, but for the daemon whose own right was in force: it
-// may not act until it has written the lease again, whatever its clock says.
+// After a store rollback, the lease object may be missing, or be that of an
+// earlier holder, while the current holder does not know it yet. Daemons then
+// acquire the lease only after a further lifetime. The exception is the daemon
+// whose lease was valid: it may write the lease again at once, but may not act
+// before that, even if its lease would not have expired yet.
 package lease
 
 import (
@@ -37,72 +40,72 @@
 	RenewInterval = 3 * time.Second
 )
 
-// State is what one daemon knows of one lease. It is pure and not safe for
+// State is one daemon's view of one lease. It does no I/O and is not safe for
 // concurrent use.
 type State struct {
-	version objectstore.Version // last seen
-	seen    time.Time           // when this version was first seen
-	until   time.Time           // end of the daemon's own right; zero: none
-	// inherited: the holder of the version seen is this daemon before it restarted.
-	inherited bool
-	// resumeUntil is until when the daemon may write the lease again that the store has lost, and contested until
-	// when another one may still act by it; zero: none.
-	resumeUntil, contested time.Time
+	version    objectstore.Version // last seen in the store
+	firstSeen  time.Time           // when this version was first seen
+	validUntil time.Time           // until when this daemon may act; zero: it may not
+	// heldBeforeRestart is true if this daemon wrote the version before it restarted.
+	heldBeforeRestart bool
+	// After a store rollback, reacquireUntil is until when this daemon may write its lost lease again,
+	// and contestedUntil is until when another daemon may still act on one; zero: neither.
+	reacquireUntil, contestedUntil time.Time
 }
 
-// Observe notes the version read from the store; 0 means that there is no object.
+// Observe records the version read from the store; 0 means that the object does not exist.
 func (s *State) Observe(now time.Time, version objectstore.Version) {
-	if s.seen.IsZero() || version != s.version {
-		s.version, s.seen, s.inherited = version, now, false
+	if s.firstSeen.IsZero() || version != s.version {
+		s.version, s.firstSeen, s.heldBeforeRestart = version, now, false
 	}
 }
 
-// Inherit notes that the holder of the version seen is a daemon at this daemon's own
-// address, which has ended, as this one could not listen there otherwise.
+// Inherit records that the version was written by an earlier process of this daemon. That process
+// has ended, because otherwise this one could not listen at the same address.
 func (s *State) Inherit() {
-	s.inherited = true
+	s.heldBeforeRestart = true
 }
 
-// CanAcquire says whether the lease is free: it never existed, was seen unchanged for a
-// whole lifetime, or is this daemon's from before it restarted.
+// CanAcquire reports whether the daemon may write the lease: the object never existed, has not
+// changed for a whole lifetime, or was written by this daemon before it restarted.
 func (s *State) CanAcquire(now time.Time) bool {
 	switch {
-	case now.Before(s.resumeUntil):
+	case now.Before(s.reacquireUntil):
 		return true
-	case s.seen.IsZero() || now.Before(s.contested):
+	case s.firstSeen.IsZero() || now.Before(s.contestedUntil):
 		return false
 	}
-	return s.version == 0 || s.inherited || now.Sub(s.seen) >= Lifetime
+	return s.version == 0 || s.heldBeforeRestart || now.Sub(s.firstSeen) >= Lifetime
 }
 
-// StoreRolledBack notes that what the store says of the lease may be older than what daemons act by.
+// StoreRolledBack records that the store may hold an older lease object than daemons act on.
 func (s *State) StoreRolledBack(now time.Time) {
 	if s.Valid(now) {
-		s.resumeUntil = s.until // nobody else has a right
-	} else if !now.Before(s.resumeUntil) {
-		s.contested = now.Add(Lifetime)
+		s.reacquireUntil = s.validUntil // no other daemon may act until then
+	} else if !now.Before(s.reacquireUntil) {
+		s.contestedUntil = now.Add(Lifetime)
 	}
-	s.until = time.Time{}
+	s.validUntil = time.Time{}
 }
 
-// Written notes that the daemon's own write, begun at the given time, took effect.
-func (s *State) Written(begun time.Time, version objectstore.Version) {
-	*s = State{version: version, seen: begun, until: begun.Add(Lifetime - margin)}
+// Written records that the daemon's own write, started at the given time, took effect.
+func (s *State) Written(startedAt time.Time, version objectstore.Version) {
+	*s = State{version: version, firstSeen: startedAt, validUntil: startedAt.Add(Lifetime - margin)}
 }
 
-// Lost notes that another daemon has the lease.
+// Lost records that another daemon has written the lease.
 func (s *State) Lost() {
-	s.until, s.resumeUntil = time.Time{}, time.Time{}
+	s.validUntil, s.reacquireUntil = time.Time{}, time.Time{}
 }
 
-// Valid says whether the daemon may act now.
+// Valid reports whether the daemon may act now.
 func (s *State) Valid(now time.Time) bool {
-	return now.Before(s.until)
+	return now.Before(s.validUntil)
 }
 
-// ValidUntil returns the end of the daemon's right.
+// ValidUntil returns until when the daemon may act.
 func (s *State) ValidUntil() time.Time {
-	return s.until
+	return s.validUntil
 }
 
 // record is the value of a lease object.
@@ -119,106 +122,105 @@
 
 	mutex sync.Mutex
 	state State
-	// era is that of the store by which the state holds, once it was asked.
-	era   uint64
-	asked bool
+	// era is the store's era to which state belongs; it is known after the first read.
+	era      uint64
+	eraKnown bool
 }
 
-// New returns a lease that is not held. holder names the daemon and the address at
-// which it listens, so that no other process that runs has the same. The clock must count the
-// time that the machine sleeps: others take the lease over meanwhile.
+// New returns a lease that is not held. holder identifies the daemon and the address at which it
+// listens, so that no two running processes share it. The clock must count the time that the machine
+// is suspended, as other daemons may acquire the lease meanwhile.
 func New(store objectstore.Store, name, holder string, now clock.Clock) *Lease {
 	return &Lease{store: store, key: objectstore.Key{Kind: "lease", Name: name}, holder: holder, now: clock.OrSteady(now)}
 }
 
-// Valid says whether this daemon holds the lease now. It does not block on the
-// store; ask at the moment of use.
+// Valid reports whether this daemon holds the lease now. It does not call the store; call it at the
+// moment of use.
 func (l *Lease) Valid() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.noteEra()
+	l.checkEra()
 	return l.state.Valid(l.now())
 }
 
-// noteEra looks whether the store has come back older. The caller holds the mutex.
-func (l *Lease) noteEra() {
-	if era := l.store.Era(); l.asked && era > l.era {
+// checkEra detects store rollbacks. The caller holds the mutex.
+func (l *Lease) checkEra() {
+	if era := l.store.Era(); l.eraKnown && era > l.era {
 		l.era = era
 		l.state.StoreRolledBack(l.now())
 	}
 }
 
-// Remaining returns for how long the daemon may still act; 0 or less: not now.
+// Remaining returns for how much longer the daemon may act; if not positive, it may not act now.
 func (l *Lease) Remaining() time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.noteEra()
+	l.checkEra()
 	return l.state.ValidUntil().Sub(l.now())
 }
 
-// AcquireOrRenew renews the lease if it is held, or takes it if it is free. It makes at
-// most one read and one write, and is called every RenewInterval while the duty is
-// wanted.
+// AcquireOrRenew renews the lease if it is held, or acquires it if it is free. It makes at most one
+// read and one write. It is called every RenewInterval while the daemon wants the lease.
 func (l *Lease) AcquireOrRenew(ctx context.Context) error {
 	if !l.Valid() {
-		if err := l.look(ctx); err != nil {
+		if err := l.read(ctx); err != nil {
 			return err
 		}
 	}
 	l.mutex.Lock()
 	now := l.now()
-	act := l.state.Valid(now) || l.state.CanAcquire(now)
+	mayWrite := l.state.Valid(now) || l.state.CanAcquire(now)
 	expected := l.state.version
 	era := l.era
 	l.mutex.Unlock()
-	if !act {
+	if !mayWrite {
 		return nil
 	}
 	return l.write(ctx, expected, era)
 }
 
-func (l *Lease) look(ctx context.Context) error {
+func (l *Lease) read(ctx context.Context) error {
 	object, err := l.store.Get(ctx, l.key)
 	if err != nil && !errors.Is(err, objectstore.ErrNotFound) {
 		return errors.Annotatef(err, "lease %s", l.key.Name)
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.noteEra()
-	if !l.asked {
-		l.asked, l.era = true, l.store.Era()
+	l.checkEra()
+	if !l.eraKnown {
+		l.eraKnown, l.era = true, l.store.Era()
 	}
 	l.state.Observe(l.now(), object.Version)
-	var present record
-	// A record that cannot be read is another's.
-	if json.Unmarshal(object.Value, &present) == nil && present.Holder == l.holder {
+	var current record
+	// A record that cannot be decoded counts as another daemon's.
+	if json.Unmarshal(object.Value, &current) == nil && current.Holder == l.holder {
 		l.state.Inherit()
 	}
 	return nil
 }
 
-// write writes the lease, by what is known of it in an era.
+// write writes the lease; expected and era are those on which the decision to write was based.
 func (l *Lease) write(ctx context.Context, expected objectstore.Version, era uint64) error {
 	data, err := json.Marshal(record{Holder: l.holder})
 	if err != nil {
 		return err
 	}
-	begun := l.now()
+	startedAt := l.now()
 	version, err := l.store.Put(ctx, l.key, data, expected)
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.noteEra()
+	l.checkEra()
 	switch {
 	case l.era != era && (err == nil || errors.Is(err, objectstore.ErrConflict)):
-		return nil // what was known does not hold any more; the next look shows what does
+		return nil // the decision is outdated; the next read shows the current lease
 	case err == nil:
-		l.state.Written(begun, version)
+		l.state.Written(startedAt, version)
 		return nil
 	case errors.Is(err, objectstore.ErrConflict):
 		l.state.Lost()
 		return nil
 	}
-	// A write without an answer may have taken effect. The right is not
-	// prolonged; the next look shows a new version, which is then waited out.
+	// The write may have taken effect although its response is missing. The lease is not
+	// extended; a later read shows the version that is stored.
 	return errors.Annotatef(err, "lease %s", l.key.Name)
 }
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -12,141 +12,142 @@
 	"github.com/tuliphall/tuliphall/objectstore"
 )
 
-// maintained renews or takes a lease and says whether it is held then.
-func maintained(t *testing.T, one *lease.Lease) bool {
+// acquireOrRenew renews or acquires a lease and reports whether it is held then.
+func acquireOrRenew(t *testing.T, held *lease.Lease) bool {
 	t.Helper()
-	require.NoError(t, one.AcquireOrRenew(t.Context()))
-	return one.Valid()
+	require.NoError(t, held.AcquireOrRenew(t.Context()))
+	return held.Valid()
 }
 
-// TestRestartedHolderGoesOn gives a lease at once to the daemon that held it before it
-// restarted, and to another only after its lifetime.
+// TestRestartedHolderGoesOn: a daemon that held the lease before it restarted acquires it again at
+// once, and another daemon only after its lifetime.
 func TestRestartedHolderGoesOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := objectstore.NewMemory()
-		require.True(t, maintained(t, lease.New(store, "duty", "edge-1@10.0.0.1:7000", nil)))
+		require.True(t, acquireOrRenew(t, lease.New(store, "duty", "edge-1@10.0.0.1:7000", nil)))
 		other := lease.New(store, "duty", "edge-2@10.0.0.2:7000", nil)
-		require.False(t, maintained(t, other))
+		require.False(t, acquireOrRenew(t, other))
 		time.Sleep(time.Second)
-		require.False(t, maintained(t, lease.New(store, "duty", "edge-1@10.0.0.9:7000", nil)), "the same name elsewhere")
+		require.False(t, acquireOrRenew(t, lease.New(store, "duty", "edge-1@10.0.0.9:7000", nil)), "same name at another address")
 		restarted := lease.New(store, "duty", "edge-1@10.0.0.1:7000", nil)
-		require.True(t, maintained(t, restarted))
+		require.True(t, acquireOrRenew(t, restarted))
 
 		time.Sleep(lease.Lifetime - 2*time.Second)
-		require.False(t, maintained(t, other), "it was renewed meanwhile")
+		require.False(t, acquireOrRenew(t, other), "it was renewed in the meantime")
 		time.Sleep(lease.Lifetime)
 		require.False(t, restarted.Valid())
-		require.True(t, maintained(t, other))
-		require.False(t, maintained(t, restarted), "another has it now")
+		require.True(t, acquireOrRenew(t, other))
+		require.False(t, acquireOrRenew(t, restarted), "another daemon holds it now")
 	})
 }
 
-// sleeper is the clock of a machine that sleeps: the steady clock stands meanwhile.
-type sleeper struct{ slept time.Duration }
+// suspendedClock is the clock of a machine that is suspended, during which the monotonic clock stands still.
+type suspendedClock struct{ suspended time.Duration }
 
-func (s *sleeper) now() time.Time {
-	return time.Now().Add(s.slept)
+func (s *suspendedClock) now() time.Time {
+	return time.Now().Add(s.suspended)
 }
 
-// TestSleepingHolderHasNoRight holds the lease while its machine sleeps: as soon as others may take
-// it over, the holder may not act, though the steady clock has not moved.
+// TestSleepingHolderHasNoRight suspends the machine of a lease's holder. The lease must be invalid
+// before other daemons may acquire it, although the monotonic clock has not advanced.
 func TestSleepingHolderHasNoRight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, slept := range []time.Duration{time.Second, 5 * time.Second, 30 * time.Second} {
 			store := objectstore.NewMemory()
-			machine := &sleeper{}
+			machine := &suspendedClock{}
 			held := lease.New(store, "duty", "edge-1@10.0.0.1:7000", machine.now)
-			require.True(t, maintained(t, held))
-			machine.slept = slept
+			require.True(t, acquireOrRenew(t, held))
+			machine.suspended = slept
 			require.Equal(t, slept < lease.Lifetime-2*time.Second, held.Valid(), slept)
 			require.Equal(t, held.Valid(), held.Remaining() > 0)
 		}
 	})
 }
 
-// fleetStore is a store as one daemon knows it: of a new era the daemon hears with its own calls only.
-type fleetStore struct {
+// daemonStore is the store as seen by one daemon, which learns of a new era only with its own calls.
+type daemonStore struct {
 	*objectstore.Memory
-	known uint64
+	knownEra uint64
 }
 
 // Era implements objectstore.Store.
-func (s *fleetStore) Era() uint64 { return s.known }
+func (s *daemonStore) Era() uint64 { return s.knownEra }
 
 // Get implements objectstore.Store.
-func (s *fleetStore) Get(ctx context.Context, key objectstore.Key) (objectstore.Object, error) {
-	s.known = s.Memory.Era()
+func (s *daemonStore) Get(ctx context.Context, key objectstore.Key) (objectstore.Object, error) {
+	s.knownEra = s.Memory.Era()
 	return s.Memory.Get(ctx, key)
 }
 
 // Put implements objectstore.Store.
-func (s *fleetStore) Put(ctx context.Context, key objectstore.Key, value []byte, expected objectstore.Version) (objectstore.Version, error) {
-	s.known = s.Memory.Era()
+func (s *daemonStore) Put(ctx context.Context, key objectstore.Key, value []byte, expected objectstore.Version) (objectstore.Version, error) {
+	s.knownEra = s.Memory.Era()
 	return s.Memory.Put(ctx, key, value, expected)
 }
 
-// TestLostLeaseHasOneHolder lets the store come back without the lease, or with one that another daemon held before: no two daemons
-// hold it at any time, whenever they hear of the return, and one does soon after all have.
+// TestLostLeaseHasOneHolder: after a store rollback the lease is missing, or is that of an earlier
+// holder. No two daemons may hold it at the same time, whenever they learn of the rollback, and one
+// must hold it soon after all have learned of it.
 func TestLostLeaseHasOneHolder(t *testing.T) {
-	for _, one := range []struct {
+	for _, test := range []struct {
 		name string
-		// earlier: the copy holds the lease of the daemon that had it before.
+		// earlier: the backup holds the lease of the daemon that held it before.
 		earlier bool
-		// late is after how long the holder next asks the store, and other after how long the other daemon does.
-		late, other time.Duration
+		// holderDelay is the time until the holder next calls the store, and otherDelay that until the other daemon does.
+		holderDelay, otherDelay time.Duration
 	}{
-		{name: "the lease is missing, the holder hears first", other: 2 * time.Second},
-		{name: "the lease is missing, the holder hears last", late: 2 * time.Second},
-		{name: "the lease is missing, the holder does not hear", late: time.Minute},
-		{name: "the lease is that of an earlier holder, which hears first", earlier: true, late: 2 * time.Second},
-		{name: "the lease is that of an earlier holder, the holder does not hear", earlier: true, late: time.Minute},
+		{name: "the lease is missing, the holder learns first", otherDelay: 2 * time.Second},
+		{name: "the lease is missing, the holder learns last", holderDelay: 2 * time.Second},
+		{name: "the lease is missing, the holder does not learn of it", holderDelay: time.Minute},
+		{name: "the lease is that of an earlier holder, which learns first", earlier: true, holderDelay: 2 * time.Second},
+		{name: "the lease is that of an earlier holder, the holder does not learn of it", earlier: true, holderDelay: time.Minute},
 	} {
-		t.Run(one.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				memory := objectstore.NewMemory()
-				held, other := lease.New(&fleetStore{Memory: memory}, "duty", "edge-1", nil), lease.New(&fleetStore{Memory: memory}, "duty", "edge-2", nil)
-				copied := memory.Copy()
-				if one.earlier {
-					require.True(t, maintained(t, other))
-					copied = memory.Copy()
+				held, other := lease.New(&daemonStore{Memory: memory}, "duty", "edge-1", nil), lease.New(&daemonStore{Memory: memory}, "duty", "edge-2", nil)
+				backup := memory.Copy()
+				if test.earlier {
+					require.True(t, acquireOrRenew(t, other))
+					backup = memory.Copy()
 				}
-				require.Equal(t, one.earlier, !maintained(t, held))
-				for !maintained(t, held) {
+				require.Equal(t, test.earlier, !acquireOrRenew(t, held))
+				for !acquireOrRenew(t, held) {
 					time.Sleep(time.Second)
 				}
-				require.False(t, maintained(t, other))
-				memory.ComeBackOlder(copied)
-				returned := time.Now()
-				taken := false
-				for tick := 0; time.Since(returned) < 3*lease.Lifetime; tick++ {
-					if since := time.Since(returned); since >= one.late && tick%30 == 0 {
-						maintained(t, held)
+				require.False(t, acquireOrRenew(t, other))
+				memory.ComeBackOlder(backup)
+				rolledBackAt := time.Now()
+				heldAgain := false
+				for tick := 0; time.Since(rolledBackAt) < 3*lease.Lifetime; tick++ {
+					if since := time.Since(rolledBackAt); since >= test.holderDelay && tick%30 == 0 {
+						acquireOrRenew(t, held)
 					}
-					if since := time.Since(returned); since >= one.other && tick%30 == 10 {
-						maintained(t, other)
+					if since := time.Since(rolledBackAt); since >= test.otherDelay && tick%30 == 10 {
+						acquireOrRenew(t, other)
 					}
-					require.False(t, held.Valid() && other.Valid(), time.Since(returned))
-					taken = taken || tick > 100 && (held.Valid() || other.Valid())
+					require.False(t, held.Valid() && other.Valid(), time.Since(rolledBackAt))
+					heldAgain = heldAgain || tick > 100 && (held.Valid() || other.Valid())
 					time.Sleep(100 * time.Millisecond)
 				}
-				require.True(t, taken)
+				require.True(t, heldAgain)
 				require.True(t, held.Valid() || other.Valid())
 			})
 		})
 	}
 }
 
-// TestHolderThatHearsOfReturnHasNoRight ends the right of a holder as soon as its daemon knows that the store came back older, whatever
-// its clock says, and gives it back with the next renewal.
+// TestHolderThatHearsOfReturnHasNoRight: a holder's lease is invalid as soon as its daemon learns of
+// the store rollback, whatever its clock says, and valid again after the next renewal.
 func TestHolderThatHearsOfReturnHasNoRight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := objectstore.NewMemory()
-		copied := store.Copy()
+		backup := store.Copy()
 		held := lease.New(store, "duty", "edge-1", nil)
-		require.True(t, maintained(t, held))
-		store.ComeBackOlder(copied)
+		require.True(t, acquireOrRenew(t, held))
+		store.ComeBackOlder(backup)
 		require.False(t, held.Valid())
 		require.LessOrEqual(t, held.Remaining(), time.Duration(0))
-		require.True(t, maintained(t, held))
+		require.True(t, acquireOrRenew(t, held))
 	})
 }
