--- a/membership/doc.go
+++ b/membership/doc.go
@@ -1,17 +1,17 @@
 // Package membership keeps one daemon's view of which daemons are alive.
 //
-// It is the SWIM protocol's state (Das, Gupta, Motivala: SWIM, DSN 2002): each
-// period a daemon exchanges news with one other, chosen by going through a
-// shuffled list; a daemon that does not answer, directly or through others, is
-// suspected, can refute that with a higher incarnation, and is declared dead
-// after the suspicion timeout. News spreads with the exchanges, each item a
-// bounded number of times, so that the bytes a daemon sends in a second do not
-// grow with the fleet. Dead members are tried again now and then, which heals
-// partitions without the platform.
+// It implements the state of the SWIM protocol (Das, Gupta, Motivala: SWIM, DSN
+// 2002): each period a daemon exchanges updates with one other, chosen in the
+// order of a shuffled list. A daemon that does not answer, directly or through
+// others, is suspected; it can refute that with a higher incarnation, and is
+// declared dead after the suspicion timeout otherwise. Updates spread with the
+// exchanges, each a limited number of times, so that the bytes per second that a
+// daemon sends do not grow with the fleet. Dead members are contacted from time
+// to time, so that partitions heal without the platform.
 //
-// Nothing here must be unique: two daemons with different views both go on
-// serving. What must be agreed goes through the platform's store.
+// Views need not agree: two daemons with different views both continue to serve.
+// What must be agreed on goes through the platform's store.
 //
-// The package is pure and not safe for concurrent use; package peer sends and
-// receives.
+// The package does no I/O and is not safe for concurrent use; package peer sends
+// and receives.
 package membership
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -10,40 +10,37 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Timing of the protocol.
+// Timing and limits of the protocol.
 const (
-	// Period is the time between two exchanges that a daemon begins.
+	// Period is the time between two exchanges that a daemon starts.
 	Period = time.Second
-	// suspicionPeriods is how long a member stays suspected, in periods, at
-	// the least; it grows with the logarithm of the fleet.
+	// suspicionPeriods is the minimum time that a member stays suspected, in periods; the time
+	// grows with the logarithm of the fleet size.
 	suspicionPeriods = 3
-	// deadKept is how long a dead member is remembered and tried again.
-	deadKept = 2 * time.Hour
-	// deadTryPeriods is how often a dead member is tried, in periods.
-	deadTryPeriods = 10
-	// spreadFactor times the logarithm of the fleet is how often a daemon
-	// passes one item of news on.
-	spreadFactor = 2
-	// MaxUpdates bounds the news in one message.
+	// deadRetention is how long a dead member is kept and contacted again.
+	deadRetention = 2 * time.Hour
+	// deadContactPeriods is how often a dead member is contacted, in periods.
+	deadContactPeriods = 10
+	// retransmitFactor times the logarithm of the fleet size is how often a daemon sends one update.
+	retransmitFactor = 2
+	// MaxUpdates limits the updates in one message.
 	MaxUpdates = 16
-	// syncPerMember is the time between two syncs of the whole list, for each
-	// member on it: a sync costs bytes for each member, so that its share of the
-	// bytes a second stays the same at every size.
-	syncPerMember = 35 * time.Millisecond
-	// leastSync is the shortest time between two syncs.
-	leastSync = 3 * time.Second
-	// firstSync is the time between the first syncs. It doubles after every few, up
-	// to the usual time. Daemons that start together know few members at first.
-	firstSync        = 100 * time.Millisecond
-	syncsPerDoubling = 3
-	syncDoublings    = 5
+	// syncIntervalPerMember is the time between two full syncs, per known member: the size of a sync is
+	// proportional to the number of members, so its bytes per second are the same for every fleet size.
+	syncIntervalPerMember = 35 * time.Millisecond
+	// minSyncInterval is the minimum time between two full syncs.
+	minSyncInterval = 3 * time.Second
+	// initialSyncInterval is the time between the first full syncs. It doubles after every syncsPerDoubling
+	// syncs, up to the usual time. Daemons that start together know few members at first.
+	initialSyncInterval = 100 * time.Millisecond
+	syncsPerDoubling    = 3
+	syncDoublings       = 5
 )
 
-// Status is what is believed of a member.
+// Status is the status of a member as one daemon sees it.
 type Status int
 
-// The statuses, in the order in which one overrides another at the same
-// incarnation.
+// Statuses, ordered: with equal incarnations, the higher one overrides the lower one.
 const (
 	Alive Status = iota
 	Suspect
@@ -51,7 +48,7 @@
 	Left
 )
 
-// String returns the status's name.
+// String returns the name of the status.
 func (s Status) String() string {
 	switch s {
 	case Alive:
@@ -71,43 +68,43 @@
 	Zone           string
 	PeerAddress    string
 	ForwardAddress string
-	Cores          float64 // processor time of its machine, in cores; 0: it did not tell
+	Cores          float64 // processor time of its machine, in cores; 0: not reported
 	Incarnation    uint64
 	Status         Status
 }
 
-// Serving says whether requests may be forwarded to the member.
+// Serving reports whether requests may be forwarded to the member.
 func (m Member) Serving() bool {
 	return m.Status == Alive || m.Status == Suspect
 }
 
-// entry is a member with its bookkeeping.
+// entry is a member with the state of its dissemination.
 type entry struct {
 	Member
 	changed time.Time
-	sent    int // times this news was passed on
+	sent    int // how often this update was sent
 }
 
-// State is one daemon's view.
+// State is one daemon's view of the fleet.
 type State struct {
-	self    Member
-	random  *rand.Rand
-	members map[string]*entry
-	order   []string // shuffled; the members still to be asked this round
-	dead    []string
-	periods int
-	version uint64
-	synced  time.Time
-	syncs   int // so far
-	digest  uint64
-	stale   bool // digest must be reckoned again
+	self        Member
+	random      *rand.Rand
+	members     map[string]*entry
+	round       []string // shuffled; members to contact in the current round
+	dead        []string
+	periods     int
+	version     uint64
+	lastSync    time.Time
+	syncs       int // number of full syncs so far
+	digest      uint64
+	digestStale bool // digest must be computed again
 	// transitions are those that TakeTransitions has not returned yet.
 	transitions []Transition
 }
 
-// NewState returns a view that holds only the daemon itself.
+// NewState returns a view that contains only the daemon itself.
 func NewState(self Member, random *rand.Rand) *State {
-	return &State{self: self, random: random, members: make(map[string]*entry), stale: true}
+	return &State{self: self, random: random, members: make(map[string]*entry), digestStale: true}
 }
 
 // Self returns the daemon's own entry.
@@ -115,28 +112,28 @@
 	return s.self
 }
 
-// Version grows whenever a member comes, goes, or changes its status or address.
+// Version increases whenever a member is added or changes its status, forward address or cores.
 func (s *State) Version() uint64 {
 	return s.version
 }
 
-// Members returns every other member known, ordered by name.
+// Members returns all other known members, ordered by name.
 func (s *State) Members() []Member {
 	members := make([]Member, 0, len(s.members))
-	for _, one := range s.members {
-		members = append(members, one.Member)
+	for _, member := range s.members {
+		members = append(members, member.Member)
 	}
 	sort.Slice(members, func(i, j int) bool { return members[i].Name < members[j].Name })
 	return members
 }
 
-// Serving returns the members that take requests, the daemon itself included
-// unless it is leaving, ordered by name.
+// Serving returns the serving members, including the daemon itself unless it is leaving, ordered
+// by name.
 func (s *State) Serving() []Member {
 	serving := make([]Member, 0, len(s.members)+1)
-	for _, one := range s.members {
-		if one.Serving() {
-			serving = append(serving, one.Member)
+	for _, member := range s.members {
+		if member.Serving() {
+			serving = append(serving, member.Member)
 		}
 	}
 	if s.self.Serving() {
@@ -146,41 +143,41 @@
 	return serving
 }
 
-// RecentDeaths returns how many members died within a time, without a word: they may go on out of
-// this daemon's sight.
+// RecentDeaths returns how many members were declared dead within the given time. They did not
+// announce that they were leaving, so they may still run behind a network partition.
 func (s *State) RecentDeaths(now time.Time, within time.Duration) int {
 	lost := 0
-	for _, one := range s.members {
-		if one.Status == Dead && now.Sub(one.changed) <= within {
+	for _, member := range s.members {
+		if member.Status == Dead && now.Sub(member.changed) <= within {
 			lost++
 		}
 	}
 	return lost
 }
 
-// Leave marks the daemon as leaving; the next exchanges say so.
+// Leave marks the daemon as leaving, which the next exchanges announce.
 func (s *State) Leave() {
 	s.self.Status = Left
 	s.self.Incarnation++
-	s.stale = true
+	s.digestStale = true
 	s.version++
 }
 
-// NextPeer returns the member to exchange news with in this period, and false when
-// there is none. Every few periods it is a dead one.
+// NextPeer returns the member to exchange updates with in this period, and false if there is none.
+// Every deadContactPeriods periods it is a dead member, if there is one.
 func (s *State) NextPeer() (Member, bool) {
 	s.periods++
-	if s.periods%deadTryPeriods == 0 {
+	if s.periods%deadContactPeriods == 0 {
 		if member, ok := s.randomDead(); ok {
 			return member, true
 		}
 	}
 	for range 2 {
-		for len(s.order) > 0 {
-			name := s.order[0]
-			s.order = s.order[1:]
-			if one, ok := s.members[name]; ok && one.Serving() {
-				return one.Member, true
+		for len(s.round) > 0 {
+			name := s.round[0]
+			s.round = s.round[1:]
+			if member, ok := s.members[name]; ok && member.Serving() {
+				return member.Member, true
 			}
 		}
 		s.shuffle()
@@ -189,13 +186,13 @@
 }
 
 func (s *State) shuffle() {
-	s.order = s.order[:0]
+	s.round = s.round[:0]
 	for _, member := range s.Members() {
 		if member.Serving() {
-			s.order = append(s.order, member.Name)
+			s.round = append(s.round, member.Name)
 		}
 	}
-	s.random.Shuffle(len(s.order), func(i, j int) { s.order[i], s.order[j] = s.order[j], s.order[i] })
+	s.random.Shuffle(len(s.round), func(i, j int) { s.round[i], s.round[j] = s.round[j], s.round[i] })
 }
 
 func (s *State) randomDead() (Member, bool) {
@@ -211,8 +208,7 @@
 	return s.members[s.dead[s.random.IntN(len(s.dead))]].Member, true
 }
 
-// Sample returns up to count serving members other than the excluded one, in
-// random order.
+// Sample returns up to count alive members other than the excluded one, in random order.
 func (s *State) Sample(count int, exclude string) []Member {
 	var serving []Member
 	for _, member := range s.Members() {
@@ -224,15 +220,15 @@
 	return serving[:min(count, len(serving))]
 }
 
-// Merge takes in the news that another daemon told; it is passed on.
+// Merge merges updates from a peer; those that change the view are passed on.
 func (s *State) Merge(now time.Time, updates []Member) {
 	for _, update := range updates {
 		s.merge(now, update)
 	}
 }
 
-// MergeList takes in the whole list of another daemon. It is hardly news to
-// others and is not passed on.
+// MergeList merges the full list of a peer. Most peers know its contents already, so it is not
+// passed on.
 func (s *State) MergeList(now time.Time, members []Member) {
 	for _, member := range members {
 		if s.merge(now, member) {
@@ -241,7 +237,7 @@
 	}
 }
 
-// merge takes in what is told of one member, and says whether it was news.
+// merge merges an update about one member, and reports whether it changed the view.
 func (s *State) merge(now time.Time, update Member) bool {
 	if update.Name == "" {
 		return false
@@ -250,47 +246,47 @@
 		s.refute(update)
 		return false
 	}
-	present, known := s.members[update.Name]
-	if known && !overrides(update, present.Member) {
+	current, found := s.members[update.Name]
+	if found && !overrides(update, current.Member) {
 		return false
 	}
-	if !known && !update.Serving() {
-		return false // nothing is lost by not knowing of a member that is gone
+	if !found && !update.Serving() {
+		return false // a member that is gone need not be added
 	}
-	if !known || present.Status != update.Status || present.ForwardAddress != update.ForwardAddress || present.Cores != update.Cores {
+	if !found || current.Status != update.Status || current.ForwardAddress != update.ForwardAddress || current.Cores != update.Cores {
 		s.version++
 	}
 	before := update.Status
-	if known {
-		before = present.Status
+	if found {
+		before = current.Status
 	}
-	s.note(update, before, !known)
+	s.recordTransition(update, before, !found)
 	s.members[update.Name] = &entry{Member: update, changed: now}
-	s.stale = true
-	if !known {
+	s.digestStale = true
+	if !found {
 		s.insert(update.Name)
 	}
 	return true
 }
 
-// insert puts a new member at a random place of the present round.
+// insert puts a new member at a random place in the current round.
 func (s *State) insert(name string) {
-	place := s.random.IntN(len(s.order) + 1)
-	s.order = append(s.order, "")
-	copy(s.order[place+1:], s.order[place:])
-	s.order[place] = name
+	position := s.random.IntN(len(s.round) + 1)
+	s.round = append(s.round, "")
+	copy(s.round[position+1:], s.round[position:])
+	s.round[position] = name
 }
 
-// overrides says whether news about a member replaces what is known.
-func overrides(update, present Member) bool {
-	if update.Incarnation != present.Incarnation {
-		return update.Incarnation > present.Incarnation
+// overrides reports whether an update about a member replaces its current entry.
+func overrides(update, current Member) bool {
+	if update.Incarnation != current.Incarnation {
+		return update.Incarnation > current.Incarnation
 	}
-	return update.Status > present.Status
+	return update.Status > current.Status
 }
 
-// refute answers news about the daemon itself: while it runs it is alive, with
-// a higher incarnation than whoever says otherwise.
+// refute answers an update about the daemon itself that does not match: it increases the daemon's
+// incarnation above that of the update.
 func (s *State) refute(update Member) {
 	if update.Incarnation < s.self.Incarnation || s.self.Status == Left {
 		return
@@ -299,33 +295,32 @@
 		return
 	}
 	s.self.Incarnation = update.Incarnation + 1
-	s.stale = true
+	s.digestStale = true
 }
 
-// ReceivedFrom notes a message that came straight from a member. A member that is held
-// to be suspect or dead is told so with the next message, so that it can refute
-// that for everybody with a higher incarnation.
+// ReceivedFrom records a message received directly from a member. If the member is suspect or dead,
+// the next message tells it so, and it can refute that for the whole fleet with a higher
+// incarnation.
 func (s *State) ReceivedFrom(now time.Time, sender Member) {
 	s.merge(now, sender)
-	present, known := s.members[sender.Name]
-	if known && present.Status != Alive && present.Status != Left && present.Incarnation >= sender.Incarnation {
-		present.sent, present.changed = 0, now
+	current, found := s.members[sender.Name]
+	if found && current.Status != Alive && current.Status != Left && current.Incarnation >= sender.Incarnation {
+		current.sent, current.changed = 0, now
 	}
 }
 
-// Digest is the same for two daemons that know the same members in the same
-// incarnations, whether they serve or not counted.
+// Digest is a hash of the names and incarnations of the daemon itself and the serving members.
 func (s *State) Digest() uint64 {
-	if !s.stale {
+	if !s.digestStale {
 		return s.digest
 	}
 	s.digest = digestOf(s.self)
-	for _, one := range s.members {
-		if one.Serving() {
-			s.digest ^= digestOf(one.Member)
+	for _, member := range s.members {
+		if member.Serving() {
+			s.digest ^= digestOf(member.Member)
 		}
 	}
-	s.stale = false
+	s.digestStale = false
 	return s.digest
 }
 
@@ -333,45 +328,45 @@
 	return xxhash.Sum64String(m.Name + "\x00" + strconv.FormatUint(m.Incarnation, 16))
 }
 
-// SyncDue says whether the whole list should be asked of a daemon whose digest
-// differs, and notes that it is. News that is passed on a bounded number of times
-// may miss a daemon; this is what then closes the gap.
+// SyncDue reports whether to request the full list from a peer whose digest differs, and if so
+// records the sync. Updates are sent a limited number of times and may miss a daemon; the full sync
+// makes up for that.
 func (s *State) SyncDue(now time.Time, digest uint64) bool {
-	wait := max(leastSync, time.Duration(len(s.members))*syncPerMember)
+	wait := max(minSyncInterval, time.Duration(len(s.members))*syncIntervalPerMember)
 	if doublings := s.syncs / syncsPerDoubling; doublings < syncDoublings {
-		wait = min(wait, firstSync<<doublings)
+		wait = min(wait, initialSyncInterval<<doublings)
 	}
-	if digest == s.Digest() || now.Sub(s.synced) < wait {
+	if digest == s.Digest() || now.Sub(s.lastSync) < wait {
 		return false
 	}
-	s.synced = now
+	s.lastSync = now
 	s.syncs++
 	return true
 }
 
-// MarkUnreachable notes that a member answered neither directly nor through others.
+// MarkUnreachable marks a member suspect that answered neither directly nor through other members.
 func (s *State) MarkUnreachable(now time.Time, name string) {
-	present, known := s.members[name]
-	if !known || present.Status != Alive {
+	current, found := s.members[name]
+	if !found || current.Status != Alive {
 		return
 	}
-	present.Status, present.changed, present.sent = Suspect, now, 0
-	s.note(present.Member, Alive, false)
+	current.Status, current.changed, current.sent = Suspect, now, 0
+	s.recordTransition(current.Member, Alive, false)
 	s.version++
 }
 
-// Tick declares suspects dead whose time is over, and forgets what is long dead.
+// Tick declares suspects dead after the suspicion timeout, and removes members that are long dead.
 func (s *State) Tick(now time.Time) {
 	timeout := s.suspicionTimeout()
-	for name, one := range s.members {
-		age := now.Sub(one.changed)
+	for name, member := range s.members {
+		age := now.Sub(member.changed)
 		switch {
-		case one.Status == Suspect && age >= timeout:
-			one.Status, one.changed, one.sent = Dead, now, 0
+		case member.Status == Suspect && age >= timeout:
+			member.Status, member.changed, member.sent = Dead, now, 0
 			s.version++
-			s.stale = true
-			s.note(one.Member, Suspect, false)
-		case !one.Serving() && age >= deadKept:
+			s.digestStale = true
+			s.recordTransition(member.Member, Suspect, false)
+		case !member.Serving() && age >= deadRetention:
 			delete(s.members, name)
 		}
 	}
@@ -382,19 +377,18 @@
 	return time.Duration(suspicionPeriods * scale * float64(Period))
 }
 
-// Updates returns the news to put into the next message: what was passed on the
-// fewest times first, each item a bounded number of times. What was just heard
-// comes first among equals.
+// Updates returns the updates for the next message: those sent the fewest times first, and the most
+// recent first among these. Each update is sent a limited number of times.
 func (s *State) Updates() []Member {
-	limit := int(math.Ceil(spreadFactor * math.Log2(float64(len(s.members)+2))))
-	var fresh []*entry
-	for _, one := range s.members {
-		if one.sent < limit {
-			fresh = append(fresh, one)
+	limit := int(math.Ceil(retransmitFactor * math.Log2(float64(len(s.members)+2))))
+	var pending []*entry
+	for _, member := range s.members {
+		if member.sent < limit {
+			pending = append(pending, member)
 		}
 	}
-	sort.Slice(fresh, func(i, j int) bool {
-		a, b := fresh[i], fresh[j]
+	sort.Slice(pending, func(i, j int) bool {
+		a, b := pending[i], pending[j]
 		if a.sent != b.sent {
 			return a.sent < b.sent
 		}
@@ -404,9 +398,9 @@
 		return a.Name < b.Name
 	})
 	var updates []Member
-	for _, one := range fresh[:min(len(fresh), MaxUpdates)] {
-		one.sent++
-		updates = append(updates, one.Member)
+	for _, member := range pending[:min(len(pending), MaxUpdates)] {
+		member.sent++
+		updates = append(updates, member.Member)
 	}
 	return updates
 }
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -11,13 +11,13 @@
 	"github.com/tuliphall/tuliphall/membership"
 )
 
-// cluster is a fleet whose exchanges are made by the test.
+// cluster is a simulated fleet whose exchanges the test performs.
 type cluster struct {
-	now    time.Time
-	states []*membership.State
-	byName map[string]int
-	cut    func(a, b int) bool
-	down   map[int]bool
+	now         time.Time
+	states      []*membership.State
+	byName      map[string]int
+	partitioned func(a, b int) bool
+	down        map[int]bool
 }
 
 func newCluster(size int) *cluster {
@@ -38,7 +38,7 @@
 		c.states = append(c.states, state)
 	}
 	c.byName[name] = number
-	// Everybody starts by asking the first daemon that runs.
+	// A new daemon joins through the first running daemon.
 	for other := range number {
 		if !c.down[other] {
 			state.MergeList(c.now, append(c.states[other].Members(), c.states[other].Self()))
@@ -48,12 +48,12 @@
 	}
 }
 
-// reaches says whether two daemons can talk.
+// reaches reports whether two daemons can communicate.
 func (c *cluster) reaches(a, b int) bool {
-	return !c.down[a] && !c.down[b] && (c.cut == nil || !c.cut(a, b))
+	return !c.down[a] && !c.down[b] && (c.partitioned == nil || !c.partitioned(a, b))
 }
 
-// period lets every running daemon make its exchange.
+// period has every running daemon perform its exchange of one period.
 func (c *cluster) period() {
 	c.now = c.now.Add(membership.Period)
 	for number, state := range c.states {
@@ -75,7 +75,7 @@
 	}
 }
 
-// exchange tells one daemon what another knows.
+// exchange sends a message from one daemon to another.
 func (c *cluster) exchange(from, to int) {
 	sender, receiver := c.states[from], c.states[to]
 	receiver.Merge(c.now, sender.Updates())
@@ -85,11 +85,11 @@
 	}
 }
 
-// periodsUntil returns how many periods it takes until a condition holds.
-func (c *cluster) periodsUntil(t *testing.T, limit int, holds func() bool) int {
+// periodsUntil returns the number of periods until a condition holds.
+func (c *cluster) periodsUntil(t *testing.T, limit int, condition func() bool) int {
 	t.Helper()
 	for count := range limit {
-		if holds() {
+		if condition() {
 			return count
 		}
 		c.period()
@@ -98,8 +98,7 @@
 	return 0
 }
 
-// allKnow says whether each running daemon takes exactly the running ones for
-// serving.
+// allKnow reports whether every running daemon sees exactly the running daemons as serving.
 func (c *cluster) allKnow() bool {
 	running := len(c.states) - len(c.down)
 	for number, state := range c.states {
@@ -115,13 +114,13 @@
 	c.periodsUntil(t, 30, c.allKnow)
 	c.down[7] = true
 	c.periodsUntil(t, 40, c.allKnow)
-	// It comes back under the same name with a higher incarnation.
+	// The daemon restarts under the same name with a higher incarnation.
 	delete(c.down, 7)
 	c.add(7, 2)
 	c.periodsUntil(t, 40, c.allKnow)
 }
 
-// TestDigestsAgree expects that daemons which know the same members sync no more.
+// TestDigestsAgree: daemons that know the same members have the same digest, so they do not sync.
 func TestDigestsAgree(t *testing.T) {
 	c := newCluster(50)
 	c.periodsUntil(t, 30, c.allKnow)
@@ -133,12 +132,11 @@
 	}
 }
 
-// TestPartitionHeals cuts two regions apart for longer than it takes to declare
-// everybody on the other side dead.
+// TestPartitionHeals partitions the fleet until each side has declared the other dead.
 func TestPartitionHeals(t *testing.T) {
 	c := newCluster(40)
 	c.periodsUntil(t, 30, c.allKnow)
-	c.cut = func(a, b int) bool { return a%2 != b%2 }
+	c.partitioned = func(a, b int) bool { return a%2 != b%2 }
 	c.periodsUntil(t, 200, func() bool {
 		for _, state := range c.states {
 			if len(state.Serving()) != 20 {
@@ -147,11 +145,11 @@
 		}
 		return true
 	})
-	c.cut = nil
+	c.partitioned = nil
 	c.periodsUntil(t, 100, c.allKnow)
 }
 
-// TestFalseSuspicionIsRefuted lets one daemon be suspected though it runs.
+// TestFalseSuspicionIsRefuted has a running daemon suspected.
 func TestFalseSuspicionIsRefuted(t *testing.T) {
 	c := newCluster(10)
 	c.periodsUntil(t, 30, c.allKnow)
@@ -165,8 +163,8 @@
 	}
 }
 
-// TestVersionFollowsStatus expects every change of a member's status to be seen by
-// those who keep a view by the version: suspicion as well as its refutation.
+// TestVersionFollowsStatus: the version must change with every change of a member's status,
+// suspicion and refutation included, as views are cached by it.
 func TestVersionFollowsStatus(t *testing.T) {
 	now := time.Unix(1000, 0)
 	state := membership.NewState(membership.Member{Name: "self"}, rand.New(rand.NewPCG(1, 1)))
@@ -188,7 +186,7 @@
 	changed("dead")
 }
 
-// TestLeave says goodbye aloud: nobody suspects first.
+// TestLeave: a daemon that announces its leave is removed without being suspected first.
 func TestLeave(t *testing.T) {
 	c := newCluster(10)
 	c.periodsUntil(t, 30, c.allKnow)
@@ -200,7 +198,7 @@
 	require.LessOrEqual(t, c.periodsUntil(t, 10, c.allKnow), 5)
 }
 
-// TestChooseIsStable moves only the keys of the member that goes.
+// TestChooseIsStable: when a member leaves, only its own keys move.
 func TestChooseIsStable(t *testing.T) {
 	members := newCluster(20).states[0].Serving()
 	require.NotEmpty(t, members)
--- a/membership/transition.go
+++ b/membership/transition.go
@@ -1,23 +1,23 @@
 package membership
 
-// Transition is a change of what is believed of a member.
+// Transition is a change of a member's status as this daemon sees it.
 type Transition struct {
 	Member Member
-	// Before is what was believed; meaningless where New.
+	// Before is the previous status; it has no meaning if New.
 	Before Status
-	New    bool // the member was not known
+	New    bool // the member was not known before
 }
 
-// note keeps a transition for TakeTransitions.
-func (s *State) note(member Member, before Status, isNew bool) {
+// recordTransition records a transition for TakeTransitions, if the status changed.
+func (s *State) recordTransition(member Member, before Status, isNew bool) {
 	if isNew || before != member.Status {
 		s.transitions = append(s.transitions, Transition{Member: member, Before: before, New: isNew})
 	}
 }
 
-// TakeTransitions returns what has changed since it was last called, in order.
+// TakeTransitions returns the transitions since the last call, in order.
 func (s *State) TakeTransitions() []Transition {
-	taken := s.transitions
+	transitions := s.transitions
 	s.transitions = nil
-	return taken
+	return transitions
 }
