--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,13 +1,13 @@
 // Package policy compiles and evaluates operators' policies.
 //
-// A policy is a set of short CEL expressions, one for each thing that the load
-// balancer must know about a request: its class and weight, whether it may be
-// retried, how long it may wait, its deadline, whether it is an operation that
-// must not be repeated, and the key of that operation. Expressions are
-// type-checked and bounded in cost when configuration is accepted, so that a
-// policy in force cannot fail to parse and cannot run for long. An evaluation
-// error fails safe: the request is not retried, keeps the default class, and
-// the error is returned for counting.
+// A policy is a set of short CEL expressions, one for each property of a request
+// that the load balancer needs: its class and weight, whether it may be retried,
+// how long it may wait, its deadline, whether it is an operation that must not be
+// repeated, and the key of that operation. Expressions are type-checked and
+// limited in cost when a configuration is accepted, so that a policy in force
+// always parses and cannot run for long. If an evaluation fails, the decision is
+// the safe one: the request is not retried and gets the default class, and the
+// error is returned for counting.
 package policy
 
 import (
@@ -24,77 +24,77 @@
 	"github.com/juju/errors"
 )
 
-// Bounds on one expression.
+// Limits of one expression, and sizes assumed to estimate its cost.
 const (
-	// MaxExpressionBytes is the longest source accepted.
+	// MaxExpressionBytes is the maximum length of an expression.
 	MaxExpressionBytes = 4096
-	// MaxCost is the largest estimated and actual cost, in CEL's cost units.
+	// MaxCost is the maximum estimated and actual cost, in CEL cost units.
 	MaxCost = 5000
-	// estimatedTextBytes is the length assumed of a text input in an estimate.
+	// estimatedTextBytes is the length assumed for a text input.
 	estimatedTextBytes = 512
-	// estimatedHeaders is the number of headers assumed in an estimate.
+	// estimatedHeaders is the number of headers assumed.
 	estimatedHeaders = 64
 )
 
-// DefaultClass is the class of a request whose policy names none.
+// DefaultClass is the class of a request whose policy sets none.
 const DefaultClass = "default"
 
-// Source holds a policy's expressions as the operator wrote them. An empty
-// expression takes the default noted beside it.
+// Source holds the expressions of a policy as the operator wrote them. The comment beside each gives
+// its type and the value that an empty expression stands for.
 type Source struct {
 	Class  string `toml:"class" json:"class,omitempty"`   // text; "default"
 	Weight string `toml:"weight" json:"weight,omitempty"` // int, 1 to 1000; 1
 	Retry  string `toml:"retry" json:"retry,omitempty"`   // bool; false
 	Wait   string `toml:"wait" json:"wait,omitempty"`     // duration; the deadline
-	// Objective is within which time of the caller's first try an answer is worth most.
+	// Objective is the latency, from the caller's first attempt, within which a response has its full value.
 	Objective string `toml:"objective" json:"objective,omitempty"` // duration; 0, the deadline
 	Deadline  string `toml:"deadline" json:"deadline,omitempty"`   // duration; the service's deadline
 	Once      string `toml:"once" json:"once,omitempty"`           // bool; false
 	Key       string `toml:"key" json:"key,omitempty"`             // text; the Idempotency-Key header
 	Session   string `toml:"session" json:"session,omitempty"`     // text; "", no affinity
-	// Hedge is after how long a slow request gets a second attempt beside the first.
+	// Hedge is the delay after which a slow request gets a second, concurrent attempt.
 	Hedge string `toml:"hedge" json:"hedge,omitempty"` // duration; as learned, if there is an objective
 }
 
-// Request is what a policy may look at.
+// Request holds the inputs of a policy.
 type Request struct {
 	Method string
 	Path   string
 	Header http.Header
 }
 
-// Decision is what a policy says of one request.
+// Decision is the result of evaluating a policy for one request.
 type Decision struct {
 	Class     string
 	Weight    int
 	Retry     bool
-	Wait      time.Duration // 0: as long as the deadline
+	Wait      time.Duration // 0: until the deadline
 	Objective time.Duration // 0: the deadline
-	Deadline  time.Duration // 0: the service's
+	Deadline  time.Duration // 0: the service's deadline
 	Once      bool
 	Key       string
 	Session   string
-	// Hedge is after how long a second attempt is made; 0: as learned, where there is
-	// an objective, else never.
+	// Hedge is the delay before a second attempt; 0: the learned delay if there is an objective, else
+	// no second attempt.
 	Hedge time.Duration
 }
 
-// HeaderIdempotencyKey is the header that carries an operation's key where the policy
-// names no other place.
+// HeaderIdempotencyKey is the header that carries an operation's key if the policy has no key
+// expression.
 const HeaderIdempotencyKey = "Idempotency-Key"
 
-// MaxWeight is the largest weight a policy may give.
+// MaxWeight is the maximum weight that a policy may give.
 const MaxWeight = 1000
 
-// ExpressionError says which expression is wrong, and where.
+// ExpressionError describes an error in one expression.
 type ExpressionError struct {
-	Field  string // the key in the policy object, such as class
+	Field  string // key in the policy object, such as class
 	Line   int    // line in the expression, from 1; 0: unknown
 	Column int    // column in the line, from 1
 	Reason string
 }
 
-// Error names the field, the place and the reason.
+// Error returns the field, position and reason.
 func (e *ExpressionError) Error() string {
 	return fmt.Sprintf("%s: line %d, column %d: %s", e.Field, e.Line, e.Column, e.Reason)
 }
@@ -105,15 +105,13 @@
 	needsHeader                                                                bool
 }
 
-// expression is one compiled expression; constant holds its value where it
-// looks at nothing.
+// expression is one compiled expression; constant is its value if it uses no input.
 type expression struct {
 	program  cel.Program
 	constant ref.Val
 }
 
-// environment declares the inputs of an expression. It is made once, when the
-// first policy is compiled.
+// environment declares the inputs of expressions. It is created when the first policy is compiled.
 var environment = sync.OnceValues(func() (*cel.Env, error) {
 	return cel.NewEnv(
 		cel.Variable("method", cel.StringType),
@@ -122,47 +120,46 @@
 	)
 })
 
-// maxCompiled bounds the programs that are kept for the next configuration.
+// maxCompiled limits the number of cached programs.
 const maxCompiled = 500
 
-// compiled keeps programs by their source: a new configuration mostly holds the
-// policies of the one before.
-var compiled struct {
+// programCache caches programs by source, as most policies stay the same when the configuration changes.
+var programCache struct {
 	mutex    sync.Mutex
 	programs map[Source]*Program
 }
 
-// Compile checks every expression of the source. The error lists each wrong
-// expression as an *ExpressionError, joined.
+// Compile compiles and checks all expressions of the source. The error joins an *ExpressionError for
+// each invalid one.
 func Compile(source Source) (*Program, error) {
-	compiled.mutex.Lock()
-	defer compiled.mutex.Unlock()
-	if program, known := compiled.programs[source]; known {
+	programCache.mutex.Lock()
+	defer programCache.mutex.Unlock()
+	if program, known := programCache.programs[source]; known {
 		return program, nil
 	}
 	program, err := compile(source)
 	if err != nil {
 		return nil, err
 	}
-	if compiled.programs == nil || len(compiled.programs) >= maxCompiled {
-		compiled.programs = make(map[Source]*Program)
+	if programCache.programs == nil || len(programCache.programs) >= maxCompiled {
+		programCache.programs = make(map[Source]*Program)
 	}
-	compiled.programs[source] = program
+	programCache.programs[source] = program
 	return program, nil
 }
 
 func compile(source Source) (*Program, error) {
 	env, err := environment()
 	if err != nil {
-		return nil, errors.Annotate(err, "policy environment")
+		return nil, errors.Annotate(err, "creating the CEL environment")
 	}
 	program := &Program{}
-	var wrong []error
+	var invalid []error
 	for _, field := range []struct {
-		name   string
-		text   string
-		kind   *cel.Type
-		target **expression
+		name       string
+		source     string
+		resultType *cel.Type
+		target     **expression
 	}{
 		{"class", source.Class, cel.StringType, &program.class},
 		{"weight", source.Weight, cel.IntType, &program.weight},
@@ -175,34 +172,34 @@
 		{"session", source.Session, cel.StringType, &program.session},
 		{"hedge", source.Hedge, cel.DurationType, &program.hedge},
 	} {
-		if field.text == "" {
+		if field.source == "" {
 			continue
 		}
-		compiled, usesHeader, err := compileOne(env, field.name, field.text, field.kind)
+		compiled, usesHeader, err := compileExpression(env, field.name, field.source, field.resultType)
 		if err != nil {
-			wrong = append(wrong, err)
+			invalid = append(invalid, err)
 			continue
 		}
 		*field.target = compiled
 		program.needsHeader = program.needsHeader || usesHeader
 	}
-	if len(wrong) > 0 {
-		return nil, stderrors.Join(wrong...)
+	if len(invalid) > 0 {
+		return nil, stderrors.Join(invalid...)
 	}
 	return program, nil
 }
 
-func compileOne(env *cel.Env, name, text string, kind *cel.Type) (*expression, bool, error) {
-	if len(text) > MaxExpressionBytes {
-		return nil, false, &ExpressionError{Field: name, Line: 1, Column: 1, Reason: fmt.Sprintf("%d bytes, at most %d allowed", len(text), MaxExpressionBytes)}
+func compileExpression(env *cel.Env, name, source string, resultType *cel.Type) (*expression, bool, error) {
+	if len(source) > MaxExpressionBytes {
+		return nil, false, &ExpressionError{Field: name, Line: 1, Column: 1, Reason: fmt.Sprintf("%d bytes, at most %d allowed", len(source), MaxExpressionBytes)}
 	}
-	ast, issues := env.Compile(text)
+	ast, issues := env.Compile(source)
 	if issues != nil && issues.Err() != nil {
 		first := issues.Errors()[0]
 		return nil, false, &ExpressionError{Field: name, Line: first.Location.Line(), Column: first.Location.Column() + 1, Reason: first.Message}
 	}
-	if !ast.OutputType().IsExactType(kind) {
-		return nil, false, &ExpressionError{Field: name, Line: 1, Column: 1, Reason: fmt.Sprintf("gives %s, must give %s", ast.OutputType(), kind)}
+	if !ast.OutputType().IsExactType(resultType) {
+		return nil, false, &ExpressionError{Field: name, Line: 1, Column: 1, Reason: fmt.Sprintf("gives %s, must give %s", ast.OutputType(), resultType)}
 	}
 	estimate, err := env.EstimateCost(ast, inputSizes{})
 	if err != nil {
@@ -216,7 +213,7 @@
 		return nil, false, &ExpressionError{Field: name, Line: 1, Column: 1, Reason: err.Error()}
 	}
 	compiled := &expression{program: program}
-	usesInput, usesHeader := inputsOf(ast)
+	usesInput, usesHeader := usedInputs(ast)
 	if !usesInput {
 		value, _, err := program.Eval(map[string]any{})
 		if err != nil {
@@ -227,8 +224,8 @@
 	return compiled, usesHeader, nil
 }
 
-// inputsOf says whether an expression looks at any input, and at headers.
-func inputsOf(ast *cel.Ast) (usesInput, usesHeader bool) {
+// usedInputs reports whether an expression uses any input, and whether it uses headers.
+func usedInputs(ast *cel.Ast) (usesInput, usesHeader bool) {
 	for _, reference := range ast.NativeRep().ReferenceMap() {
 		switch reference.Name {
 		case "method", "path":
@@ -240,7 +237,7 @@
 	return usesInput, usesHeader
 }
 
-// inputSizes tells the cost estimate how large the inputs may be.
+// inputSizes provides the input sizes for the cost estimate.
 type inputSizes struct{}
 
 // EstimateSize implements checker.CostEstimator.
@@ -251,46 +248,46 @@
 	return &checker.SizeEstimate{Min: 0, Max: estimatedTextBytes}
 }
 
-// EstimateCallCost implements checker.CostEstimator; CEL's own estimates stand.
+// EstimateCallCost implements checker.CostEstimator. It returns nil to use CEL's own estimates.
 func (inputSizes) EstimateCallCost(string, string, *checker.AstNode, []checker.AstNode) *checker.CallEstimate {
 	return nil
 }
 
-// Evaluate asks the policy about a request. It does not block. When an
-// expression fails, the decision is the safe one and the error says why.
+// Evaluate evaluates the policy for a request. It does not block. If an expression fails, the decision
+// is the safe one, and the error is that of the first failed expression.
 func (p *Program) Evaluate(request Request) (Decision, error) {
 	input := &activation{request: request}
 	if p.needsHeader {
 		input.header = flatten(request.Header)
 	}
 	decision := Decision{Class: DefaultClass, Weight: 1}
-	var failed error
-	note := func(err error) {
-		if err != nil && failed == nil {
-			failed = err
+	var firstError error
+	recordError := func(err error) {
+		if err != nil && firstError == nil {
+			firstError = err
 		}
 	}
-	note(evaluate(p.class, "class", input, &decision.Class))
+	recordError(evaluate(p.class, "class", input, &decision.Class))
 	weight := int64(1)
-	note(evaluate(p.weight, "weight", input, &weight))
+	recordError(evaluate(p.weight, "weight", input, &weight))
 	decision.Weight = int(min(max(weight, 1), MaxWeight))
-	note(evaluate(p.retry, "retry", input, &decision.Retry))
-	note(evaluate(p.wait, "wait", input, &decision.Wait))
-	note(evaluate(p.objective, "objective", input, &decision.Objective))
-	note(evaluate(p.deadline, "deadline", input, &decision.Deadline))
-	note(evaluate(p.session, "session", input, &decision.Session))
-	note(evaluate(p.hedge, "hedge", input, &decision.Hedge))
-	// An operation whose expression fails is treated as one: not repeating
-	// is the safe side.
+	recordError(evaluate(p.retry, "retry", input, &decision.Retry))
+	recordError(evaluate(p.wait, "wait", input, &decision.Wait))
+	recordError(evaluate(p.objective, "objective", input, &decision.Objective))
+	recordError(evaluate(p.deadline, "deadline", input, &decision.Deadline))
+	recordError(evaluate(p.session, "session", input, &decision.Session))
+	recordError(evaluate(p.hedge, "hedge", input, &decision.Hedge))
+	// If the expression fails, the request is treated as an operation, because not repeating it is
+	// safe.
 	if err := evaluate(p.once, "once", input, &decision.Once); err != nil {
-		note(err)
+		recordError(err)
 		decision.Once = true
 	}
 	if decision.Once {
 		decision.Key = request.Header.Get(HeaderIdempotencyKey)
-		note(evaluate(p.key, "key", input, &decision.Key))
+		recordError(evaluate(p.key, "key", input, &decision.Key))
 	}
-	if failed != nil {
+	if firstError != nil {
 		decision = Decision{Class: DefaultClass, Weight: 1, Once: decision.Once, Key: decision.Key}
 	}
 	if decision.Once {
@@ -303,10 +300,10 @@
 	decision.Wait = max(decision.Wait, 0)
 	decision.Objective = max(decision.Objective, 0)
 	decision.Deadline = max(decision.Deadline, 0)
-	return decision, failed
+	return decision, firstError
 }
 
-// evaluate writes the expression's value to target; a nil expression leaves it.
+// evaluate sets target to the expression's value; a nil expression leaves target unchanged.
 func evaluate[T any](e *expression, field string, input *activation, target *T) error {
 	if e == nil {
 		return nil
@@ -319,15 +316,15 @@
 		}
 		value = result
 	}
-	native, ok := value.Value().(T)
+	typed, ok := value.Value().(T)
 	if !ok {
 		return &ExpressionError{Field: field, Reason: fmt.Sprintf("gave %s", value.Type().TypeName())}
 	}
-	*target = native
+	*target = typed
 	return nil
 }
 
-// activation gives an expression its inputs.
+// activation provides the inputs of an expression.
 type activation struct {
 	request Request
 	header  map[string]string
@@ -351,7 +348,7 @@
 	return nil
 }
 
-// flatten keeps the first value of each header under its lower-case name.
+// flatten returns the first value of each header by lower-case name.
 func flatten(header http.Header) map[string]string {
 	flat := make(map[string]string, len(header))
 	for name, values := range header {
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -28,7 +28,7 @@
 	require.Equal(t, policy.Decision{Class: "read", Weight: 7, Wait: 3 * time.Second, Once: true, Key: "k1"}, decision)
 }
 
-// TestEvaluationFailsSafe asks for a header that is not there.
+// TestEvaluationFailsSafe evaluates expressions that fail because a header is missing.
 func TestEvaluationFailsSafe(t *testing.T) {
 	program, err := policy.Compile(policy.Source{Class: `header["missing"]`, Weight: "50", Retry: "true", Once: `header["missing"] == "x"`})
 	require.NoError(t, err)
@@ -53,10 +53,10 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	asked := request("GET", "/prices")
+	input := request("GET", "/prices")
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := program.Evaluate(asked); err != nil {
+		if _, err := program.Evaluate(input); err != nil {
 			b.Fatal(err)
 		}
 	}
