--- a/measure/budget.go
+++ b/measure/budget.go
@@ -4,20 +4,19 @@
 	"time"
 )
 
-// Budget spaces probes evenly. It is pure and not safe for concurrent use.
+// Budget spaces probes evenly. It does no I/O and is not safe for concurrent use.
 type Budget struct {
 	next time.Time // earliest time of the next probe
 }
 
-// Reset empties the budget, as when a lease was newly got: the holder before may
-// have probed a moment ago.
+// Reset empties the budget. It is called when the lease was newly acquired, as the previous holder
+// may have sent a probe just before.
 func (b *Budget) Reset(now time.Time, perSecond float64) {
 	b.next = now.Add(interval(perSecond))
 }
 
-// Spend takes one probe from the budget, and says whether there was one. Two
-// probes are never closer than 1/perSecond, so that no idle time is saved up for
-// a burst.
+// Spend takes one probe from the budget, and returns false if there is none. Probes are at least
+// 1/perSecond apart; unused budget does not accumulate into a burst.
 func (b *Budget) Spend(now time.Time, perSecond float64) bool {
 	if perSecond <= 0 || now.Before(b.next) {
 		return false
@@ -26,7 +25,7 @@
 	return true
 }
 
-// Ready says whether Spend would find a probe.
+// Ready reports whether Spend would return true, if perSecond is positive.
 func (b *Budget) Ready(now time.Time) bool {
 	return !now.Before(b.next)
 }
--- a/measure/measure.go
+++ b/measure/measure.go
@@ -1,13 +1,12 @@
-// Package measure asks back ends for their load, within a budget.
+// Package measure probes back ends for their health and load, within a budget.
 //
-// Load is learned from answers first, which costs nothing. A probe takes slot
-// time from callers, so it is made only where it changes a decision: to find out
-// whether an ejected back end is well again, to hear of one that has been silent,
-// and, where a service asks for it, for a fresh report of one that would get the next
-// request. The budget of a service is for all daemons together. It belongs to
-// whichever daemon holds the service's lease, wholly; a daemon that nobody
-// granted it has no share, and one that was paused past its lease's end finds that
-// out at the moment of use.
+// Load is normally learned from responses, at no cost. A probe takes time of a slot that callers
+// could use, so it is sent only where it changes a decision: to find out whether an ejected back end
+// has recovered, to hear from one that has been silent, and, for services configured so, to get a
+// fresh load report of one that is next in line for a request. The probe budget of a service is
+// shared by all daemons. It belongs entirely to the daemon that holds the service's lease: a daemon
+// without the lease sends no probes, and one that was paused past the end of its lease detects that
+// at the moment of use.
 package measure
 
 import (
@@ -34,69 +33,69 @@
 	"github.com/tuliphall/tuliphall/wait"
 )
 
-// Timing of the prober.
+// Timing and limits of the prober.
 const (
-	// tick is how often the prober looks whether a probe is wanted.
-	tick = 20 * time.Millisecond
-	// restTick is how often it looks while no service has a budget.
-	restTick = time.Second
-	// silence is how long a back end may be unheard of before it is probed.
-	silence = 2 * time.Second
-	// probeTimeout bounds one probe.
-	probeTimeout = 500 * time.Millisecond
-	storeTimeout = 2 * time.Second
-	// freshTick is how often the prober looks whether a report is too old. At 2 ms a quiet day
-	// of 13 daemons took 8.6 s of processor time, at 5 ms 6.7 s.
-	freshTick = 5 * time.Millisecond
-	// refreshTimeout bounds a probe for a fresher report; what comes later is old.
-	refreshTimeout = 100 * time.Millisecond
-	// maxOutstanding bounds such probes of one service that are under way: as many as one
-	// each look makes while a probe takes 40 ms, four times as long as usual.
-	maxOutstanding = 8
-	// maxWarmUpLeft is the longest time that a back end may say it remains cold: an hour, as
-	// what services declare (config.MaxWarmUp).
+	// pollInterval is how often the prober checks whether a health probe is due.
+	pollInterval = 20 * time.Millisecond
+	// idlePollInterval is how often it checks while no service has a probe budget.
+	idlePollInterval = time.Second
+	// maxSilence is how long a back end may go without a response before it is probed.
+	maxSilence = 2 * time.Second
+	// healthProbeTimeout limits one health probe.
+	healthProbeTimeout = 500 * time.Millisecond
+	storeTimeout       = 2 * time.Second
+	// loadPollInterval is how often the prober checks whether a load report is too old. Over a quiet
+	// day, 13 daemons took 8.6 s of processor time with 2 ms, and 6.7 s with 5 ms.
+	loadPollInterval = 5 * time.Millisecond
+	// loadProbeTimeout limits a load probe; a report that takes longer is too old to use.
+	loadProbeTimeout = 100 * time.Millisecond
+	// maxLoadProbes limits the concurrent load probes of one service: it is the number of checks, one
+	// probe each, during a probe of 40 ms, four times the usual duration.
+	maxLoadProbes = 8
+	// maxWarmUpLeft is the longest remaining warm-up time accepted from a back end: an hour, the same
+	// limit as for the warm-up time in a service's configuration (config.MaxWarmUp).
 	maxWarmUpLeft = time.Duration(config.MaxWarmUp)
-	// maxProbeBody bounds what is read of the answer to a probe.
+	// maxProbeBody limits how much of a probe's response body is read.
 	maxProbeBody = 4 << 10
 )
 
-// Options are a Prober's collaborators.
+// Options are the dependencies and settings of a Prober.
 type Options struct {
-	Holder   string // the daemon's name and address, as of a lease
+	Holder   string // the daemon's name and address, as passed to lease.New
 	Store    objectstore.Store
 	Services *service.Registry
-	// Dispatches says whether this daemon dispatches a service.
+	// Dispatches reports whether this daemon is the dispatcher of a service.
 	Dispatches func(service string) bool
-	// Now is the clock of leases; nil: clock.Steady.
+	// Now is the clock for leases; nil: clock.Steady.
 	Now clock.Clock
-	// Dialect is how back ends spell their load.
+	// Dialect defines the headers in which back ends report load.
 	Dialect backend.Dialect
-	// Signals takes in what back ends say of themselves with their answers; nil: nobody does.
+	// Signals observes the responses to probes; nil: they are not observed.
 	Signals signals.Listener
 	Log     *slog.Logger
 	Metrics tally.Scope
 }
 
-// Prober probes the back ends of the services that this daemon dispatches. One
-// goroutine owns its state.
+// Prober probes the back ends of the services that this daemon dispatches. Its state is owned by one
+// goroutine.
 type Prober struct {
 	options Options
 	log     *slog.Logger
 	probes  tally.Counter
 	skipped tally.Counter
-	duties  map[string]*duty
+	states  map[string]*probeState
 }
 
-// duty is the probing of one service.
-type duty struct {
-	lease      *lease.Lease
-	budget     Budget
-	held       bool
-	maintained time.Time
-	// outstanding probes are under way. Others wait for their end, so that a network
-	// that stalls cannot gather many; those for fresher reports go to different
-	// back ends.
-	outstanding atomic.Int32
+// probeState is the state of probing one service.
+type probeState struct {
+	lease          *lease.Lease
+	budget         Budget
+	leaseHeld      bool
+	lastMaintained time.Time
+	// inFlight is the number of probes in flight. A health probe is sent only if there is none, so
+	// that probes cannot accumulate on a stalled network. Concurrent load probes go to different back
+	// ends.
+	inFlight atomic.Int32
 }
 
 // NewProber returns a prober.
@@ -105,7 +104,7 @@
 		options.Signals = signals.NopListener{}
 	}
 	return &Prober{
-		options: options, log: logging.Part(options.Log, "measure"), duties: make(map[string]*duty),
+		options: options, log: logging.Part(options.Log, "measure"), states: make(map[string]*probeState),
 		probes: options.Metrics.Counter("probes"), skipped: options.Metrics.Counter("probes_without_lease"),
 	}
 }
@@ -113,14 +112,14 @@
 // Run probes until ctx ends.
 func (p *Prober) Run(ctx context.Context) {
 	for {
-		pause := restTick
-		for name, running := range p.options.Services.All() {
-			declared := running.Target().Service
-			if declared.ProbesPerSecond <= 0 || !p.options.Dispatches(name) {
+		pause := idlePollInterval
+		for name, svc := range p.options.Services.All() {
+			spec := svc.Target().Service
+			if spec.ProbesPerSecond <= 0 || !p.options.Dispatches(name) {
 				continue
 			}
-			pause = min(pause, tickOf(declared))
-			p.consider(ctx, name, running, declared)
+			pause = min(pause, pollIntervalOf(spec))
+			p.probeService(ctx, name, svc, spec)
 		}
 		if !wait.Sleep(ctx, pause) {
 			return
@@ -128,182 +127,184 @@
 	}
 }
 
-// tickOf is how often the prober looks whether a probe is wanted.
-func tickOf(declared config.Service) time.Duration {
-	if declared.ProbeFreshness > 0 {
-		return freshTick
+// pollIntervalOf returns how often the prober checks whether a probe of the service is due.
+func pollIntervalOf(spec config.Service) time.Duration {
+	if spec.ProbeFreshness > 0 {
+		return loadPollInterval
 	}
-	return tick
+	return pollInterval
 }
 
-// consider probes one back end of a service if that is wanted and allowed.
-func (p *Prober) consider(ctx context.Context, name string, running *service.Service, declared config.Service) {
+// probeService sends one probe for a service if one is due and allowed.
+func (p *Prober) probeService(ctx context.Context, name string, svc *service.Service, spec config.Service) {
 	now := time.Now()
-	d := p.duty(name)
-	if declared.ProbeFreshness > 0 {
-		p.refresh(ctx, d, now, name, running, declared)
+	d := p.probeState(name)
+	if spec.ProbeFreshness > 0 {
+		p.probeLoad(ctx, d, now, name, svc, spec)
 		return
 	}
-	target, wanted := running.Dispatcher.ProbeTarget(silence)
-	if !wanted || !p.allowed(ctx, d, now, declared.ProbesPerSecond) {
+	id, due := svc.Dispatcher.ProbeTarget(maxSilence)
+	if !due || !p.holdsLease(ctx, d, now, spec.ProbesPerSecond) {
 		return
 	}
-	asked := p.target(name, target, running)
-	if asked.client == nil || d.outstanding.Load() > 0 || !d.budget.Spend(time.Now(), declared.ProbesPerSecond) {
+	target := p.newTarget(name, id, svc)
+	if target.client == nil || d.inFlight.Load() > 0 || !d.budget.Spend(time.Now(), spec.ProbesPerSecond) {
 		return
 	}
-	running.Dispatcher.RecordHealthProbeStart(target)
-	p.launch(ctx, d, func(ctx context.Context) {
-		ctx, cancel := context.WithTimeout(ctx, probeTimeout)
+	svc.Dispatcher.RecordHealthProbeStart(id)
+	p.startProbe(ctx, d, func(ctx context.Context) {
+		ctx, cancel := context.WithTimeout(ctx, healthProbeTimeout)
 		defer cancel()
-		report, well, err := p.ask(ctx, asked)
+		report, healthy, err := p.probe(ctx, target)
 		if err != nil {
-			p.log.Debug("probe failed", "service", name, "backend", target, "error", err)
+			p.log.Debug("health probe failed", "service", name, "backend", id, "error", err)
 		}
-		running.Dispatcher.RecordHealthProbe(target, err == nil && well, report)
+		svc.Dispatcher.RecordHealthProbe(id, err == nil && healthy, report)
 	})
 }
 
-// refresh asks for fresher reports of the back ends that would get the next requests.
-func (p *Prober) refresh(ctx context.Context, d *duty, now time.Time, name string, running *service.Service, declared config.Service) {
-	if d.outstanding.Load() >= maxOutstanding || !p.allowed(ctx, d, now, declared.ProbesPerSecond) || !d.budget.Ready(now) {
+// probeLoad sends a load probe to a back end that is next in line for a request, if its report is
+// too old.
+func (p *Prober) probeLoad(ctx context.Context, d *probeState, now time.Time, name string, svc *service.Service, spec config.Service) {
+	if d.inFlight.Load() >= maxLoadProbes || !p.holdsLease(ctx, d, now, spec.ProbesPerSecond) || !d.budget.Ready(now) {
 		return
 	}
 	spacing := time.Duration(0)
-	if declared.ProbesPerBackend > 0 {
-		spacing = interval(declared.ProbesPerBackend)
+	if spec.ProbesPerBackend > 0 {
+		spacing = interval(spec.ProbesPerBackend)
 	}
-	target, wanted := running.Dispatcher.StaleTarget(time.Duration(declared.ProbeFreshness), spacing)
-	if !wanted {
+	id, due := svc.Dispatcher.StaleTarget(time.Duration(spec.ProbeFreshness), spacing)
+	if !due {
 		return
 	}
-	asked := p.target(name, target, running)
-	if asked.client == nil || !d.budget.Spend(time.Now(), declared.ProbesPerSecond) {
-		running.Dispatcher.RecordLoadProbeFailure(target)
+	target := p.newTarget(name, id, svc)
+	if target.client == nil || !d.budget.Spend(time.Now(), spec.ProbesPerSecond) {
+		svc.Dispatcher.RecordLoadProbeFailure(id)
 		return
 	}
-	p.launch(ctx, d, func(ctx context.Context) {
-		ctx, cancel := context.WithTimeout(ctx, refreshTimeout)
+	p.startProbe(ctx, d, func(ctx context.Context) {
+		ctx, cancel := context.WithTimeout(ctx, loadProbeTimeout)
 		defer cancel()
-		report, _, err := p.ask(ctx, asked)
+		report, _, err := p.probe(ctx, target)
 		if err != nil || report == nil {
-			p.log.Debug("no fresher report", "service", name, "backend", target, "error", err)
-			running.Dispatcher.RecordLoadProbeFailure(target)
+			p.log.Debug("load probe failed or returned no report", "service", name, "backend", id, "error", err)
+			svc.Dispatcher.RecordLoadProbeFailure(id)
 			return
 		}
-		running.Dispatcher.RecordLoadProbe(target, *report)
+		svc.Dispatcher.RecordLoadProbe(id, *report)
 	})
 }
 
-// allowed says whether this daemon has the right to a service's budget now, and keeps
-// it up.
-func (p *Prober) allowed(ctx context.Context, d *duty, now time.Time, perSecond float64) bool {
-	p.maintain(ctx, d, now, perSecond)
+// holdsLease acquires or renews the service's lease if that is due, and reports whether this daemon
+// holds it.
+func (p *Prober) holdsLease(ctx context.Context, d *probeState, now time.Time, perSecond float64) bool {
+	p.maintainLease(ctx, d, now, perSecond)
 	if !d.lease.Valid() {
-		d.held = false
+		d.leaseHeld = false
 		p.skipped.Inc(1)
 		return false
 	}
 	return true
 }
 
-// launch makes one probe beside the others.
-func (p *Prober) launch(ctx context.Context, d *duty, probe func(ctx context.Context)) {
+// startProbe sends one probe in its own goroutine.
+func (p *Prober) startProbe(ctx context.Context, d *probeState, send func(ctx context.Context)) {
 	p.probes.Inc(1)
-	d.outstanding.Add(1)
-	// The lease ends the probe too: a daemon paused between the check and the
-	// sending sends nothing when it wakes.
+	d.inFlight.Add(1)
+	// The probe also ends with the lease: a daemon that is paused between the check and the send
+	// sends nothing when it resumes.
 	probeCtx, cancel := context.WithTimeout(ctx, d.lease.Remaining())
 	go func() {
-		defer d.outstanding.Add(-1)
+		defer d.inFlight.Add(-1)
 		defer cancel()
-		probe(probeCtx)
+		send(probeCtx)
 	}()
 }
 
-func (p *Prober) duty(name string) *duty {
-	d, known := p.duties[name]
-	if !known {
-		d = &duty{lease: lease.New(p.options.Store, "measure-"+name, p.options.Holder, p.options.Now)}
-		p.duties[name] = d
+func (p *Prober) probeState(name string) *probeState {
+	d, found := p.states[name]
+	if !found {
+		d = &probeState{lease: lease.New(p.options.Store, "measure-"+name, p.options.Holder, p.options.Now)}
+		p.states[name] = d
 	}
 	return d
 }
 
-// maintain renews or takes the lease when that is due. A newly got lease begins
-// with an empty budget.
-func (p *Prober) maintain(ctx context.Context, d *duty, now time.Time, perSecond float64) {
-	if now.Sub(d.maintained) < lease.RenewInterval {
+// maintainLease acquires or renews the lease if that is due. A newly acquired lease starts with an
+// empty budget.
+func (p *Prober) maintainLease(ctx context.Context, d *probeState, now time.Time, perSecond float64) {
+	if now.Sub(d.lastMaintained) < lease.RenewInterval {
 		return
 	}
-	d.maintained = now
+	d.lastMaintained = now
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	if err := d.lease.AcquireOrRenew(ctx); err != nil {
-		p.log.Warn("lease not maintained", "error", err)
+		p.log.Warn("cannot acquire or renew the probe lease", "error", err)
 	}
-	if !d.held && d.lease.Valid() {
-		d.held = true
+	if !d.leaseHeld && d.lease.Valid() {
+		d.leaseHeld = true
 		d.budget.Reset(time.Now(), perSecond)
 	}
 }
 
-// probeTarget is a back end that is to be probed.
+// probeTarget is a back end to probe.
 type probeTarget struct {
 	backend backend.Key
-	started int64 // of its present run; 0: it does not say
+	started int64 // start time of its current run; 0: not reported
 	client  *backend.Client
 	path    string
 }
 
-// target returns what it takes to probe a back end; its client is nil where it is not declared.
-func (p *Prober) target(name, id string, running *service.Service) probeTarget {
-	client, started := running.ProbeClient(id)
-	return probeTarget{backend: backend.Key{Service: name, Backend: id}, started: started, client: client, path: running.Target().Service.ProbePath}
+// newTarget returns the probe target for a back end; its client is nil if the back end is not configured.
+func (p *Prober) newTarget(name, id string, svc *service.Service) probeTarget {
+	client, started := svc.ProbeClient(id)
+	return probeTarget{backend: backend.Key{Service: name, Backend: id}, started: started, client: client, path: svc.Target().Service.ProbePath}
 }
 
-// ask probes one back end. well says whether it takes itself for well; the report is
-// nil where it told none.
-func (p *Prober) ask(ctx context.Context, asked probeTarget) (report *routing.Report, well bool, err error) {
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, asked.path, nil)
+// probe sends one probe. healthy is false if the response is a server error; report is nil if the
+// response has none.
+func (p *Prober) probe(ctx context.Context, target probeTarget) (report *routing.Report, healthy bool, err error) {
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, target.path, nil)
 	if err != nil {
-		return nil, false, errors.Annotate(err, "probe")
+		return nil, false, errors.Annotate(err, "creating the probe request")
 	}
-	request.Header = http.Header{"User-Agent": nil} // nil: none is sent
+	request.Header = http.Header{"User-Agent": nil} // nil: no User-Agent is sent
 	sent := time.Now()
-	response, err := asked.client.Do(ctx, request)
+	response, err := target.client.Do(ctx, request)
 	if err != nil {
 		return nil, false, err
 	}
 	defer response.Body.Close()
-	// What is read to its end leaves the connection to the next probe.
+	// A body that is read to its end allows the connection to be reused.
 	if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxProbeBody)); err != nil {
-		return nil, false, errors.Annotate(err, "probe")
+		return nil, false, errors.Annotate(err, "reading the probe response")
 	}
-	// The address may have gone to another back end, whose load and health say nothing of this one.
+	// The address may now belong to another back end, whose load and health must not be attributed
+	// to this one.
 	if name := p.options.Dialect.ProbedInstance; name != "" {
-		if answered := response.Header.Get(name); answered != "" && answered != asked.backend.Backend {
-			return nil, false, errors.Errorf("probe of %s: answered by %s", asked.backend.Backend, answered)
+		if instance := response.Header.Get(name); instance != "" && instance != target.backend.Backend {
+			return nil, false, errors.Errorf("probe of %s: answered by %s", target.backend.Backend, instance)
 		}
 	}
 	failed := response.StatusCode >= http.StatusInternalServerError
-	p.options.Signals.Observe(signals.Response{Key: asked.backend, Started: asked.started, Sent: sent, Status: response.StatusCode, Header: response.Header})
-	if told, ok := p.options.Dialect.ParseReport(response.Header.Get(p.options.Dialect.Report)); ok {
-		told.WarmUpLeft = p.warmUpLeft(response.Header)
-		report = new(routing.Report(told))
+	p.options.Signals.Observe(signals.Response{Key: target.backend, Started: target.started, Sent: sent, Status: response.StatusCode, Header: response.Header})
+	if parsed, ok := p.options.Dialect.ParseReport(response.Header.Get(p.options.Dialect.Report)); ok {
+		parsed.WarmUpLeft = p.warmUpLeft(response.Header)
+		report = new(routing.Report(parsed))
 	}
 	return report, !failed, nil
 }
 
-// warmUpLeft reads for how long the back end remains cold; 0 where it does not say.
-func (p *Prober) warmUpLeft(from http.Header) time.Duration {
-	told := from.Get(p.options.Dialect.WarmUpLeft)
-	if told == "" {
+// warmUpLeft returns the reported time until the back end is warm; 0 if it reports none.
+func (p *Prober) warmUpLeft(header http.Header) time.Duration {
+	value := header.Get(p.options.Dialect.WarmUpLeft)
+	if value == "" {
 		return 0
 	}
-	left, err := strconv.ParseFloat(told, 64)
+	left, err := strconv.ParseFloat(value, 64)
 	if err != nil || !(left >= 0 && left <= maxWarmUpLeft.Seconds()*1000) {
-		p.log.Warn("unusable time until a back end is warm", "value", told, "error", err)
+		p.log.Warn("invalid remaining warm-up time from a back end", "value", value, "error", err)
 		return 0
 	}
 	return time.Duration(left * float64(time.Millisecond))
--- a/measure/measure_test.go
+++ b/measure/measure_test.go
@@ -16,39 +16,38 @@
 	"github.com/tuliphall/tuliphall/objectstore"
 )
 
-// daemonLife is one daemon of a random fleet.
-type daemonLife struct {
-	starts time.Duration
-	lives  time.Duration
-	pauses []time.Duration // before a probe, in turn
+// daemonLifetime is the lifetime of one daemon in a random fleet.
+type daemonLifetime struct {
+	startsAfter time.Duration
+	duration    time.Duration
+	pauses      []time.Duration // before each probe, cyclically
 }
 
-// fleet wants to probe one service: its daemons start, pause for a while, and are
-// replaced.
+// fleet is a set of daemons that probe one service; they start, are paused, and are replaced.
 type fleet struct {
 	store  *objectstore.Memory
 	mutex  sync.Mutex
 	probes []time.Time
 }
 
-// live follows the order in which Prober asks: lease, budget, lease again at the
-// moment of use. unchecked leaves the last out.
-func (f *fleet) live(ctx context.Context, name string, rate float64, life daemonLife, unchecked bool) {
+// runDaemon follows the order of checks in Prober: lease, budget, and the lease again at the moment of
+// use. skipFinalCheck omits the last one.
+func (f *fleet) runDaemon(ctx context.Context, name string, rate float64, daemon daemonLifetime, skipFinalCheck bool) {
 	held := lease.New(f.store, "service", name, nil)
 	var budget measure.Budget
-	had := false
+	wasValid := false
 	for step := 0; ctx.Err() == nil; step++ {
 		if step%30 == 0 {
-			// A store in memory fails only by conflict, which is no error here.
+			// The in-memory store fails only with a conflict, which is not an error here.
 			_ = held.AcquireOrRenew(ctx)
 		}
 		valid := held.Valid()
-		if valid && !had {
+		if valid && !wasValid {
 			budget.Reset(time.Now(), rate)
 		}
-		had = valid
-		time.Sleep(life.pauses[step%len(life.pauses)])
-		if had && (unchecked || held.Valid()) && budget.Spend(time.Now(), rate) {
+		wasValid = valid
+		time.Sleep(daemon.pauses[step%len(daemon.pauses)])
+		if wasValid && (skipFinalCheck || held.Valid()) && budget.Spend(time.Now(), rate) {
 			f.mutex.Lock()
 			f.probes = append(f.probes, time.Now())
 			f.mutex.Unlock()
@@ -57,7 +56,7 @@
 	}
 }
 
-// excess returns how often two probes were closer than the budget allows.
+// excess returns how often two probes were closer together than the budget allows.
 func (f *fleet) excess(rate float64) int {
 	count := 0
 	for index := 1; index < len(f.probes); index++ {
@@ -68,33 +67,33 @@
 	return count
 }
 
-// drawFleet draws the daemons' lives, with their pauses.
-func drawFleet(t *rapid.T) (lives []daemonLife, rate float64) {
+// drawFleet draws the daemons' lifetimes and pauses.
+func drawFleet(t *rapid.T) (daemons []daemonLifetime, rate float64) {
 	rate = rapid.Float64Range(0.2, 5).Draw(t, "rate")
 	for range rapid.IntRange(1, 12).Draw(t, "daemons") {
-		life := daemonLife{
-			starts: time.Duration(rapid.IntRange(0, 60).Draw(t, "starts")) * time.Second,
-			lives:  time.Duration(rapid.IntRange(5, 200).Draw(t, "lives")) * time.Second,
-			pauses: make([]time.Duration, 50),
+		daemon := daemonLifetime{
+			startsAfter: time.Duration(rapid.IntRange(0, 60).Draw(t, "starts")) * time.Second,
+			duration:    time.Duration(rapid.IntRange(5, 200).Draw(t, "lives")) * time.Second,
+			pauses:      make([]time.Duration, 50),
 		}
 		seconds := rapid.SampledFrom([]int{0, 0, 1, 5, 9, 11, 30}).Draw(t, "pause")
-		life.pauses[rapid.IntRange(0, 49).Draw(t, "when")] = time.Duration(seconds) * time.Second
-		lives = append(lives, life)
+		daemon.pauses[rapid.IntRange(0, 49).Draw(t, "when")] = time.Duration(seconds) * time.Second
+		daemons = append(daemons, daemon)
 	}
-	return lives, rate
+	return daemons, rate
 }
 
-// run lets the fleet live in virtual time and returns the probes over the budget.
-func run(t *testing.T, lives []daemonLife, rate float64, unchecked bool) (excess, probes int) {
+// run runs the fleet in virtual time, and returns the number of probes over the budget and of all.
+func run(t *testing.T, daemons []daemonLifetime, rate float64, skipFinalCheck bool) (excess, probes int) {
 	synctest.Test(t, func(*testing.T) {
 		f := &fleet{store: objectstore.NewMemory()}
 		var running sync.WaitGroup
-		for number, life := range lives {
+		for number, daemon := range daemons {
 			running.Go(func() {
-				time.Sleep(life.starts)
-				ctx, cancel := context.WithTimeout(context.Background(), life.lives)
+				time.Sleep(daemon.startsAfter)
+				ctx, cancel := context.WithTimeout(context.Background(), daemon.duration)
 				defer cancel()
-				f.live(ctx, fmt.Sprintf("daemon-%d", number), rate, life, unchecked)
+				f.runDaemon(ctx, fmt.Sprintf("daemon-%d", number), rate, daemon, skipFinalCheck)
 			})
 		}
 		running.Wait()
@@ -103,15 +102,15 @@
 	return excess, probes
 }
 
-// TestBudgetNeverExceeded checks random fleets, pauses and restarts.
+// TestBudgetNeverExceeded checks random fleets with pauses and restarts.
 func TestBudgetNeverExceeded(t *testing.T) {
 	total := 0
 	rapid.Check(t, func(rt *rapid.T) {
-		lives, rate := drawFleet(rt)
-		excess, probes := run(t, lives, rate, false)
+		daemons, rate := drawFleet(rt)
+		excess, probes := run(t, daemons, rate, false)
 		total += probes
 		if excess > 0 {
-			rt.Fatalf("%d of %d probes over the budget of %g a second", excess, probes, rate)
+			rt.Fatalf("%d of %d probes exceed the budget of %g per second", excess, probes, rate)
 		}
 	})
 	if total == 0 {
@@ -119,17 +118,17 @@
 	}
 }
 
-// TestBudgetCheckCanFail shows that a daemon which does not ask its lease at the
-// moment of use is caught: it sleeps past the end while another takes over.
+// TestBudgetCheckCanFail: the check catches a daemon that does not check its lease at the moment of
+// use, and so sends a probe after a pause in which another daemon has acquired the lease.
 func TestBudgetCheckCanFail(t *testing.T) {
-	paused := daemonLife{lives: 200 * time.Second, pauses: make([]time.Duration, 200)}
+	paused := daemonLifetime{duration: 200 * time.Second, pauses: make([]time.Duration, 200)}
 	paused.pauses[100] = 30 * time.Second
-	other := daemonLife{starts: time.Second, lives: 200 * time.Second, pauses: []time.Duration{0}}
-	excess, _ := run(t, []daemonLife{paused, other}, 2, true)
+	other := daemonLifetime{startsAfter: time.Second, duration: 200 * time.Second, pauses: []time.Duration{0}}
+	excess, _ := run(t, []daemonLifetime{paused, other}, 2, true)
 	if excess == 0 {
-		t.Fatal("a probe after the lease's end was not caught")
+		t.Fatal("a probe after the end of the lease was not detected")
 	}
-	if excess, _ = run(t, []daemonLife{paused, other}, 2, false); excess > 0 {
-		t.Fatal("the check at the moment of use did not help")
+	if excess, _ = run(t, []daemonLifetime{paused, other}, 2, false); excess > 0 {
+		t.Fatal("the budget was exceeded despite the check at the moment of use")
 	}
 }
