--- a/operation/operation_test.go
+++ b/operation/operation_test.go
@@ -76,9 +76,9 @@
 var model = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := make(map[string][]porcupine.Operation)
-		for _, one := range history {
-			key := one.Input.(claimEvent).key
-			byKey[key] = append(byKey[key], one)
+		for _, op := range history {
+			key := op.Input.(claimEvent).key
+			byKey[key] = append(byKey[key], op)
 		}
 		var parts [][]porcupine.Operation
 		for _, part := range byKey {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -134,7 +134,7 @@
 func Compile(source Source) (*Program, error) {
 	programCache.mutex.Lock()
 	defer programCache.mutex.Unlock()
-	if program, known := programCache.programs[source]; known {
+	if program, found := programCache.programs[source]; found {
 		return program, nil
 	}
 	program, err := compile(source)
--- a/quarantine/save.go
+++ b/quarantine/save.go
@@ -78,7 +78,7 @@
 	now := time.Now()
 	t.table.Prune(now)
 	for fingerprint := range t.observedLocally {
-		if _, known := t.table.Record(fingerprint); !known {
+		if _, found := t.table.Record(fingerprint); !found {
 			delete(t.observedLocally, fingerprint)
 		}
 	}
@@ -166,7 +166,7 @@
 	before := merged.Digest(now)
 	for fingerprint := range t.unsaved {
 		included = append(included, fingerprint)
-		if record, known := t.table.Record(fingerprint); known {
+		if record, found := t.table.Record(fingerprint); found {
 			merged.Merge(now, record)
 		}
 	}
