--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -40,7 +40,8 @@
 	// unsaved are requests whose current record may not be in the store yet.
 	unsaved map[Fingerprint]bool
 	// observedLocally are requests that crashed a back end while this daemon had sent them there,
-	// or that its operator quarantined. This daemon saves them once they are quarantined.
+	// or that its operator quarantined. This daemon is one of those that save them once they are
+	// quarantined.
 	observedLocally map[Fingerprint]bool
 	saveRequested   chan struct{} // capacity 1: unsaved is not empty, or a save must be retried
 }
