--- a/rollout/doc.go
+++ b/rollout/doc.go
@@ -1,15 +1,15 @@
-// Package rollout moves a service to back ends of another version, and takes it back if they are
-// worse.
+// Package rollout moves a service to back ends of a new version, and rolls back if that version is
+// worse than the old one.
 //
-// The daemon that dispatches the service gives the new version a small share of the requests (Plan)
-// and compares its answers with those that the old one gives at the same time (Judge): what troubles
-// both accuses neither. A version that is worse gets nothing from that moment on. One that has shown
-// itself good until some time before the decision is due gets all requests; once none is at
-// an old back end any more, the rollout is completed, and operators may stop those.
+// The dispatcher of the service sends a small share of the requests to the new version (the canary) and
+// compares the results with those of the old version over the same time, so that a problem that affects
+// both versions is not blamed on the new one. A version that is found worse gets no further requests. A
+// version that is not worse by some time before the decision is due gets all requests. Once no request
+// is in flight at an old back end, the rollout is completed and operators may stop the old back ends.
 //
-// How far a rollout is stands in its record, which all daemons follow (config.Rollout). Any
-// dispatcher goes on from there; what it has seen of the version itself it sees anew. Daemons that
-// choose by themselves give a version nothing while it is judged.
+// The state of a rollout is kept in a record that all daemons follow (config.Rollout). A new dispatcher
+// continues from the record, but starts the comparison of the versions again. Daemons that choose back
+// ends independently send a version no requests while it is being compared.
 //
-// Plan and Judge are pure; Keeper records what they decide.
+// Controller and Judge are pure; Runner records what they decide.
 package rollout
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -2,61 +2,61 @@
 
 import "math"
 
-// against is what speaks against the new version.
-type against struct {
-	failures, unserved, slow, verySlow evidence
+// evidence is the evidence against the new version, by kind of bad response.
+type evidence struct {
+	failures, unserved, slow, verySlow cusum
 }
 
-// weightOf returns how much an answer of the new version speaks against it: the logarithm of how much
-// more likely it is of a worse version than of one whose answers are as often bad as usual.
-func weightOf(usual float64, bad bool) float64 {
-	worse := usual + worseBy*(1-usual)
+// logLikelihoodRatio returns the logarithm of how much more likely a response is from a version that is
+// worse by minRegression than from one with the old version's rate of bad responses.
+func logLikelihoodRatio(oldRate float64, bad bool) float64 {
+	worse := oldRate + minRegression*(1-oldRate)
 	if bad {
-		return math.Log(worse / usual)
+		return math.Log(worse / oldRate)
 	}
-	return math.Log((1 - worse) / (1 - usual))
+	return math.Log((1 - worse) / (1 - oldRate))
 }
 
-// evidence is what speaks against a version, of late.
-type evidence struct {
+// cusum is a CUSUM test whose sum is bounded for each back end.
+type cusum struct {
 	sum       float64
 	byBackend map[string]float64
 }
 
-// add takes in an answer. What a back end says counts up to a bound, and nothing that speaks for a
-// version is saved up: it may turn bad later.
-func (e *evidence) add(backend string, weight, fromOne float64) {
-	if e.byBackend == nil {
-		e.byBackend = make(map[string]float64)
+// add adds the weight of a response. The contribution of a back end is capped, and the sum does not fall
+// below 0: good responses are not credited against later bad ones, as the version may turn bad later.
+func (c *cusum) add(backend string, weight, backendCap float64) {
+	if c.byBackend == nil {
+		c.byBackend = make(map[string]float64)
 	}
-	before := e.byBackend[backend]
-	after := min(before+weight, 2*fromOne)
-	e.byBackend[backend] = after
-	e.sum += min(after, fromOne) - min(before, fromOne)
-	if e.sum <= 0 {
-		e.sum = 0
-		clear(e.byBackend)
+	before := c.byBackend[backend]
+	after := min(before+weight, 2*backendCap)
+	c.byBackend[backend] = after
+	c.sum += min(after, backendCap) - min(before, backendCap)
+	if c.sum <= 0 {
+		c.sum = 0
+		clear(c.byBackend)
 	}
 }
 
-// accuses says by what the version is found to be worse, in words; empty: it is not.
-func (a *against) accuses() string {
+// regression returns the kind of bad response by which the version is worse; empty: it is not worse.
+func (e *evidence) regression() string {
 	switch {
-	case a.failures.accuses():
+	case e.failures.exceeded():
 		return "failures"
-	case a.unserved.accuses():
+	case e.unserved.exceeded():
 		return "no answers"
-	case a.verySlow.accuses():
+	case e.verySlow.exceeded():
 		return "very slow answers"
-	case a.slow.accuses():
+	case e.slow.exceeded():
 		return "slow answers"
 	}
 	return ""
 }
 
-// rounding is by how much a sum of weights may fall short of accuseAt: that of its additions.
-const rounding = 1e-9
+// sumTolerance is the rounding error of a sum of weights, by which it may fall short of cusumThreshold.
+const sumTolerance = 1e-9
 
-func (e *evidence) accuses() bool {
-	return e.sum >= accuseAt-rounding
+func (c *cusum) exceeded() bool {
+	return c.sum >= cusumThreshold-sumTolerance
 }
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -7,341 +7,343 @@
 	"time"
 )
 
-// Sample is how one request ended.
+// Sample is the result of one request.
 type Sample struct {
 	Class   string
 	Backend string
-	// Failed: the back end answered that it failed. Unserved: it gave no answer, or ran nothing, as do
-	// those that end, are cut off or have no room, whatever their version. Otherwise Took says how
-	// long the answer took.
+	// Failed: the back end answered with an error. Unserved: there was no response, or the request was
+	// not run, as happens with back ends of any version that exit, are unreachable or have no capacity.
+	// Otherwise Latency is the time to the response.
 	Failed, Unserved bool
 	Latency          time.Duration
-	// Sent is when the place was given for the request; zero: so long before the answer as it took.
+	// Sent is when the permit was granted. If zero, the request counts as sent Latency before its response.
 	Sent time.Time
-	// Canceled: nobody waited for the answer any more after Took.
+	// Canceled: the caller stopped waiting for the response after Latency.
 	Canceled bool
-	// Cold: the back end has just started, so that it may be slow whatever its version.
+	// Cold: the back end has just started and may be slow for that reason, whatever its version.
 	Cold bool
 }
 
-// sent returns when the request of an answer that came at a time was sent.
-func (a *Sample) sent(at time.Time) time.Time {
-	if a.Sent.IsZero() {
-		return at.Add(-a.Latency)
+// sentAt returns when the request was sent whose response came at a given time.
+func (s *Sample) sentAt(responded time.Time) time.Time {
+	if s.Sent.IsZero() {
+		return responded.Add(-s.Latency)
 	}
-	return a.Sent
+	return s.Sent
 }
 
-// What makes an answer bad, and what makes a version worse.
+// Parameters of the comparison: when a response counts as bad, and when a version counts as worse.
 const (
-	// slowTimes and verySlowTimes are how many times the median of the old version's answers of a
-	// class an answer must take to count as slow, or very slow. With exponential work one in 8
-	// and one in 64 answers of a good version do; where work is even, only the first finds a
-	// version that takes four times as long.
-	slowTimes     = 3
-	verySlowTimes = 6
-	// worseBy is the least part by which bad answers must be more frequent at a version that is
-	// worse than at the old one, of what the old one answers well.
-	worseBy = 0.25
-	// accuseAt is the logarithm of how much more likely what was seen is of a worse version than
-	// of an equal one. A good version is accused within some e^12 answers, counted anew
-	// whenever nothing speaks against it (Page's CUSUM test).
-	accuseAt = 12
-	// accusers is how many back ends must speak against a version, where it has as many: it is
-	// not worse because one machine is.
-	accusers = 5
-	// slowAccusers is the same for slow answers: a back end that is slow for a moment gives several of them.
-	slowAccusers = 10
-	// judgeAfter is how much later an answer is weighed: what troubles both versions shows in the
-	// old one's answers by then, too. Weighed at once, one good version in 30 was taken back
-	// where all back ends turned slow for two seconds.
-	judgeAfter = time.Second
-	// judgeMovingAfter is the same while requests move to the version: much goes there then.
-	judgeMovingAfter = 300 * time.Millisecond
-	// mostPending bounds the answers that wait to be weighed.
-	mostPending = 4096
-	// leastCompared is how many answers of the old version a class must have to compare with.
-	leastCompared = 20
-	// aheadBy is how many more answers of one class than of another are compared.
-	aheadBy = 10
-	// These are the least frequencies that are assumed of the old version: few answers may have
-	// shown none, and a version that is judged has its requests packed on a few back ends, where
-	// more are slow of one that is not worse.
-	leastFailed   = 0.02
-	leastUnserved = 0.02
-	leastSlow     = 0.2
-	leastVerySlow = 0.05
+	// slowFactor and verySlowFactor are the multiples of the old version's median latency in a class
+	// above which a response counts as slow or very slow. With exponentially distributed work, one in 8
+	// and one in 64 responses of a good version exceed them; with evenly distributed work, only the
+	// first detects a version that takes four times as long.
+	slowFactor     = 3
+	verySlowFactor = 6
+	// minRegression is the smallest regression to detect: a version is worse if it turns this share of
+	// the old version's good responses into bad ones.
+	minRegression = 0.25
+	// cusumThreshold is the log-likelihood ratio, of a worse version against an equal one, at which a
+	// version is found worse. The sum restarts whenever it falls to 0 (Page's CUSUM test), so that a
+	// good version is wrongly found worse about once in e^12 responses.
+	cusumThreshold = 12
+	// minBadBackends is how many back ends must contribute to the evidence, if the version has as many:
+	// a single bad machine does not make a version worse.
+	minBadBackends = 5
+	// minSlowBackends is the same for slow responses: a back end that is briefly slow gives several of them.
+	minSlowBackends = 10
+	// evaluationDelay is how long a sample waits to be evaluated, so that a problem that affects both
+	// versions has shown in the old version's responses by then. Without the delay, one good version in
+	// 30 was rolled back when all back ends turned slow for two seconds.
+	evaluationDelay = time.Second
+	// movingEvaluationDelay replaces it while requests move to the new version, as many are at risk then.
+	movingEvaluationDelay = 300 * time.Millisecond
+	// maxPending bounds the samples that wait to be evaluated.
+	maxPending = 4096
+	// minOldSamples is how many responses of the old version a class needs for a comparison.
+	minOldSamples = 20
+	// maxClassLead is how many more responses may be compared of one class than of another.
+	maxClassLead = 10
+	// The old version's rates of bad responses are assumed to be at least these. A small sample may
+	// contain no bad response, and the canary's requests are concentrated on a few back ends, where more
+	// are slow even if the version is not worse.
+	minFailedRate   = 0.02
+	minUnservedRate = 0.02
+	minSlowRate     = 0.2
+	minVerySlowRate = 0.05
 )
 
-// Judge compares the answers of two versions. It is not safe for concurrent use.
+// Judge compares the responses of two versions. It is not safe for concurrent use.
 type Judge struct {
-	classes map[string]*class
-	all     against // of all classes together
-	judged  int     // answers of the new version that could be compared
-	chance  RandomPickRates
-	// fromOne bounds what one back end adds to the evidence, and slowFromOne what its slow answers do.
-	fromOne, slowFromOne float64
-	// contemporaries are the old version's requests by when they were sent.
-	contemporaries contemporaries
-	// after is how much later answers are weighed.
-	after   time.Duration
-	moving  bool          // requests move to the new version
-	pending []observation // answers of the new version that are still to be weighed, oldest first
+	classes    map[string]*class
+	total      evidence // of all classes together
+	compared   int      // responses of the new version that could be compared
+	randomPick RandomPickRates
+	// backendCap bounds what one back end adds to the evidence, and slowBackendCap what its slow responses do.
+	backendCap, slowBackendCap float64
+	// oldBySendTime counts the old version's requests by when they were sent.
+	oldBySendTime sendTimeBuckets
+	// delay is how long samples wait to be evaluated.
+	delay   time.Duration
+	moving  bool          // requests are moving to the new version
+	pending []observation // samples of the new version that are not evaluated yet, oldest first
 }
 
-// observation is an answer of the new version as it was seen when it came.
+// observation is a sample of the new version with what was known when it arrived.
 type observation struct {
 	at       time.Time
-	answer   Sample
+	sample   Sample
 	class    *class
 	slow     comparison
 	verySlow comparison
-	usual    frequencies // of the old version, then
+	oldRates badRates // the old version's at that time
 }
 
-// comparison is whether an answer took longer than a bound, where that can be told.
+// comparison tells whether a latency exceeded a bound, if that is known.
 type comparison struct {
 	exceeds, known bool
 }
 
-// frequencies are how often requests at the old version fail, get no answer or are slow.
-type frequencies struct {
+// badRates are the shares of requests at the old version that fail, are not served, or are slow.
+type badRates struct {
 	failed, unserved, slow, verySlow float64
 }
 
-// usual returns how often answers of a class of the old version are bad, or would be if its back ends were
-// chosen as blindly as those of a version that is judged.
-func (j *Judge) usual(now time.Time, of *class) frequencies {
-	return frequencies{
-		failed:   max(of.failed.of(now), leastFailed),
-		unserved: max(of.unserved.of(now), j.chance.unserved, leastUnserved),
-		slow:     max(of.slow.of(now), j.chance.slow, leastSlow),
-		verySlow: max(of.verySlow.of(now), j.chance.verySlow, leastVerySlow),
+// oldRates returns the rates of bad responses that the old version has in a class, or would have if its
+// back ends were picked regardless of their state, as the canary's are.
+func (j *Judge) oldRates(now time.Time, of *class) badRates {
+	return badRates{
+		failed:   max(of.failed.value(now), minFailedRate),
+		unserved: max(of.unserved.value(now), j.randomPick.unserved, minUnservedRate),
+		slow:     max(of.slow.value(now), j.randomPick.slow, minSlowRate),
+		verySlow: max(of.verySlow.value(now), j.randomPick.verySlow, minVerySlowRate),
 	}
 }
 
-// class is what is known of the requests of one class.
+// class holds the statistics of one class of requests.
 type class struct {
-	latencies                        latencies // of the old version
-	failed, unserved, slow, verySlow rate      // of the old version's answers
-	against                          against
-	judged, bad                      int // answers of the new version that were compared, and bad ones of them
-	// failures and slowness are how many of these failed or were very slow.
-	failures, slowness doubt
+	latencies                        latencyHistogram // of the old version
+	failed, unserved, slow, verySlow rate             // of the old version's responses
+	evidence                         evidence
+	compared, bad                    int // responses of the new version that were compared, and the bad ones among them
+	// failures and slowness monitor how many of these failed or were very slow.
+	failures, slowness excessMonitor
 }
 
-// NewJudge returns a judge that has seen nothing.
+// NewJudge returns a judge without samples.
 func NewJudge() *Judge {
-	return &Judge{classes: make(map[string]*class), fromOne: accuseAt / accusers, slowFromOne: accuseAt / slowAccusers, after: judgeAfter}
+	return &Judge{classes: make(map[string]*class), backendCap: cusumThreshold / minBadBackends, slowBackendCap: cusumThreshold / minSlowBackends, delay: evaluationDelay}
 }
 
-// SetMoving notes that requests move to the new version: answers are weighed sooner, and against requests that were sent to
-// the old one in the same moment.
+// SetMoving notes that requests are moving to the new version. From then on samples are evaluated sooner, and also
+// compared with requests that were sent to the old version at about the same time.
 func (j *Judge) SetMoving() {
-	j.after, j.moving = judgeMovingAfter, true
+	j.delay, j.moving = movingEvaluationDelay, true
 }
 
-// SetBackends tells how many back ends of the new version there are.
+// SetBackends sets the number of back ends of the new version.
 func (j *Judge) SetBackends(count int) {
-	j.fromOne = accuseAt / float64(min(max(count, 1), accusers))
-	j.slowFromOne = accuseAt / float64(min(max(count, 1), slowAccusers))
+	j.backendCap = cusumThreshold / float64(min(max(count, 1), minBadBackends))
+	j.slowBackendCap = cusumThreshold / float64(min(max(count, 1), minSlowBackends))
 }
 
-// SetRandomPickRates tells what requests meet now whose back ends are not chosen for how they are.
-func (j *Judge) SetRandomPickRates(chance RandomPickRates) {
-	j.chance = chance
+// SetRandomPickRates sets the rates of bad responses for back ends that are picked regardless of their state.
+func (j *Judge) SetRandomPickRates(rates RandomPickRates) {
+	j.randomPick = rates
 }
 
-// maxClasses bounds the classes that are told apart.
+// maxClasses bounds the classes that are told apart; requests of further ones share a class.
 const maxClasses = 256
 
-func (j *Judge) class(name string) *class {
-	one, known := j.classes[name]
+// classOf returns the statistics of a class, which it creates if necessary.
+func (j *Judge) classOf(name string) *class {
+	c, known := j.classes[name]
 	if known {
-		return one
+		return c
 	}
 	if len(j.classes) >= maxClasses {
 		name = ""
-		if one, known = j.classes[name]; known {
-			return one
+		if c, known = j.classes[name]; known {
+			return c
 		}
 	}
-	one = &class{}
-	j.classes[name] = one
-	return one
+	c = &class{}
+	j.classes[name] = c
+	return c
 }
 
-// compare says whether an answer took more than so many times the median.
-func (c *class) compare(answer Sample, times time.Duration) comparison {
+// compare compares the latency of a sample with a multiple of the old version's median.
+func (c *class) compare(sample Sample, factor time.Duration) comparison {
 	median := c.latencies.median()
-	if median == 0 || answer.Cold || answer.Failed || answer.Unserved {
+	if median == 0 || sample.Cold || sample.Failed || sample.Unserved {
 		return comparison{}
 	}
-	exceeds := answer.Latency > times*median
-	// A request that was given up early may have been answered in time.
-	return comparison{exceeds: exceeds, known: exceeds || !answer.Canceled}
+	exceeds := sample.Latency > factor*median
+	// A request that was canceled early might have been answered in time.
+	return comparison{exceeds: exceeds, known: exceeds || !sample.Canceled}
 }
 
-// OldSent notes a request that is sent to the old version now.
+// OldSent notes that a request is sent to the old version.
 func (j *Judge) OldSent(now time.Time) {
-	j.contemporaries.sent(now)
+	j.oldBySendTime.countSent(now)
 }
 
-// DiscardOld notes that a request which was sent to the old version at a time tells nothing of it.
+// DiscardOld notes that a request sent to the old version at a given time will not yield a sample.
 func (j *Judge) DiscardOld(sent time.Time) {
-	j.contemporaries.answered(sent, comparison{}, comparison{})
+	j.oldBySendTime.countResult(sent, comparison{}, comparison{})
 }
 
-// AddOld takes in an answer of the old version.
-func (j *Judge) AddOld(now time.Time, answer Sample) {
-	one := j.class(answer.Class)
-	slow, verySlow := one.compare(answer, slowTimes), one.compare(answer, verySlowTimes)
+// AddOld adds a sample of the old version.
+func (j *Judge) AddOld(now time.Time, sample Sample) {
+	c := j.classOf(sample.Class)
+	slow, verySlow := c.compare(sample, slowFactor), c.compare(sample, verySlowFactor)
 	if slow.known {
-		one.slow.add(now, slow.exceeds)
+		c.slow.add(now, slow.exceeds)
 	}
 	if verySlow.known {
-		one.verySlow.add(now, verySlow.exceeds)
+		c.verySlow.add(now, verySlow.exceeds)
 	}
-	j.contemporaries.answered(answer.sent(now), slow, verySlow)
-	if answer.Canceled {
+	j.oldBySendTime.countResult(sample.sentAt(now), slow, verySlow)
+	if sample.Canceled {
 		return
 	}
-	one.unserved.add(now, answer.Unserved)
-	if !answer.Unserved {
-		one.failed.add(now, answer.Failed)
+	c.unserved.add(now, sample.Unserved)
+	if !sample.Unserved {
+		c.failed.add(now, sample.Failed)
 	}
-	if !answer.Failed && !answer.Unserved {
-		one.latencies.add(answer.Latency)
+	if !sample.Failed && !sample.Unserved {
+		c.latencies.add(sample.Latency)
 	}
 }
 
-// AddNew takes in an answer of the new version.
-func (j *Judge) AddNew(now time.Time, answer Sample) {
-	one := j.class(answer.Class)
+// AddNew adds a sample of the new version.
+func (j *Judge) AddNew(now time.Time, sample Sample) {
+	c := j.classOf(sample.Class)
 	seen := observation{
-		at: now, answer: answer, class: one, slow: one.compare(answer, slowTimes), verySlow: one.compare(answer, verySlowTimes), usual: j.usual(now, one),
+		at: now, sample: sample, class: c, slow: c.compare(sample, slowFactor), verySlow: c.compare(sample, verySlowFactor), oldRates: j.oldRates(now, c),
 	}
-	if answer.Failed || seen.slow.known {
-		one.judged++
-		j.judged++
+	if sample.Failed || seen.slow.known {
+		c.compared++
+		j.compared++
 	}
-	if answer.Failed || seen.slow.exceeds {
-		one.bad++
+	if sample.Failed || seen.slow.exceeds {
+		c.bad++
 	}
-	if len(j.pending) < mostPending {
+	if len(j.pending) < maxPending {
 		j.pending = append(j.pending, seen)
 	}
 }
 
-// weighPending weighs the answers that have waited for long enough.
-func (j *Judge) weighPending(now time.Time) {
+// evaluatePending evaluates the samples that have waited long enough.
+func (j *Judge) evaluatePending(now time.Time) {
 	due := 0
-	for due < len(j.pending) && now.Sub(j.pending[due].at) >= j.after {
-		j.weighOne(now, j.pending[due])
+	for due < len(j.pending) && now.Sub(j.pending[due].at) >= j.delay {
+		j.evaluate(now, j.pending[due])
 		due++
 	}
 	j.pending = slices.Delete(j.pending, 0, due)
 }
 
-func (j *Judge) weighOne(now time.Time, seen observation) {
-	one, answer, later := seen.class, seen.answer, j.usual(now, seen.class)
-	slow, verySlow := max(seen.usual.slow, later.slow), max(seen.usual.verySlow, later.verySlow)
+// evaluate adds a sample to the evidence, against the higher of the old version's rates at its arrival and now.
+func (j *Judge) evaluate(now time.Time, seen observation) {
+	c, sample, later := seen.class, seen.sample, j.oldRates(now, seen.class)
+	slow, verySlow := max(seen.oldRates.slow, later.slow), max(seen.oldRates.verySlow, later.verySlow)
 	if j.moving {
-		// The old version's last answers are of other moments, and the fewer the further requests have moved.
-		slowThen, verySlowThen := j.contemporaries.around(answer.sent(seen.at))
+		// The old version's latest responses are from other times, and get fewer as more requests have moved.
+		slowThen, verySlowThen := j.oldBySendTime.upperBounds(sample.sentAt(seen.at))
 		slow, verySlow = max(slow, slowThen), max(verySlow, verySlowThen)
 	}
 	if seen.slow.known {
-		j.weigh(answer.Backend, seen.slow.exceeds, slow, j.slowFromOne, &one.against.slow, &j.all.slow)
+		j.addEvidence(sample.Backend, seen.slow.exceeds, slow, j.slowBackendCap, &c.evidence.slow, &j.total.slow)
 	}
 	if seen.verySlow.known {
-		one.slowness.add(now, seen.verySlow.exceeds, verySlow)
-		j.weigh(answer.Backend, seen.verySlow.exceeds, verySlow, j.slowFromOne, &one.against.verySlow, &j.all.verySlow)
+		c.slowness.add(now, seen.verySlow.exceeds, verySlow)
+		j.addEvidence(sample.Backend, seen.verySlow.exceeds, verySlow, j.slowBackendCap, &c.evidence.verySlow, &j.total.verySlow)
 	}
-	if answer.Canceled {
+	if sample.Canceled {
 		return
 	}
-	j.weigh(answer.Backend, answer.Unserved, max(seen.usual.unserved, later.unserved), j.fromOne, &one.against.unserved, &j.all.unserved)
-	if !answer.Unserved {
-		one.failures.add(now, answer.Failed, max(seen.usual.failed, later.failed))
-		j.weigh(answer.Backend, answer.Failed, max(seen.usual.failed, later.failed), j.fromOne, &one.against.failures, &j.all.failures)
+	j.addEvidence(sample.Backend, sample.Unserved, max(seen.oldRates.unserved, later.unserved), j.backendCap, &c.evidence.unserved, &j.total.unserved)
+	if !sample.Unserved {
+		c.failures.add(now, sample.Failed, max(seen.oldRates.failed, later.failed))
+		j.addEvidence(sample.Backend, sample.Failed, max(seen.oldRates.failed, later.failed), j.backendCap, &c.evidence.failures, &j.total.failures)
 	}
 }
 
-// weigh adds to the evidence of a class and of all what an answer of the new version says.
-func (j *Judge) weigh(backend string, bad bool, usual, fromOne float64, ofClass, ofAll *evidence) {
-	weight := weightOf(usual, bad)
-	ofClass.add(backend, weight, fromOne)
-	ofAll.add(backend, weight, fromOne)
+// addEvidence adds a response of the new version to the evidence of its class and of all classes.
+func (j *Judge) addEvidence(backend string, bad bool, oldRate, backendCap float64, ofClass, ofAll *cusum) {
+	weight := logLikelihoodRatio(oldRate, bad)
+	ofClass.add(backend, weight, backendCap)
+	ofAll.add(backend, weight, backendCap)
 }
 
-// Worse says whether the new version is worse, and why, in words.
+// Worse returns whether the new version is worse, and the reason as text.
 func (j *Judge) Worse(now time.Time) (why string, worse bool) {
-	j.weighPending(now)
-	if by := j.all.accuses(); by != "" {
+	j.evaluatePending(now)
+	if by := j.total.regression(); by != "" {
 		return by + ", all classes: " + j.describe(now), true
 	}
-	for name, one := range j.classes {
-		if by := one.against.accuses(); by != "" {
+	for name, c := range j.classes {
+		if by := c.evidence.regression(); by != "" {
 			return by + ", class " + name + ": " + j.describe(now), true
 		}
 	}
 	return "", false
 }
 
-// Inconclusive says whether the new version's answers have so far been bad more often than the old one's,
-// of some class, without that being sure.
+// Inconclusive returns whether responses of the new version in some class have been bad more often than
+// the old version's, without enough evidence to call it worse.
 func (j *Judge) Inconclusive() bool {
-	for _, one := range j.classes {
-		if one.failures.remains(failedMore) || one.slowness.remains(slowMore) {
+	for _, c := range j.classes {
+		if c.failures.exceeds(maxFailureExcess) || c.slowness.exceeds(maxSlowExcess) {
 			return true
 		}
 	}
 	return false
 }
 
-// Compared returns how many answers of the new version were compared.
+// Compared returns how many responses of the new version were compared.
 func (j *Judge) Compared() int {
-	return j.judged
+	return j.compared
 }
 
-// NeedsSamples says whether fewer answers of a class were compared than of others, so that it should be
-// looked at next.
+// NeedsSamples returns whether the next request of a class may go to the canary. It may not while the class is more
+// than maxClassLead compared responses ahead of another one.
 func (j *Judge) NeedsSamples(name string) bool {
 	own := j.ComparedInClass(name)
-	for _, one := range j.classes {
-		if one.latencies.count >= leastCompared && own > one.judged+aheadBy {
+	for _, c := range j.classes {
+		if c.latencies.count >= minOldSamples && own > c.compared+maxClassLead {
 			return false
 		}
 	}
 	return true
 }
 
-// ComparedInClass returns how many answers of a class of the new version were compared.
+// ComparedInClass returns how many responses of the new version were compared in a class.
 func (j *Judge) ComparedInClass(name string) int {
-	if one, known := j.classes[name]; known {
-		return one.judged
+	if c, known := j.classes[name]; known {
+		return c.compared
 	}
 	return 0
 }
 
-// describe says in words what was seen.
+// describe returns a summary of the comparison, one entry a class.
 func (j *Judge) describe(now time.Time) string {
 	names := make([]string, 0, len(j.classes))
 	for name := range j.classes {
 		names = append(names, name)
 	}
 	sort.Strings(names)
-	told := ""
+	text := ""
 	for _, name := range names {
-		one := j.classes[name]
-		if one.judged == 0 {
+		c := j.classes[name]
+		if c.compared == 0 {
 			continue
 		}
-		if told != "" {
-			told += "; "
+		if text != "" {
+			text += "; "
 		}
-		told += fmt.Sprintf("%s %d of %d bad, %.2f of the old version's", name, one.bad, one.judged, one.failed.of(now)+one.slow.of(now))
+		text += fmt.Sprintf("%s %d of %d bad, %.2f of the old version's", name, c.bad, c.compared, c.failed.value(now)+c.slow.value(now))
 	}
-	return told
+	return text
 }
--- a/rollout/latencies.go
+++ b/rollout/latencies.go
@@ -7,45 +7,45 @@
 
 // Buckets of latencies: each is an eighth of an octave wide, from 100 µs to about 100 s.
 const (
-	leastLatency     = 100 * time.Microsecond
+	minLatency       = 100 * time.Microsecond
 	bucketsPerOctave = 8
 	latencyBuckets   = 20 * bucketsPerOctave
-	// halveAt is how many latencies are kept before all count half: the median follows the last
-	// some hundred.
-	halveAt = 512
+	// halveAtCount is the number of latencies at which all counts are halved, so that the median follows
+	// the last few hundred.
+	halveAtCount = 512
 )
 
-// latencies are those of the last answers, by size.
-type latencies struct {
+// latencyHistogram holds the latencies of recent responses.
+type latencyHistogram struct {
 	buckets []uint16 // nil: none yet
 	count   int
 }
 
-func (l *latencies) add(took time.Duration) {
-	if l.buckets == nil {
-		l.buckets = make([]uint16, latencyBuckets)
+func (h *latencyHistogram) add(latency time.Duration) {
+	if h.buckets == nil {
+		h.buckets = make([]uint16, latencyBuckets)
 	}
-	octaves := math.Log2(float64(max(took, leastLatency)) / float64(leastLatency))
-	l.buckets[min(int(octaves*bucketsPerOctave), latencyBuckets-1)]++
-	if l.count++; l.count < halveAt {
+	octaves := math.Log2(float64(max(latency, minLatency)) / float64(minLatency))
+	h.buckets[min(int(octaves*bucketsPerOctave), latencyBuckets-1)]++
+	if h.count++; h.count < halveAtCount {
 		return
 	}
-	l.count = 0
-	for index := range l.buckets {
-		l.buckets[index] /= 2
-		l.count += int(l.buckets[index])
+	h.count = 0
+	for index := range h.buckets {
+		h.buckets[index] /= 2
+		h.count += int(h.buckets[index])
 	}
 }
 
-// median returns the median; 0 where there are too few.
-func (l *latencies) median() time.Duration {
-	if l.count < leastCompared {
+// median returns the median; 0 if there are too few latencies.
+func (h *latencyHistogram) median() time.Duration {
+	if h.count < minOldSamples {
 		return 0
 	}
 	seen := 0
-	for index, count := range l.buckets {
-		if seen += int(count); 2*seen >= l.count {
-			return time.Duration(float64(leastLatency) * math.Exp2((float64(index)+0.5)/bucketsPerOctave))
+	for index, count := range h.buckets {
+		if seen += int(count); 2*seen >= h.count {
+			return time.Duration(float64(minLatency) * math.Exp2((float64(index)+0.5)/bucketsPerOctave))
 		}
 	}
 	return 0
