--- a/ratelimit/bucket.go
+++ b/ratelimit/bucket.go
@@ -6,27 +6,27 @@
 	"github.com/tuliphall/tuliphall/recent"
 )
 
-// bucket is a tenant's token bucket, as this daemon knows it.
+// bucket is this daemon's copy of a tenant's token bucket.
 type bucket struct {
-	limit   Limit
-	level   float64 // may be below 0: others have granted more than was left
-	known   bool
-	at      time.Time   // until when it is refilled
-	used    uint64      // own grants, all told
-	refused uint64      // own refusals
-	last    time.Time   // of the last own grant or refusal
-	pace    recent.Rate // of own grants
+	limit      Limit
+	level      float64 // may be below 0: others have granted more than was left
+	known      bool    // level is not just the cautious initial value
+	refilledAt time.Time
+	used       uint64      // own grants in total
+	refused    uint64      // own refusals
+	lastUsed   time.Time   // of the last own grant or refusal
+	pace       recent.Rate // of own grants
 
-	round   uint64  // in which spent and allowed hold
+	round   uint64  // to which spent and allowed refer
 	spent   float64 // own grants of the round
 	allowed float64 // own share of the round
-	// promised is when the caller that was refused last may come back.
-	promised time.Time
-	// reserve is what a daemon that is no grantor may use.
+	// nextRetry is when the caller that was refused last may retry.
+	nextRetry time.Time
+	// reserve is what the daemon may use while it is no grantor.
 	reserve reserve
 }
 
-// refilled returns the tenant's bucket as it is now.
+// refilled returns the tenant's bucket, refilled until now.
 func (l *Limiter) refilled(now time.Time, tenant string, limit Limit) *bucket {
 	b, known := l.buckets[tenant]
 	if !known {
@@ -34,39 +34,39 @@
 		l.buckets[tenant] = b
 	}
 	if b.limit != limit {
-		b.limit, b.round = limit, l.round-1 // the own share is reckoned anew below
+		b.limit, b.round = limit, l.round-1 // makes enterRound compute the own share again
 	}
-	elapsed := now.Sub(b.at).Seconds()
+	elapsed := now.Sub(b.refilledAt).Seconds()
 	if elapsed <= 0 {
-		return b.inRound(l, now, tenant)
+		return b.enterRound(l, now, tenant)
 	}
-	b.at = now
-	room := l.capacity(limit)
-	gained := min(limit.Rate*l.visible*l.refilledShare(now, tenant, b)*elapsed, max(room-b.level, 0))
-	b.level = min(b.level+gained, room)
-	b.known = b.known || now.Sub(l.began) >= settleTime
+	b.refilledAt = now
+	capacity := l.capacity(limit)
+	gained := min(limit.Rate*l.aliveShare*l.refillShare(now, tenant, b)*elapsed, max(capacity-b.level, 0))
+	b.level = min(b.level+gained, capacity)
+	b.known = b.known || now.Sub(l.grantorSince) >= settleTime
 	if b.round == l.round {
 		b.allowed += gained / float64(l.sharers(now, tenant))
 	}
-	return b.inRound(l, now, tenant)
+	return b.enterRound(l, now, tenant)
 }
 
-// newBucket returns the bucket of a tenant that has sent nothing through here of late, nor,
-// as far as others have told, elsewhere. A grantor that has just begun takes it for empty
-// when it began.
+// newBucket returns the bucket of a tenant that has not recently sent requests through this daemon
+// nor, as far as others have reported, elsewhere. A grantor that is not settled assumes that the bucket was
+// empty when it became one.
 func (l *Limiter) newBucket(now time.Time, limit Limit) *bucket {
 	if l.isSettled(now) {
-		return &bucket{limit: limit, at: now, level: l.capacity(limit), known: true}
+		return &bucket{limit: limit, refilledAt: now, level: l.capacity(limit), known: true}
 	}
 	since := now
 	if l.IsGrantor(now) {
-		since = l.began
+		since = l.grantorSince
 	}
-	return &bucket{limit: limit, at: since, level: 1}
+	return &bucket{limit: limit, refilledAt: since, level: 1}
 }
 
-// inRound reckons the daemon's own share anew where a new round has begun.
-func (b *bucket) inRound(l *Limiter, now time.Time, tenant string) *bucket {
+// enterRound computes the daemon's own share again if a new round has started.
+func (b *bucket) enterRound(l *Limiter, now time.Time, tenant string) *bucket {
 	if b.round != l.round {
 		b.round, b.spent = l.round, 0
 		b.allowed = max(b.level, 0) / float64(l.sharers(now, tenant))
@@ -74,7 +74,7 @@
 	return b
 }
 
-// capacity is what a full bucket holds.
+// capacity returns what a full bucket holds.
 func (l *Limiter) capacity(limit Limit) float64 {
-	return max(limit.Burst+limit.Rate*roomSpan.Seconds(), 1) * l.visible
+	return max(limit.Burst+limit.Rate*refillAllowance.Seconds(), 1) * l.aliveShare
 }
--- a/ratelimit/doc.go
+++ b/ratelimit/doc.go
@@ -1,17 +1,17 @@
-// Package ratelimit keeps tenants to their rates over all daemons together.
+// Package ratelimit enforces the rates of tenants over all daemons together.
 //
-// Requests are counted where places are given out, as each request asks there anyway: by
-// the daemons that dispatch services, here called grantors. There are a few of them for a
-// fleet, however large. Each keeps a copy of every tenant's token bucket, takes its own
-// grants out of it at once and those of the others when it hears of them, a few times a
-// second. Until it has heard from the others again it gives out no more than its share of
-// what was left, so that all together give out what the bucket holds.
+// Requests are counted where permits are granted, as each request asks for one there anyway: by
+// the daemons that dispatch services, here called grantors. A fleet of any size has only a few of
+// them. Each keeps a copy of every tenant's token bucket, deducts its own grants at once, and
+// deducts those of the others when they report them, a few times a second. Until the next
+// reports arrive it grants no more than its share of what was left, so that all together grant
+// no more than the bucket holds.
 //
-// What is not known counts as used: while a grantor that has served a tenant is silent,
-// the part of the rate that it may use is not refilled by the others; a daemon that sees
-// only a part of the fleet uses only that part of every rate; one that has just begun to
-// give out places has nearly empty buckets until another one has told it how full they are.
+// What is unknown counts as used. While a grantor that has served a tenant is silent, the others
+// do not refill the part of the rate that it may be using. A daemon that sees only a part of the
+// fleet uses only that part of every rate. A daemon that has just become a grantor has nearly
+// empty buckets until another one has reported their levels.
 //
-// Limiter is the pure part: time and randomness are passed in. Keeper is a daemon's
-// limiter, safe for concurrent use, which decides when others are told.
+// Limiter is the pure part: time and randomness are passed in. FleetLimiter is a daemon's
+// limiter, safe for concurrent use, which decides when reports are exchanged.
 package ratelimit
--- a/ratelimit/grantors.go
+++ b/ratelimit/grantors.go
@@ -7,101 +7,101 @@
 	"github.com/tuliphall/tuliphall/recent"
 )
 
-// other is another grantor.
-type other struct {
-	expected bool // this daemon's view of the members has it as one
-	since    time.Time
-	heard    time.Time // zero: never
-	epoch    uint64
-	used     map[string]uint64
-	paces    map[string]recent.Rate // of its grants, by tenant
-	told     map[string]uint64      // own use that it was told
-	// unreached: it was never heard from, and the last attempt to tell it failed.
-	unreached bool
+// peerGrantor is what is known of another grantor.
+type peerGrantor struct {
+	listed     bool // this daemon's view of the members lists it as a grantor
+	since      time.Time
+	lastReport time.Time // zero: never
+	epoch      uint64
+	used       map[string]uint64
+	paces      map[string]recent.Rate // of its grants, by tenant
+	reported   map[string]uint64      // this daemon's use as last reported to it
+	// unreachable: it has never reported, and the last exchange with it failed.
+	unreachable bool
 }
 
-func newOther(now time.Time) *other {
-	return &other{since: now, used: make(map[string]uint64), paces: make(map[string]recent.Rate), told: make(map[string]uint64)}
+func newPeerGrantor(now time.Time) *peerGrantor {
+	return &peerGrantor{since: now, used: make(map[string]uint64), paces: make(map[string]recent.Rate), reported: make(map[string]uint64)}
 }
 
-func (o *other) lastSign() time.Time {
-	if o.heard.IsZero() {
-		return o.since
+func (p *peerGrantor) lastSeen() time.Time {
+	if p.lastReport.IsZero() {
+		return p.since
 	}
-	return o.heard
+	return p.lastReport
 }
 
-// silent says whether nothing is known of what the grantor uses now.
-func (o *other) silent(now time.Time) bool {
-	return now.Sub(o.lastSign()) > silentAfter
+// silent returns whether the grantor's current use is unknown.
+func (p *peerGrantor) silent(now time.Time) bool {
+	return now.Sub(p.lastSeen()) > silenceTimeout
 }
 
-// serves says whether the grantor uses the tenant's rate, or may do so without a word.
-func (o *other) serves(now time.Time, tenant string) bool {
-	if o.heard.IsZero() {
-		return o.expected
+// serves returns whether the grantor uses the tenant's rate, or may do so without having reported.
+func (p *peerGrantor) serves(now time.Time, tenant string) bool {
+	if p.lastReport.IsZero() {
+		return p.listed
 	}
-	used, known := o.paces[tenant]
-	return known && o.heard.Sub(used.Last()) <= activeTime
+	pace, known := p.paces[tenant]
+	return known && p.lastReport.Sub(pace.Last()) <= activeTimeout
 }
 
-// floor is how many requests a grantor lets through for a tenant without hearing from the
-// others, as long as anything is left: its part of the slack.
-func (l *Limiter) floor(now time.Time) float64 {
+// slackShare returns this grantor's share of Slack: how many requests of a tenant it lets through
+// between reports of the others as long as the bucket is not empty.
+func (l *Limiter) slackShare(now time.Time) float64 {
 	grantors := 1
-	for _, one := range l.others {
-		if one.expected || !one.silent(now) {
+	for _, peer := range l.peers {
+		if peer.listed || !peer.silent(now) {
 			grantors++
 		}
 	}
 	return max(math.Floor(Slack/float64(grantors)), 1)
 }
 
-// sharers is among how many what is left of a tenant's bucket is divided: the grantors that
-// serve it, and one more where others may begin to.
+// sharers returns the number of grantors that share what is left of a tenant's bucket: those that
+// serve it, and one more if others may start to.
 func (l *Limiter) sharers(now time.Time, tenant string) int {
 	serving, idle := 1, 0
-	for _, one := range l.others {
+	for _, peer := range l.peers {
 		switch {
-		case one.serves(now, tenant):
+		case peer.serves(now, tenant):
 			serving++
-		case one.expected:
+		case peer.listed:
 			idle = 1
 		}
 	}
 	return serving + idle
 }
 
-// refilledShare is the part of the rate that may be refilled.
-func (l *Limiter) refilledShare(now time.Time, tenant string, b *bucket) float64 {
-	if !l.isSettled(now) && !l.met && l.began.Sub(l.started) >= startTime {
+// refillShare returns the share of the rate that may be refilled.
+func (l *Limiter) refillShare(now time.Time, tenant string, b *bucket) float64 {
+	if !l.isSettled(now) && !l.metEarlier && l.grantorSince.Sub(l.started) >= startupTime {
 		return unsettledShare
 	}
-	return l.heardShare(now, tenant, b)
+	return l.reportingShare(now, tenant, b)
 }
 
-// heardShare is the part of the rate of the grantors that are heard. What silent grantors used before
-// they fell silent is left to them; one that was never heard from gets as much as each of
+// reportingShare returns the share of the rate that belongs to the grantors that report. Silent grantors keep
+// what they used before they fell silent; one that has never reported gets as much as each of
 // the others on average.
-func (l *Limiter) heardShare(now time.Time, tenant string, b *bucket) float64 {
-	heard, silent := b.pace.At(now, paceTime), 0.0
+func (l *Limiter) reportingShare(now time.Time, tenant string, b *bucket) float64 {
+	reporting, silent := b.pace.At(now, paceWindow), 0.0
 	known, unknown := 1, 0
-	for _, one := range l.others {
+	for _, peer := range l.peers {
 		switch {
-		case one.heard.IsZero() && (one.expected || one.unreached):
+		case peer.lastReport.IsZero() && (peer.listed || peer.unreachable):
 			unknown++
-		case one.silent(now):
-			used := one.paces[tenant]
-			silent += used.At(one.heard, paceTime)
+		case peer.silent(now):
+			pace := peer.paces[tenant]
+			silent += pace.At(peer.lastReport, paceWindow)
 		default:
-			used := one.paces[tenant]
-			heard += used.At(now, paceTime)
+			pace := peer.paces[tenant]
+			reporting += pace.At(now, paceWindow)
 			known++
 		}
 	}
-	knownPart := float64(known) / float64(known+unknown)
+	knownShare := float64(known) / float64(known+unknown)
 	if silent == 0 {
-		return knownPart
+		return knownShare
 	}
-	return knownPart * heard / (heard + silent)
+	return knownShare * reporting / (reporting + silent)
 }
--- a/ratelimit/report.go
+++ b/ratelimit/report.go
@@ -2,120 +2,120 @@
 
 import "time"
 
-// TenantUse is what a grantor tells of a tenant.
+// TenantUse is a grantor's report on one tenant.
 type TenantUse struct {
 	Tenant  string
-	Used    uint64  // requests granted since the grantor began
-	Level   float64 // what it takes to be left of the tenant's bucket
-	Known   bool    // Level does not stem from caution alone
-	Refused uint64  // requests beyond the limit; told to operators only
+	Used    uint64  // requests granted since the grantor became one
+	Level   float64 // its estimate of what is left of the tenant's bucket
+	Known   bool    // Level is not just the cautious initial value
+	Refused uint64  // requests beyond the limit; only for operators
 }
 
-// Report is what a grantor tells another one.
+// Report is what one grantor tells another.
 type Report struct {
 	Grantor string
-	Epoch   uint64 // of the counts; another one tells that they began anew
-	Settled bool   // a tenant that it never told of has a full bucket
-	Retired bool   // it gives out no places any more
-	// Age is for how long it has been a grantor.
+	Epoch   uint64 // of the counts; a new one means that they started again
+	Settled bool   // tenants that it has not reported have full buckets
+	Retired bool   // it grants no permits any more
+	// Age is how long it has been a grantor.
 	Age  time.Duration
 	Uses []TenantUse
 }
 
-// Report returns what another grantor has not been told yet.
+// Report returns what has changed since the last report to another grantor.
 func (l *Limiter) Report(now time.Time, name string) Report {
-	report := Report{Grantor: l.self, Epoch: l.epoch, Settled: l.isSettled(now), Retired: l.retired(now), Age: l.age(now)}
-	to := l.others[name]
+	report := Report{Grantor: l.self, Epoch: l.epoch, Settled: l.isSettled(now), Retired: l.isRetired(now), Age: l.age(now)}
+	to := l.peers[name]
 	if to == nil {
-		to = newOther(now)
-		l.others[name] = to
+		to = newPeerGrantor(now)
+		l.peers[name] = to
 	}
 	if !l.IsGrantor(now) {
 		return report
 	}
 	for tenant, b := range l.buckets {
-		told, known := to.told[tenant]
+		reported, known := to.reported[tenant]
 		b = l.refilled(now, tenant, b.limit)
-		// Of a tenant at its limit the level is told in any case: the other one may not hear
-		// of all that use it.
-		if known && told == b.used && b.level >= 1 {
+		// The level of a tenant at its limit is always reported: the other grantor may not get the
+		// reports of all that serve the tenant.
+		if known && reported == b.used && b.level >= 1 {
 			continue
 		}
-		to.told[tenant] = b.used
+		to.reported[tenant] = b.used
 		report.Uses = append(report.Uses, TenantUse{Tenant: tenant, Used: b.used, Level: b.level, Known: b.known})
 	}
 	return report
 }
 
-// ReportLost forgets what a grantor was told, as it may not have got it.
+// ReportLost notes that a report may not have reached a grantor, so that everything is reported again.
 func (l *Limiter) ReportLost(name string) {
-	if one := l.others[name]; one != nil {
-		clear(one.told)
-		one.unreached = one.heard.IsZero()
+	if peer := l.peers[name]; peer != nil {
+		clear(peer.reported)
+		peer.unreachable = peer.lastReport.IsZero()
 	}
 }
 
-// MergeReport takes in what another grantor tells. limits gives the limit of a tenant, and false
-// for one that has none.
+// MergeReport merges another grantor's report. limits returns the limit of a tenant, or false
+// if it has none.
 func (l *Limiter) MergeReport(now time.Time, report Report, limits func(tenant string) (Limit, bool)) {
 	if !l.IsGrantor(now) || report.Grantor == l.self {
 		return
 	}
-	from := l.others[report.Grantor]
+	from := l.peers[report.Grantor]
 	if from == nil {
-		from = newOther(now)
-		l.others[report.Grantor] = from
+		from = newPeerGrantor(now)
+		l.peers[report.Grantor] = from
 	}
-	anew := from.heard.IsZero() || from.epoch != report.Epoch
-	if anew {
+	restarted := from.lastReport.IsZero() || from.epoch != report.Epoch
+	if restarted {
 		from.epoch = report.Epoch
 		clear(from.used)
-		clear(from.told)
+		clear(from.reported)
 		clear(from.paces)
 	}
 	for _, use := range report.Uses {
 		if limit, limited := limits(use.Tenant); limited {
-			l.hearUse(now, from, use, limit)
+			l.mergeUse(now, from, use, limit)
 		}
 	}
-	from.heard = now
+	from.lastReport = now
 	if report.Retired {
 		clear(from.paces)
-		if !from.expected {
-			delete(l.others, report.Grantor)
+		if !from.listed {
+			delete(l.peers, report.Grantor)
 		}
 	}
 	l.settled = l.settled || report.Settled
-	l.met = l.met || report.Age >= l.age(now)+beforeTime
-	if l.allHeard(now) {
+	l.metEarlier = l.metEarlier || report.Age >= l.age(now)+minSeniority
+	if l.allReported(now) {
 		l.round++
-		l.roundAt = now
+		l.roundStarted = now
 	}
 }
 
-// hearUse takes in what another grantor has let through for a tenant.
-func (l *Limiter) hearUse(now time.Time, from *other, use TenantUse, limit Limit) {
+// mergeUse merges another grantor's report on one tenant.
+func (l *Limiter) mergeUse(now time.Time, from *peerGrantor, use TenantUse, limit Limit) {
 	_, present := l.buckets[use.Tenant]
 	b := l.refilled(now, use.Tenant, limit)
 	before, counted := from.used[use.Tenant]
 	from.used[use.Tenant] = use.Used
 	if counted && use.Used > before {
-		used := from.paces[use.Tenant]
-		used.Add(now, paceTime, float64(use.Used-before))
-		from.paces[use.Tenant] = used
+		pace := from.paces[use.Tenant]
+		pace.Add(now, paceWindow, float64(use.Used-before))
+		from.paces[use.Tenant] = pace
 	}
 	if !present {
-		b.last = now
+		b.lastUsed = now
 	}
 	switch {
 	case use.Known && !b.known:
-		// What this daemon granted before it knew is not in what the other one has.
+		// The reported level does not include what this daemon granted before it knew the level.
 		b.level, b.known = use.Level-b.spent, true
 	case counted:
 		b.level -= float64(use.Used) - float64(before)
 		if use.Known || !b.known {
-			// The other one knows of grants, or of silence, that this one does not.
-			b.level = min(b.level, use.Level+limit.Rate*l.visible*hearingTime.Seconds())
+			// The other grantor knows of grants, or of silent grantors, that this one does not.
+			b.level = min(b.level, use.Level+limit.Rate*l.aliveShare*maxReportAge.Seconds())
 		}
 	case present:
 		if use.Known || !b.known {
@@ -124,21 +124,21 @@
 	default:
 		b.level = use.Level
 	}
-	b.level = max(b.level, -l.mostDebt(limit))
+	b.level = max(b.level, -l.maxDebt(limit))
 }
 
-// mostDebt is how far below nothing a bucket may be: what grantors can let through at most
-// before they hear of each other.
-func (l *Limiter) mostDebt(limit Limit) float64 {
+// maxDebt returns how far below 0 the level of a bucket may fall: what grantors can let through at most
+// before they receive each other's reports.
+func (l *Limiter) maxDebt(limit Limit) float64 {
 	return Slack + limit.Burst + limit.Rate
 }
 
-// allHeard says whether each grantor that is not silent was heard from in this round.
-func (l *Limiter) allHeard(now time.Time) bool {
-	for _, one := range l.others {
-		if one.expected && !one.silent(now) && !one.heard.After(l.roundAt) {
+// allReported returns whether every listed grantor that is not silent has reported in this round.
+func (l *Limiter) allReported(now time.Time) bool {
+	for _, peer := range l.peers {
+		if peer.listed && !peer.silent(now) && !peer.lastReport.After(l.roundStarted) {
 			return false
 		}
 	}
-	return now.After(l.roundAt)
+	return now.After(l.roundStarted)
 }
--- a/ratelimit/reserve.go
+++ b/ratelimit/reserve.go
@@ -6,52 +6,52 @@
 	"time"
 )
 
-// Bounds of when a caller beyond the limit is told to come back.
+// Bounds of the time after which a refused caller may retry.
 const (
-	// leastComeBack is the shortest: a few round trips of what grantors tell each other.
-	leastComeBack = 100 * time.Millisecond
-	// mostComeBack is the longest. Callers that would have to wait for longer are spread
+	// minRetryAfter is a few round trips of the grantors' exchanges.
+	minRetryAfter = 100 * time.Millisecond
+	// maxRetryAfter is the longest. Callers that would have to wait longer are spread
 	// over the second half of it.
-	mostComeBack = 5 * time.Second
+	maxRetryAfter = 5 * time.Second
 )
 
-// comeBack returns after what time a refused caller may come back. Each is given a time of
+// retryAfter returns the time after which a refused caller may retry. Each caller gets a time of
 // its own, at the pace at which requests are let through, so that they do not return together.
-func (b *bucket) comeBack(now time.Time, pace float64, random *rand.Rand) time.Duration {
-	step := mostComeBack
+func (b *bucket) retryAfter(now time.Time, pace float64, random *rand.Rand) time.Duration {
+	step := maxRetryAfter
 	if pace > 0 {
-		step = min(time.Duration(float64(time.Second)/pace), mostComeBack)
+		step = min(time.Duration(float64(time.Second)/pace), maxRetryAfter)
 	}
-	first := now.Add(leastComeBack)
+	earliest := now.Add(minRetryAfter)
 	if missing := 1 - b.level; missing > 0 {
-		first = now.Add(max(time.Duration(missing*float64(step)), leastComeBack))
+		earliest = now.Add(max(time.Duration(missing*float64(step)), minRetryAfter))
 	}
-	at := b.promised.Add(step)
-	if at.Before(first) {
-		at = first
+	at := b.nextRetry.Add(step)
+	if at.Before(earliest) {
+		at = earliest
 	}
-	if at.Sub(now) > mostComeBack {
-		return time.Duration((1 + random.Float64()) / 2 * float64(mostComeBack))
+	if at.Sub(now) > maxRetryAfter {
+		return time.Duration((1 + random.Float64()) / 2 * float64(maxRetryAfter))
 	}
-	b.promised = at
+	b.nextRetry = at
 	return at.Sub(now)
 }
 
-// reserve is what a daemon that does not count for the fleet lets through for a tenant: its
-// part of what all such daemons may, rounded by chance, as it is mostly below one request.
+// reserve is what a daemon lets through for a tenant while it is no grantor: its
+// share of what all such daemons may, rounded at random, as it is mostly below one request.
 type reserve struct {
-	at     time.Time
-	tokens float64
+	refilledAt time.Time
+	tokens     float64
 }
 
-// take takes one request from the reserve, and says whether there was one.
-func (r *reserve) take(now time.Time, limit Limit, part float64, random *rand.Rand) bool {
-	if r.at.IsZero() || now.Sub(r.at) > activeTime {
-		r.tokens = roundByChance((limit.Burst+limit.Rate)*part, random)
+// take takes one request from the reserve, and returns whether there was one.
+func (r *reserve) take(now time.Time, limit Limit, share float64, random *rand.Rand) bool {
+	if r.refilledAt.IsZero() || now.Sub(r.refilledAt) > activeTimeout {
+		r.tokens = roundRandomly((limit.Burst+limit.Rate)*share, random)
 	} else {
-		r.tokens += limit.Rate * part * now.Sub(r.at).Seconds()
+		r.tokens += limit.Rate * share * now.Sub(r.refilledAt).Seconds()
 	}
-	r.at = now
+	r.refilledAt = now
 	if r.tokens < 1 {
 		return false
 	}
@@ -59,8 +59,8 @@
 	return true
 }
 
-// roundByChance rounds up as often as the fraction says.
-func roundByChance(value float64, random *rand.Rand) float64 {
+// roundRandomly rounds up with the probability of the fraction, and down otherwise.
+func roundRandomly(value float64, random *rand.Rand) float64 {
 	whole := math.Floor(value)
 	if random.Float64() < value-whole {
 		return whole + 1
--- a/ratelimit/usage.go
+++ b/ratelimit/usage.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// FullReport returns what is known of every tenant.
+// FullReport returns the counts of every tenant.
 func (l *Limiter) FullReport(now time.Time) Report {
 	report := Report{Grantor: l.self, Epoch: l.epoch, Settled: l.isSettled(now)}
 	if !l.IsGrantor(now) {
@@ -21,22 +21,22 @@
 	return report
 }
 
-// DescribeRefusal says in words why a request of a tenant is beyond its limit.
+// DescribeRefusal returns the reason why a request of a tenant exceeds its limit, as text.
 func (l *Limiter) DescribeRefusal(now time.Time, tenant string) string {
 	b := l.buckets[tenant]
 	if !l.IsGrantor(now) {
 		return "no daemon that counts could be reached"
 	}
 	var age time.Duration
-	for _, one := range l.others {
-		if one.serves(now, tenant) {
-			age = max(age, now.Sub(one.lastSign()))
+	for _, peer := range l.peers {
+		if peer.serves(now, tenant) {
+			age = max(age, now.Sub(peer.lastSeen()))
 		}
 	}
 	return fmt.Sprintf("%.1f are left, shared by %d, others' counts are up to %s old", b.level, l.sharers(now, tenant), age.Round(time.Millisecond))
 }
 
-// Usage is what is known of a tenant's use.
+// Usage is a tenant's use over all grantors.
 type Usage struct {
 	Tenant  string  `json:"tenant"`
 	Limit   Limit   `json:"limit"`
@@ -45,32 +45,32 @@
 	Refused uint64  `json:"refused"` // beyond the limit
 }
 
-// Usage asks all grantors, this daemon included, what tenants have used. It blocks until
-// they have answered or were given up on.
-func (k *FleetLimiter) Usage(ctx context.Context) []Usage {
-	reports := []Report{k.HandleReport(Report{})}
-	if k.fleet != nil {
-		others, _ := k.fleet.Grantors()
+// Usage returns what tenants have used, as reported by all grantors including this daemon. It blocks until
+// each has answered or timed out.
+func (f *FleetLimiter) Usage(ctx context.Context) []Usage {
+	reports := []Report{f.HandleReport(Report{})}
+	if f.fleet != nil {
+		others, _ := f.fleet.Grantors()
 		for _, grantor := range others {
-			ctx, cancel := context.WithTimeout(ctx, tellTimeout)
-			report, err := k.fleet.Exchange(ctx, grantor.Address, Report{})
+			ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
+			report, err := f.fleet.Exchange(ctx, grantor.Address, Report{})
 			cancel()
 			if err != nil {
-				k.log.Info("grantor not asked", "grantor", grantor.Name, "error", err)
+				f.log.Info("querying the grantor failed", "grantor", grantor.Name, "error", err)
 				continue
 			}
 			reports = append(reports, report)
 		}
 	}
-	return k.sum(reports)
+	return f.sum(reports)
 }
 
-// sum joins what grantors have reported, in the order of the tenants.
-func (k *FleetLimiter) sum(reports []Report) []Usage {
+// sum combines the grantors' reports into one row a tenant, sorted by name.
+func (f *FleetLimiter) sum(reports []Report) []Usage {
 	byTenant := make(map[string]*Usage)
 	for _, report := range reports {
 		for _, use := range report.Uses {
-			limit, limited := k.options.Limits(use.Tenant)
+			limit, limited := f.options.Limits(use.Tenant)
 			if !limited {
 				continue
 			}
