--- a/backendlimit/doc.go
+++ b/backendlimit/doc.go
@@ -1,13 +1,13 @@
-// Package backendlimit keeps what back ends say of how many requests a second they take.
+// Package backendlimit tracks how many requests a second back ends accept.
 //
-// A back end that can take few requests says with its answers how many a second it takes from all
-// daemons together, for as long as it says so. A daemon hears that with an answer to a request or
-// to a probe; the daemon that gives out the places of the service is told at once, and all others
-// within a second or two. Package routing keeps to it where places are given out.
+// A back end that accepts few requests names a limit with its responses: the number of requests a second
+// that it takes from all daemons together, for as long as it names the limit. A daemon learns it from a response
+// to a request or a probe. The daemon that grants the permits of the service is told at once, and all
+// others within a second or two. Package routing enforces the limit where permits are granted.
 //
-// The newest word counts. An answer without one ends it, if its request was sent after the limit
-// was heard of: what was under way before may have been answered before. A back end that has
-// started again has said nothing. A word that cannot be read changes nothing.
+// The newest statement of a back end counts. A response without a limit ends it, if the request was sent after
+// the limit was received: an earlier request may have been answered before the limit was set. A back end that
+// has restarted has no limit until it names one. A limit that cannot be parsed changes nothing.
 //
-// Table is the pure part: time is passed in. Keeper is a daemon's table, safe for concurrent use.
+// Table is the pure part: time is passed in. Tracker is a daemon's table, safe for concurrent use.
 package backendlimit
--- a/backendlimit/table.go
+++ b/backendlimit/table.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// notable is by which part a limit must change for the other daemons to be told again: the daemon
-	// that gives out the places would else be told with every answer of a back end whose limit wavers.
-	notable = 0.1
-	// endedMemory is for how long it is remembered that a limit has ended: until older news of the
-	// limit is not passed on any more.
-	endedMemory = time.Minute
-	// undeclaredMemory is for how long words of back ends are kept that are not declared here: a
-	// daemon that has just started hears them before it knows the back ends.
-	undeclaredMemory = 10 * time.Second
-	// maxRecords bounds the words that are kept; one takes about 200 bytes.
+	// minChange is the relative change of a limit from which on the peers are told again: otherwise the daemon
+	// that grants the permits would be told with every response of a back end whose limit fluctuates.
+	minChange = 0.1
+	// endedRetention is how long it is remembered that a limit has ended: until older records of the
+	// limit are not passed on any more.
+	endedRetention = time.Minute
+	// undeclaredRetention is how long records of back ends are kept that are not declared here: a
+	// daemon that has just started receives them before it knows the back ends.
+	undeclaredRetention = 10 * time.Second
+	// maxRecords bounds the number of records; one takes about 200 bytes.
 	maxRecords = 1 << 14
 )
 
@@ -25,101 +25,102 @@
 type Record struct {
 	backend.Key
 	Limit
-	// Started tells which run of the back end said it, in Unix milliseconds; 0: it does not say.
+	// Started identifies the run of the back end that named the limit by its start, in Unix milliseconds;
+	// 0: the back end does not tell.
 	Started int64
-	// At orders words on a back end: the wall clock of the daemon that heard it, or later than what
-	// that one knew before.
+	// At orders the records of a back end: the wall clock of the daemon that received the response, or
+	// later than the record that this daemon had before.
 	At time.Time
 }
 
-// entry is a word with what only this daemon knows of it.
+// entry is a record with what only this daemon knows of it.
 type entry struct {
 	Record
-	// heard is when this daemon last heard that the back end is limited.
-	heard time.Time
-	// changed is when it heard this word first.
-	changed time.Time
-	// told is the limit that the other daemons were told of last, or told of.
-	told float64
-	// byProbe: answers to probes have named the limit.
+	// limitedAt is when this daemon last received that the back end is limited.
+	limitedAt time.Time
+	// changedAt is when it received the current limit first.
+	changedAt time.Time
+	// shared is the limit that was last sent to or received from the peers.
+	shared float64
+	// byProbe: responses to probes have named the limit.
 	byProbe bool
 }
 
-// Table holds the newest word of each back end that has said one. It is not safe for concurrent use.
+// Table holds the newest record of each back end that has named a limit. It is not safe for concurrent use.
 type Table struct {
 	entries map[backend.Key]*entry
 	limited int // entries that are limited
 }
 
-// NewTable returns a table without words.
+// NewTable returns an empty table.
 func NewTable() *Table {
 	return &Table{entries: make(map[backend.Key]*entry)}
 }
 
-// Response is an answer of a back end, and what it said.
+// Response is a response of a back end with the limit that it names.
 type Response struct {
 	backend.Key
 	Limit
-	Started int64     // of the run that answered; 0: not known
+	Started int64     // of the run that responded; 0: not known
 	Sent    time.Time // when the request was sent, or earlier
-	// Probe: it answered a probe. Some back ends name their limit to requests only.
+	// Probe: it answers a probe. Some back ends name their limit with responses to requests only.
 	Probe bool
-	// Failed: it is a failure or a refusal. That it names no limit says nothing then.
+	// Failed: it is an error or a refusal, in which a missing limit has no meaning.
 	Failed bool
 }
 
-// Change is what a word has changed.
+// Change is the effect of a response on the table.
 type Change int
 
 // The changes.
 const (
 	NoChange Change = iota
-	// MinorChange: the limit is hardly another one, and not worth telling others of.
+	// MinorChange: the limit has changed by too little to tell the peers.
 	MinorChange
-	// MajorChange: the others are to be told.
+	// MajorChange: the peers must be told.
 	MajorChange
 )
 
-// Observe takes in what an answer said.
-func (t *Table) Observe(now time.Time, answer Response) Change {
-	known := t.current(answer.Key, answer.Started)
-	if known != nil && known.Started > answer.Started && answer.Started != 0 {
-		return NoChange // an earlier run said it
+// Observe takes in the limit of a response.
+func (t *Table) Observe(now time.Time, response Response) Change {
+	known := t.current(response.Key, response.Started)
+	if known != nil && known.Started > response.Started && response.Started != 0 {
+		return NoChange // the response is from an earlier run
 	}
-	if answer.Limited {
-		return t.hearLimit(now, known, answer)
+	if response.Limited {
+		return t.observeLimit(now, known, response)
 	}
-	if known == nil || !known.Limited || !answer.Sent.After(known.heard) || answer.Failed || answer.Probe && !known.byProbe {
+	if known == nil || !known.Limited || !response.Sent.After(known.limitedAt) || response.Failed || response.Probe && !known.byProbe {
 		return NoChange
 	}
-	t.set(now, Record{Key: answer.Key, Started: known.Started, At: after(now, known)})
+	t.set(now, Record{Key: response.Key, Started: known.Started, At: nextTime(now, known)})
 	return MajorChange
 }
 
-// hearLimit takes in a limit that an answer named.
-func (t *Table) hearLimit(now time.Time, known *entry, answer Response) Change {
+// observeLimit takes in a response that names a limit.
+func (t *Table) observeLimit(now time.Time, known *entry, response Response) Change {
 	if known == nil && len(t.entries) >= maxRecords {
 		return NoChange
 	}
 	change := MajorChange
-	if known != nil && known.Limited && math.Abs(known.told-answer.PerSecond) <= notable*known.told {
+	if known != nil && known.Limited && math.Abs(known.shared-response.PerSecond) <= minChange*known.shared {
 		change = MinorChange
-		if known.PerSecond == answer.PerSecond {
+		if known.PerSecond == response.PerSecond {
 			change = NoChange
 		}
 	}
-	at, told := after(now, known), answer.PerSecond
+	at, shared := nextTime(now, known), response.PerSecond
 	if change != MajorChange {
-		at, told = known.At, known.told
+		at, shared = known.At, known.shared
 	}
-	byProbe := answer.Probe || known != nil && known.byProbe
-	set := t.set(now, Record{Key: answer.Key, Limit: answer.Limit, Started: answer.Started, At: at})
-	set.byProbe, set.told = byProbe, told
+	byProbe := response.Probe || known != nil && known.byProbe
+	updated := t.set(now, Record{Key: response.Key, Limit: response.Limit, Started: response.Started, At: at})
+	updated.byProbe, updated.shared = byProbe, shared
 	return change
 }
 
-// after returns a time for a word that replaces a known one.
-func after(now time.Time, known *entry) time.Time {
+// nextTime returns the time of a record that replaces a known one.
+func nextTime(now time.Time, known *entry) time.Time {
 	at := now.Round(0) // the wall clock alone
 	if known != nil && !at.After(known.At) {
 		at = known.At.Add(time.Millisecond)
@@ -127,7 +128,7 @@
 	return at
 }
 
-// Merge takes in a word that another daemon told, and says whether it is news.
+// Merge takes in a record from a peer, and returns whether it changed the limit.
 func (t *Table) Merge(now time.Time, record Record) bool {
 	known := t.current(record.Key, record.Started)
 	switch {
@@ -138,14 +139,15 @@
 	case known.Started > record.Started && record.Started != 0, !record.At.After(known.At):
 		return false
 	case known.Limit == record.Limit:
-		known.At, known.told = record.At, record.PerSecond
+		known.At, known.shared = record.At, record.PerSecond
 		return false
 	}
-	t.set(now, record).told = record.PerSecond
+	t.set(now, record).shared = record.PerSecond
 	return true
 }
 
-// current returns what is known of a back end, unless an earlier run than the named one said it.
+// current returns the entry of a back end. It drops the entry and returns nil if that is of an earlier run than the
+// given one.
 func (t *Table) current(key backend.Key, started int64) *entry {
 	known := t.entries[key]
 	if known == nil || started == 0 || known.Started == 0 || known.Started >= started {
@@ -155,7 +157,7 @@
 	return nil
 }
 
-// set replaces the word on a back end.
+// set replaces the record of a back end.
 func (t *Table) set(now time.Time, record Record) *entry {
 	known := t.entries[record.Key]
 	if known == nil {
@@ -165,12 +167,12 @@
 		t.limited--
 	}
 	if known.Limit != record.Limit || known.Started != record.Started {
-		known.changed = now
+		known.changedAt = now
 	}
 	known.Record = record
 	if record.Limited {
 		t.limited++
-		known.heard = now
+		known.limitedAt = now
 	} else {
 		known.byProbe = false
 	}
@@ -184,8 +186,8 @@
 	delete(t.entries, known.Key)
 }
 
-// Lookup returns what is known on the run of a back end that started at a time, and false where there is
-// none. 0: whichever run.
+// Lookup returns the record of the run of a back end that started at a given time, or false if there is
+// none. 0 stands for any run.
 func (t *Table) Lookup(key backend.Key, started int64) (Record, bool) {
 	known := t.entries[key]
 	if known == nil || started != 0 && known.Started != 0 && known.Started != started {
@@ -199,11 +201,11 @@
 	return t.limited
 }
 
-// Records returns the limits that are in force, at most so many.
-func (t *Table) Records(most int) []Record {
+// Records returns the limits that are in force, up to a maximum number.
+func (t *Table) Records(maximum int) []Record {
 	var records []Record
 	for _, known := range t.entries {
-		if len(records) == most {
+		if len(records) == maximum {
 			break
 		}
 		if known.Limited {
@@ -213,11 +215,11 @@
 	return records
 }
 
-// Forget drops what ended long ago, and words on back ends that are not declared.
+// Forget drops limits that ended long ago, and records of back ends that are not declared.
 func (t *Table) Forget(now time.Time, declared func(backend.Key) bool) {
 	for key, known := range t.entries {
-		age := now.Sub(known.changed)
-		if !known.Limited && age > endedMemory || age > undeclaredMemory && !declared(key) {
+		age := now.Sub(known.changedAt)
+		if !known.Limited && age > endedRetention || age > undeclaredRetention && !declared(key) {
 			t.drop(known)
 		}
 	}
--- a/backendlimit/table_test.go
+++ b/backendlimit/table_test.go
@@ -16,17 +16,17 @@
 	start = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 )
 
-// at is so many milliseconds after the start of a test.
+// at returns the time a number of milliseconds after the start of a test.
 func at(milliseconds int) time.Time {
 	return start.Add(time.Duration(milliseconds) * time.Millisecond)
 }
 
-// limited is an answer that names a limit.
+// limited returns a response that names a limit.
 func limited(perSecond float64, sent int) backendlimit.Response {
 	return backendlimit.Response{Key: key, Limit: backendlimit.Limit{Limited: true, PerSecond: perSecond}, Started: 1, Sent: at(sent)}
 }
 
-// unlimited is an answer that names none.
+// unlimited returns a response that names none.
 func unlimited(sent int) backendlimit.Response {
 	return backendlimit.Response{Key: key, Started: 1, Sent: at(sent)}
 }
@@ -36,13 +36,13 @@
 	require.Equal(t, want, record.Limit)
 }
 
-// TestAnswersInAnyOrder ends a limit by an answer whose request was sent after it was heard of, and by
-// no other.
-func TestAnswersInAnyOrder(t *testing.T) {
+// TestResponsesInAnyOrder verifies that a limit is ended only by a response whose request was sent after the limit was
+// received.
+func TestResponsesInAnyOrder(t *testing.T) {
 	table := backendlimit.NewTable()
 	require.Equal(t, backendlimit.NoChange, table.Observe(at(10), unlimited(0)))
 	require.Equal(t, backendlimit.MajorChange, table.Observe(at(100), limited(3.2, 20)))
-	require.Equal(t, backendlimit.NoChange, table.Observe(at(110), unlimited(90)), "it was under way before")
+	require.Equal(t, backendlimit.NoChange, table.Observe(at(110), unlimited(90)), "the request was sent before the limit was received")
 	requireLimit(t, table, backendlimit.Limit{Limited: true, PerSecond: 3.2})
 	require.Equal(t, backendlimit.NoChange, table.Observe(at(120), limited(3.2, 105)))
 	require.Equal(t, backendlimit.MinorChange, table.Observe(at(130), limited(3.3, 125)))
@@ -50,17 +50,17 @@
 	requireLimit(t, table, backendlimit.Limit{Limited: true, PerSecond: 1})
 	failed := unlimited(150)
 	failed.Failed = true
-	require.Equal(t, backendlimit.NoChange, table.Observe(at(160), failed), "a failure says nothing")
+	require.Equal(t, backendlimit.NoChange, table.Observe(at(160), failed), "a missing limit has no meaning in an error")
 	require.Equal(t, backendlimit.MajorChange, table.Observe(at(170), unlimited(150)))
 	require.Zero(t, table.LimitedCount())
 }
 
-// TestProbesThatDoNotName keeps a limit that was named with answers to requests only, and ends one that
-// probes have named before.
-func TestProbesThatDoNotName(t *testing.T) {
-	probe := func(answer backendlimit.Response) backendlimit.Response {
-		answer.Probe = true
-		return answer
+// TestProbesWithoutLimit verifies that a probe response without a limit ends a limit that probes have named before,
+// but not one that was only named with responses to requests.
+func TestProbesWithoutLimit(t *testing.T) {
+	probe := func(response backendlimit.Response) backendlimit.Response {
+		response.Probe = true
+		return response
 	}
 	table := backendlimit.NewTable()
 	table.Observe(at(10), limited(3.2, 0))
@@ -69,16 +69,16 @@
 	require.Equal(t, backendlimit.MajorChange, table.Observe(at(70), probe(unlimited(60))))
 }
 
-// TestRestartedBackendHasSaidNothing drops the word of an earlier run, and does not take it in again.
-func TestRestartedBackendHasSaidNothing(t *testing.T) {
+// TestRestartEndsLimit verifies that the record of an earlier run of a back end is dropped and not accepted again.
+func TestRestartEndsLimit(t *testing.T) {
 	table := backendlimit.NewTable()
 	table.Observe(at(10), limited(3.2, 0))
 	earlier, _ := table.Lookup(key, 0)
 	_, known := table.Lookup(key, 2)
 	require.False(t, known)
-	again := limited(5, 20)
-	again.Started = 2
-	table.Observe(at(30), again)
+	restarted := limited(5, 20)
+	restarted.Started = 2
+	table.Observe(at(30), restarted)
 	require.Equal(t, backendlimit.NoChange, table.Observe(at(40), limited(3.2, 35)), "the earlier run")
 	earlier.At = at(1000)
 	require.False(t, table.Merge(at(50), earlier))
@@ -87,46 +87,46 @@
 	require.Equal(t, 1, table.LimitedCount())
 }
 
-// TestWordsOfOthers takes the newest word, whatever the order in which words come, also when the
+// TestMergeKeepsNewestRecord verifies that the newest record counts, whatever the order of arrival, even if the
 // clocks of daemons differ by seconds.
-func TestWordsOfOthers(t *testing.T) {
-	here, there := backendlimit.NewTable(), backendlimit.NewTable()
-	here.Observe(at(2000), limited(3.2, 1990)) // its clock is 2 s ahead
-	named, _ := here.Lookup(key, 1)
-	require.True(t, there.Merge(at(10), named))
-	require.False(t, there.Merge(at(20), named), "known")
-	require.Equal(t, backendlimit.MajorChange, there.Observe(at(50), unlimited(40)))
-	ended, known := there.Lookup(key, 1)
+func TestMergeKeepsNewestRecord(t *testing.T) {
+	ahead, behind := backendlimit.NewTable(), backendlimit.NewTable()
+	ahead.Observe(at(2000), limited(3.2, 1990)) // the clock of this daemon is 2 s ahead
+	named, _ := ahead.Lookup(key, 1)
+	require.True(t, behind.Merge(at(10), named))
+	require.False(t, behind.Merge(at(20), named), "already known")
+	require.Equal(t, backendlimit.MajorChange, behind.Observe(at(50), unlimited(40)))
+	ended, known := behind.Lookup(key, 1)
 	require.True(t, known)
-	require.True(t, here.Merge(at(2060), ended), "it is newer, whatever the clocks say")
-	require.False(t, here.Merge(at(2070), named), "an older record does not bring it back")
-	require.Zero(t, here.LimitedCount())
+	require.True(t, ahead.Merge(at(2060), ended), "it is newer, regardless of the clocks")
+	require.False(t, ahead.Merge(at(2070), named), "an older record does not restore the limit")
+	require.Zero(t, ahead.LimitedCount())
 }
 
-// TestForget drops what is not needed any more.
+// TestForget verifies that only records that are not needed any more are dropped.
 func TestForget(t *testing.T) {
 	table := backendlimit.NewTable()
 	table.Observe(at(0), limited(3.2, 0))
 	all := func(backend.Key) bool { return true }
 	none := func(backend.Key) bool { return false }
 	table.Forget(at(3600_000), all)
-	require.Equal(t, 1, table.LimitedCount(), "for as long as it says so")
+	require.Equal(t, 1, table.LimitedCount(), "a limit in force is kept")
 	table.Observe(at(3600_010), unlimited(3600_005))
 	table.Forget(at(3600_020), all)
 	_, known := table.Lookup(key, 1)
-	require.True(t, known, "others may still tell of the limit")
+	require.True(t, known, "peers may still send the older record")
 	table.Forget(at(3700_000), all)
 	_, known = table.Lookup(key, 1)
 	require.False(t, known)
 	table.Observe(at(3700_010), limited(1, 3700_005))
 	table.Forget(at(3700_020), none)
-	require.Equal(t, 1, table.LimitedCount(), "a daemon that starts does not know the back ends yet")
+	require.Equal(t, 1, table.LimitedCount(), "a daemon that has just started does not know the back ends yet")
 	table.Forget(at(3720_000), none)
 	require.Zero(t, table.LimitedCount())
 }
 
-// TestTablesAgree lets daemons hear answers in any order, tell each other, and hear of what others told
-// late and twice: once every word has reached all, all know the same, and the count fits.
+// TestTablesAgree lets daemons observe responses in any order and exchange records late and repeatedly: once every
+// record has reached all daemons, their tables agree, and so do the counts.
 func TestTablesAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const daemons = 3
@@ -134,26 +134,26 @@
 		for index := range tables {
 			tables[index] = backendlimit.NewTable()
 		}
-		var told []backendlimit.Record
+		var records []backendlimit.Record
 		for step := range rapid.IntRange(1, 30).Draw(t, "steps") {
 			now := at(step * 100)
 			table := tables[rapid.IntRange(0, daemons-1).Draw(t, "daemon")]
-			if len(told) > 0 && rapid.Bool().Draw(t, "told") {
-				table.Merge(now, told[rapid.IntRange(0, len(told)-1).Draw(t, "record")])
+			if len(records) > 0 && rapid.Bool().Draw(t, "told") {
+				table.Merge(now, records[rapid.IntRange(0, len(records)-1).Draw(t, "record")])
 				continue
 			}
-			answer := unlimited(step*100 - 50)
+			response := unlimited(step*100 - 50)
 			if rapid.Bool().Draw(t, "limited") {
-				answer = limited(float64(rapid.IntRange(0, 5).Draw(t, "limit")), step*100-50)
+				response = limited(float64(rapid.IntRange(0, 5).Draw(t, "limit")), step*100-50)
 			}
-			if table.Observe(now, answer) == backendlimit.MajorChange {
+			if table.Observe(now, response) == backendlimit.MajorChange {
 				record, _ := table.Lookup(key, 1)
-				told = append(told, record)
+				records = append(records, record)
 			}
 		}
 		for _, table := range tables {
 			for range 2 {
-				for _, record := range told {
+				for _, record := range records {
 					table.Merge(at(10_000), record)
 				}
 			}
@@ -171,10 +171,10 @@
 	})
 }
 
-// A limit that changed by little with each answer was never told, as each change was small against the one
-// before: a daemon that gives out places went on with 3.2 a second where 1 was taken. Now the change
-// counts from what was told last.
-func TestLimitThatCreepsIsTold(t *testing.T) {
+// TestGradualChangeIsBroadcast guards against comparing a limit with the previous one instead of the last one
+// that was broadcast. A limit that changed little with each response was then never broadcast: a daemon that
+// grants permits continued with 3.2 a second when the back end accepted 1.
+func TestGradualChangeIsBroadcast(t *testing.T) {
 	here, there := backendlimit.NewTable(), backendlimit.NewTable()
 	limit := 3.2
 	for step := range 40 {
@@ -184,7 +184,7 @@
 			record, _ := here.Lookup(key, 1)
 			there.Merge(at(now), record)
 		}
-		told, _ := there.Lookup(key, 1)
-		require.InDelta(t, limit, told.PerSecond, 0.12*limit, "step %d", step)
+		merged, _ := there.Lookup(key, 1)
+		require.InDelta(t, limit, merged.PerSecond, 0.12*limit, "step %d", step)
 	}
 }
--- a/recent/rate.go
+++ b/recent/rate.go
@@ -1,4 +1,4 @@
-// Package recent averages how often something happened of late. It is pure: time is passed in.
+// Package recent computes exponentially decaying averages of event rates. It is pure: time is passed in.
 package recent
 
 import (
@@ -6,33 +6,33 @@
 	"time"
 )
 
-// Rate is how many times a second something happened over the last span, later ones counting more. The zero
-// value has counted nothing. All calls of one Rate give the same span.
+// Rate is the number of events a second, averaged with exponential decay. The zero value has no events.
+// All calls of one Rate must give the same span.
 type Rate struct {
-	value float64
-	at    time.Time
+	value   float64
+	addedAt time.Time
 }
 
-// Add counts so many.
+// Add adds a number of events.
 func (r *Rate) Add(now time.Time, span time.Duration, count float64) {
 	r.value = r.At(now, span) + count/span.Seconds()
-	r.at = now
+	r.addedAt = now
 }
 
-// At returns the rate at a time, nothing having happened since.
+// At returns the rate at a time, if there were no events since the last call of Add.
 func (r *Rate) At(now time.Time, span time.Duration) float64 {
-	if r.at.IsZero() {
+	if r.addedAt.IsZero() {
 		return 0
 	}
-	return r.value * Decay(now.Sub(r.at), span)
+	return r.value * Decay(now.Sub(r.addedAt), span)
 }
 
-// Decay is how much something counts that is so old, where it counts 1/e after a span.
+// Decay returns the weight of an event of a given age, which is 1/e after one span.
 func Decay(age, span time.Duration) float64 {
 	return math.Exp(-age.Seconds() / span.Seconds())
 }
 
-// Last returns when something was counted last; zero: never.
+// Last returns when events were last added; zero: never.
 func (r *Rate) Last() time.Time {
-	return r.at
+	return r.addedAt
 }
--- a/recent/rate_test.go
+++ b/recent/rate_test.go
@@ -9,7 +9,7 @@
 	"github.com/tuliphall/tuliphall/recent"
 )
 
-// TestRate tells a steady rate, and forgets it within some spans.
+// TestRate verifies that a steady rate is measured, and decays within a few spans once events stop.
 func TestRate(t *testing.T) {
 	const span = 2 * time.Second
 	var rate recent.Rate
