--- a/backendlimit/table_test.go
+++ b/backendlimit/table_test.go
@@ -175,16 +175,16 @@
 // that was broadcast. A limit that changed little with each response was then never broadcast: a daemon that
 // grants permits continued with 3.2 a second when the back end accepted 1.
 func TestGradualChangeIsBroadcast(t *testing.T) {
-	here, there := backendlimit.NewTable(), backendlimit.NewTable()
+	sender, receiver := backendlimit.NewTable(), backendlimit.NewTable()
 	limit := 3.2
 	for step := range 40 {
 		now := step * 100
 		limit *= 0.97
-		if here.Observe(at(now), limited(limit, now-50)) == backendlimit.MajorChange {
-			record, _ := here.Lookup(key, 1)
-			there.Merge(at(now), record)
+		if sender.Observe(at(now), limited(limit, now-50)) == backendlimit.MajorChange {
+			record, _ := sender.Lookup(key, 1)
+			receiver.Merge(at(now), record)
 		}
-		merged, _ := there.Lookup(key, 1)
+		merged, _ := receiver.Lookup(key, 1)
 		require.InDelta(t, limit, merged.PerSecond, 0.12*limit, "step %d", step)
 	}
 }
