--- a/backendlimit/table.go
+++ b/backendlimit/table.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// minChange is the relative change of a limit from which on the peers are told again: otherwise the daemon
-	// that grants the permits would be told with every response of a back end whose limit fluctuates.
+	// minChange is the relative change of a limit above which the peers are notified again: otherwise the daemon
+	// that grants the permits would be notified of every response of a back end whose limit fluctuates.
 	minChange = 0.1
 	// endedRetention is how long it is remembered that a limit has ended: until older records of the
 	// limit are not passed on any more.
@@ -26,7 +26,7 @@
 	backend.Key
 	Limit
 	// Started identifies the run of the back end that named the limit by its start, in Unix milliseconds;
-	// 0: the back end does not tell.
+	// 0: not reported.
 	Started int64
 	// At orders the records of a back end: the wall clock of the daemon that received the response, or
 	// later than the record that this daemon had before.
@@ -75,13 +75,13 @@
 // The changes.
 const (
 	NoChange Change = iota
-	// MinorChange: the limit has changed by too little to tell the peers.
+	// MinorChange: the limit has changed by too little to notify the peers.
 	MinorChange
-	// MajorChange: the peers must be told.
+	// MajorChange: the peers must be notified.
 	MajorChange
 )
 
-// Observe takes in the limit of a response.
+// Observe applies the limit of a response, or its lack of one.
 func (t *Table) Observe(now time.Time, response Response) Change {
 	known := t.current(response.Key, response.Started)
 	if known != nil && known.Started > response.Started && response.Started != 0 {
@@ -97,7 +97,7 @@
 	return MajorChange
 }
 
-// observeLimit takes in a response that names a limit.
+// observeLimit applies a response that names a limit.
 func (t *Table) observeLimit(now time.Time, known *entry, response Response) Change {
 	if known == nil && len(t.entries) >= maxRecords {
 		return NoChange
@@ -128,7 +128,7 @@
 	return at
 }
 
-// Merge takes in a record from a peer, and returns whether it changed the limit.
+// Merge applies a record from a peer, and returns whether it changed the limit.
 func (t *Table) Merge(now time.Time, record Record) bool {
 	known := t.current(record.Key, record.Started)
 	switch {
@@ -146,8 +146,7 @@
 	return true
 }
 
-// current returns the entry of a back end. It drops the entry and returns nil if that is of an earlier run than the
-// given one.
+// current returns the entry of a back end. It drops an entry of an earlier run than the given one, and returns nil then.
 func (t *Table) current(key backend.Key, started int64) *entry {
 	known := t.entries[key]
 	if known == nil || started == 0 || known.Started == 0 || known.Started >= started {
--- a/backendlimit/tracker.go
+++ b/backendlimit/tracker.go
@@ -56,7 +56,8 @@
 	}
 }
 
-// Observe takes in the header of a response, whose Limit it sets. The request path calls it.
+// Observe applies the limit that a response names in its header. The caller sets all fields of response but Limit. The
+// request path calls it.
 func (t *Tracker) Observe(header http.Header, response Response) {
 	values := header.Values(t.options.Header)
 	if t.options.Header == "" || len(values) == 0 && t.limited.Load() == 0 {
@@ -93,7 +94,7 @@
 	}
 }
 
-// Merge takes in records from a peer, and returns those that changed a limit.
+// Merge applies records from a peer, and returns those that changed a limit.
 func (t *Tracker) Merge(records []Record) []Record {
 	var changed []Record
 	for _, record := range records {
--- a/rollout/controller_test.go
+++ b/rollout/controller_test.go
@@ -453,9 +453,9 @@
 		}
 		decided.Recorded = objectstore.NewVersion(1, 35)
 		controller.Update(now, decided)
-		anew := order
-		anew.Recorded = objectstore.NewVersion(1, 50)
-		controller.Update(now, anew)
+		reordered := order
+		reordered.Recorded = objectstore.NewVersion(1, 50)
+		controller.Update(now, reordered)
 		require.Equal(t, config.RolloutRunning, controller.Order().Phase, "the same order was given again")
 	})
 	t.Run("another dispatcher has decided", func(t *testing.T) {
--- a/rollout/excess.go
+++ b/rollout/excess.go
@@ -23,7 +23,7 @@
 	minDeviations = 2
 )
 
-// excessMonitor tells whether responses of the new version are bad more often, in one respect, without
+// excessMonitor detects whether responses of the new version are bad more often, in one respect, without
 // enough evidence to call it worse. The zero value has no samples.
 type excessMonitor struct {
 	all, recent tally
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -99,7 +99,7 @@
 	oldRates badRates // the old version's at that time
 }
 
-// comparison tells whether a latency exceeded a bound, if that is known.
+// comparison is whether a latency exceeded a bound, if that is known.
 type comparison struct {
 	exceeds, known bool
 }
@@ -152,7 +152,7 @@
 	j.randomPick = rates
 }
 
-// maxClasses bounds the classes that are told apart; requests of further ones share a class.
+// maxClasses bounds the classes that are tracked separately; further ones share a class.
 const maxClasses = 256
 
 // classOf returns the statistics of a class, which it creates if necessary.
