--- a/service/acquire.go
+++ b/service/acquire.go
@@ -17,86 +17,87 @@
 // ErrOverBudget: the retry budget of the service does not allow the attempt.
 const ErrOverBudget = errors.ConstError("retry budget empty")
 
-// Grantor says as what a daemon gives out places of a service, and so which part of
-// the service's retry burst is its own. All parts together are never more than the
-// whole, whoever else gives out places.
+// Grantor is the role in which a daemon grants permits of a service. It determines the daemon's
+// share of the retry burst and of the back ends' request limits. The shares of all daemons never
+// add up to more than the whole, whichever daemons grant permits at the same time.
 type Grantor struct {
 	burstShare float64
-	// choosers is how many daemons give out places at the same time, as far as is known.
-	choosers int
-	// limitPart is the part that it uses of what limited back ends take from the daemons that it
-	// can reach.
-	limitPart float64
-	// role is as what it counts requests of tenants.
+	// independentDaemons is the known number of daemons that grant permits at the same time.
+	independentDaemons int
+	// limitShare is the daemon's share of the request limits of back ends, as far as they are
+	// divided among the daemons that it can reach.
+	limitShare float64
+	// role determines the daemon's share of the tenants' rates.
 	role ratelimit.Role
 }
 
-// dispatcherShare is the dispatcher's part of the burst. The rest is for daemons that
+// dispatcherBurstShare is the dispatcher's share of the retry burst. The rest is for daemons that
 // cannot reach it.
-const dispatcherShare = 0.75
+const dispatcherBurstShare = 0.75
 
-// dispatcherLimitPart is the dispatcher's part of what limited back ends take. The rest is for daemons
-// that cannot reach it, as much as they have of a tenant's rate: all together never use more than the
-// whole. With 0.9, 147 of 160 requests were answered that limited back ends take, with this 157
-// (TestAllLimited).
-const dispatcherLimitPart = 0.97
+// dispatcherLimitShare is the dispatcher's share of the request limits of back ends. The rest is for
+// daemons that cannot reach it, the same fraction as of a tenant's rate, so that all daemons together
+// stay within the limit. With 0.9, 147 of the 160 requests that the limits allow were answered; with
+// 0.97, 157 (TestAllLimited).
+const dispatcherLimitShare = 0.97
 
-// savedFor is how long a daemon that gets no requests of a service keeps what it
-// saved: another one dispatches then, and saves up as much.
-const savedFor = 2 * time.Second
+// budgetRetention is how long a daemon that receives no first attempts of a service keeps its retry
+// budget. After that another daemon dispatches the service and accumulates a budget of its own.
+const budgetRetention = 2 * time.Second
 
-// AsDispatcher is the daemon that dispatches the service.
+// AsDispatcher returns the role of the daemon that dispatches the service.
 func AsDispatcher() Grantor {
-	return Grantor{burstShare: dispatcherShare, choosers: 1, limitPart: dispatcherLimitPart, role: ratelimit.Dispatcher}
+	return Grantor{burstShare: dispatcherBurstShare, independentDaemons: 1, limitShare: dispatcherLimitShare, role: ratelimit.Dispatcher}
 }
 
-// AsFallback is one of so many daemons, for a request for which it did not reach the
-// dispatcher.
+// AsFallback returns the role of a daemon, one of the given number, that decides by itself because
+// the dispatcher is unreachable.
 func AsFallback(daemons int) Grantor {
-	return Grantor{burstShare: (1 - dispatcherShare) / float64(max(daemons, 1)), choosers: daemons, limitPart: (1 - dispatcherLimitPart) / float64(max(daemons, 1)), role: ratelimit.Fallback}
+	return Grantor{burstShare: (1 - dispatcherBurstShare) / float64(max(daemons, 1)), independentDaemons: daemons, limitShare: (1 - dispatcherLimitShare) / float64(max(daemons, 1)), role: ratelimit.Fallback}
 }
 
-// AsIndependent is one of so many daemons that each give out places by themselves.
+// AsIndependent returns the role of a daemon, one of the given number, that each grant permits by
+// themselves.
 func AsIndependent(daemons int) Grantor {
-	return Grantor{burstShare: 1 / float64(max(daemons, 1)), choosers: daemons, limitPart: 1 / float64(max(daemons, 1)), role: ratelimit.Independent}
+	return Grantor{burstShare: 1 / float64(max(daemons, 1)), independentDaemons: daemons, limitShare: 1 / float64(max(daemons, 1)), role: ratelimit.Independent}
 }
 
-// shareOf returns what the daemon may use of what limited back ends take.
-func (g Grantor) shareOf(parts backendlimit.Shares) routing.Share {
-	share := routing.Share{Fraction: g.limitPart * parts.Reachable, Since: parts.PartitionedUntil}
+// limitShareOf returns the share of the back ends' request limits that the daemon may use.
+func (g Grantor) limitShareOf(shares backendlimit.Shares) routing.Share {
+	share := routing.Share{Fraction: g.limitShare * shares.Reachable, Since: shares.PartitionedUntil}
 	if g.role == ratelimit.Dispatcher {
-		share.Fraction *= parts.Region
+		share.Fraction *= shares.Region
 	}
 	return share
 }
 
-// Acquire gives out a place for an attempt of a kind. A first attempt earns for the
-// retry budget, the others spend from it. It blocks while the request waits. The
-// error is ErrOverBudget, or a *resultcode.Failure that says "not run".
-func (s *Service) Acquire(ctx context.Context, as Grantor, kind retry.Kind, request dispatch.Request) (*dispatch.Grant, error) {
+// Acquire acquires a permit for an attempt. A first attempt adds to the retry budget, retries and
+// hedges spend from it. It blocks while the request is queued. The error is ErrOverBudget, or a
+// *resultcode.Failure whose code says that the request was not run.
+func (s *Service) Acquire(ctx context.Context, grantor Grantor, kind retry.Kind, request dispatch.Request) (*dispatch.Grant, error) {
 	if refused := s.quarantine.Check(request.Fingerprints); refused != nil {
 		return nil, refused
 	}
-	counted := kind == retry.First && request.Tenant != ""
-	if counted {
-		if refused := s.rates.Take(request.Tenant, as.role); refused != nil {
+	countsForTenant := kind == retry.First && request.Tenant != ""
+	if countsForTenant {
+		if refused := s.rates.Take(request.Tenant, grantor.role); refused != nil {
 			return nil, refused
 		}
 	}
-	grant, err := s.acquire(ctx, as, kind, request)
-	if err != nil && counted {
+	grant, err := s.acquireWithinRate(ctx, grantor, kind, request)
+	if err != nil && countsForTenant {
 		s.rates.Return(request.Tenant)
 	}
 	return grant, err
 }
 
-// acquire is Acquire for a request that is within the rate of its tenant.
-func (s *Service) acquire(ctx context.Context, as Grantor, kind retry.Kind, request dispatch.Request) (*dispatch.Grant, error) {
-	if !s.charge(as, kind, request.IsCallerRetry(time.Now())) {
+// acquireWithinRate is Acquire for a request that is within the rate of its tenant.
+func (s *Service) acquireWithinRate(ctx context.Context, grantor Grantor, kind retry.Kind, request dispatch.Request) (*dispatch.Grant, error) {
+	if !s.charge(grantor, kind, request.IsCallerRetry(time.Now())) {
 		return nil, ErrOverBudget
 	}
-	request.NoWait = kind == retry.Hedge // it is worth one only while there are free ones
-	request.Routing.IndependentDaemons, request.Routing.LimitShare = as.choosers, as.shareOf(s.limits.Shares())
+	request.NoWait = kind == retry.Hedge // a hedge is worth making only while permits are free
+	request.Routing.IndependentDaemons, request.Routing.LimitShare = grantor.independentDaemons, grantor.limitShareOf(s.limits.Shares())
 	grant, err := s.Dispatcher.Acquire(ctx, request)
 	if err != nil && kind.CostsBudget() {
 		s.refund()
@@ -105,33 +106,33 @@
 		return nil, err
 	}
 	if refused := s.quarantine.Check(request.Fingerprints); refused != nil {
-		// It was found out while the request waited.
+		// The request was quarantined while it was queued.
 		grant.Done(routing.Canceled, 0, nil)
 		return nil, refused
 	}
 	return grant, nil
 }
 
-// charge earns or spends, and says whether the attempt may be made.
-func (s *Service) charge(as Grantor, kind retry.Kind, returned bool) bool {
+// charge applies an attempt to the retry budget and reports whether the attempt may be made.
+func (s *Service) charge(grantor Grantor, kind retry.Kind, callerRetry bool) bool {
 	declared := s.Target().Service
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.budget.Ratio = declared.RetryRatio
-	s.budget.Burst = declared.RetryBurst * as.burstShare
+	s.budget.Burst = declared.RetryBurst * grantor.burstShare
 	if kind == retry.First {
 		now := time.Now()
-		if now.Sub(s.earned) > savedFor || clock.Slept(s.earned, now, savedFor) {
+		if now.Sub(s.lastEarned) > budgetRetention || clock.Slept(s.lastEarned, now, budgetRetention) {
 			s.budget.Reset()
 		}
-		s.earned = now
+		s.lastEarned = now
 		s.budget.Earn()
 		return true
 	}
-	return !kind.CostsBudget() || s.budget.Spend(kind, returned)
+	return !kind.CostsBudget() || s.budget.Spend(kind, callerRetry)
 }
 
-// refund gives back what was spent for an attempt that got no place.
+// refund returns to the retry budget what was spent for an attempt that got no permit.
 func (s *Service) refund() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/service/acquire_test.go
+++ b/service/acquire_test.go
@@ -25,7 +25,7 @@
 	burst = 40
 )
 
-// newService returns a service as one daemon runs it.
+// newService returns a service as configured in one daemon.
 func newService(t require.TestingT) *service.Service {
 	services := service.NewRegistry(service.Options{Network: network.TCP{}, Seed: 1})
 	snapshot, err := config.NewSnapshot(config.Document{Revision: 1, Content: config.Content{
@@ -34,18 +34,18 @@
 	}})
 	require.NoError(t, err)
 	services.Put(snapshot)
-	running, _ := services.Find("prices")
-	return running
+	prices, _ := services.Find("prices")
+	return prices
 }
 
-// attempt asks for a place and gives it back at once, and says whether there was one.
-func attempt(t require.TestingT, running *service.Service, as service.Grantor, kind retry.Kind) bool {
-	return attemptOf(t, running, as, kind, time.Time{})
+// attempt acquires a permit, releases it at once and reports whether the retry budget allowed it.
+func attempt(t require.TestingT, prices *service.Service, grantor service.Grantor, kind retry.Kind) bool {
+	return attemptOf(t, prices, grantor, kind, time.Time{})
 }
 
-// attemptOf is an attempt for a caller that first asked at a time.
-func attemptOf(t require.TestingT, running *service.Service, as service.Grantor, kind retry.Kind, firstTry time.Time) bool {
-	grant, err := running.Acquire(context.Background(), as, kind, dispatch.Request{Weight: 1, Deadline: time.Now().Add(time.Minute), FirstTry: firstTry})
+// attemptOf is attempt for a caller whose first try was at the given time.
+func attemptOf(t require.TestingT, prices *service.Service, grantor service.Grantor, kind retry.Kind, firstTry time.Time) bool {
+	grant, err := prices.Acquire(context.Background(), grantor, kind, dispatch.Request{Weight: 1, Deadline: time.Now().Add(time.Minute), FirstTry: firstTry})
 	if errors.Is(err, service.ErrOverBudget) {
 		return false
 	}
@@ -54,40 +54,41 @@
 	return true
 }
 
-// TestBudgetIsWhereItIsNeeded spends what the requests of a whole fleet earned for the
-// few that failed, whichever daemon has them.
+// TestBudgetIsWhereItIsNeeded guards against failed requests being denied a retry although the
+// requests of the whole fleet have earned it: the dispatcher holds the budget of all daemons, and
+// part of it is reserved for callers that were refused before.
 func TestBudgetIsWhereItIsNeeded(t *testing.T) {
-	running := newService(t)
+	prices := newService(t)
 	for range 200 {
-		require.True(t, attempt(t, running, service.AsDispatcher(), retry.First))
+		require.True(t, attempt(t, prices, service.AsDispatcher(), retry.First))
 	}
 	const part, kept = 30, 8
 	for range part - kept {
-		require.True(t, attempt(t, running, service.AsDispatcher(), retry.Retry))
+		require.True(t, attempt(t, prices, service.AsDispatcher(), retry.Retry))
 	}
-	require.False(t, attempt(t, running, service.AsDispatcher(), retry.Retry), "the rest is for callers that were refused before")
+	require.False(t, attempt(t, prices, service.AsDispatcher(), retry.Retry), "the rest is reserved for callers that were refused before")
 	for range kept {
-		require.True(t, attemptOf(t, running, service.AsDispatcher(), retry.Retry, time.Now().Add(-time.Second)))
+		require.True(t, attemptOf(t, prices, service.AsDispatcher(), retry.Retry, time.Now().Add(-time.Second)))
 	}
-	require.False(t, attemptOf(t, running, service.AsDispatcher(), retry.Retry, time.Now().Add(-time.Second)), "the dispatcher's part of the burst is spent")
+	require.False(t, attemptOf(t, prices, service.AsDispatcher(), retry.Retry, time.Now().Add(-time.Second)), "the dispatcher's share of the burst is spent")
 }
 
-// TestSavedRetriesLapse forgets what a daemon saved once another one dispatches.
+// TestSavedRetriesLapse guards against a daemon keeping its saved retries while another one
+// dispatches the service and earns retries as well.
 func TestSavedRetriesLapse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		running := newService(t)
+		prices := newService(t)
 		for range 200 {
-			attempt(t, running, service.AsDispatcher(), retry.First)
+			attempt(t, prices, service.AsDispatcher(), retry.First)
 		}
 		time.Sleep(3 * time.Second)
-		attempt(t, running, service.AsDispatcher(), retry.First)
-		require.False(t, attempt(t, running, service.AsDispatcher(), retry.Retry))
+		attempt(t, prices, service.AsDispatcher(), retry.First)
+		require.False(t, attempt(t, prices, service.AsDispatcher(), retry.Retry))
 	})
 }
 
-// TestRetriesStayInTheBudget lets daemons of a fleet dispatch, lose the dispatcher,
-// choose by themselves and start anew in any order: all attempts beyond the first
-// stay within the service's ratio and burst.
+// TestRetriesStayInTheBudget changes the dispatcher, makes it unreachable and restarts daemons in
+// random order: all attempts beyond the first stay within the service's ratio and burst.
 func TestRetriesStayInTheBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const daemons = 4
@@ -95,7 +96,7 @@
 		for index := range fleet {
 			fleet[index] = newService(t)
 		}
-		dispatcher, requests, more := 0, 0, 0
+		dispatcher, requests, extraAttempts := 0, 0, 0
 		t.Repeat(map[string]func(*rapid.T){
 			"requests": func(t *rapid.T) {
 				for range rapid.IntRange(1, 60).Draw(t, "count") {
@@ -104,9 +105,9 @@
 				}
 			},
 			"requests without the dispatcher": func(t *rapid.T) {
-				alone := rapid.IntRange(0, daemons-1).Draw(t, "daemon")
+				fallback := rapid.IntRange(0, daemons-1).Draw(t, "daemon")
 				for range rapid.IntRange(1, 20).Draw(t, "count") {
-					require.True(t, attempt(t, fleet[alone], service.AsFallback(daemons), retry.First))
+					require.True(t, attempt(t, fleet[fallback], service.AsFallback(daemons), retry.First))
 					requests++
 				}
 			},
@@ -114,15 +115,15 @@
 				kind := rapid.SampledFrom([]retry.Kind{retry.Retry, retry.Hedge}).Draw(t, "kind")
 				for range rapid.IntRange(1, 60).Draw(t, "count") {
 					if attempt(t, fleet[dispatcher], service.AsDispatcher(), kind) {
-						more++
+						extraAttempts++
 					}
 				}
 			},
 			"more attempts without the dispatcher": func(t *rapid.T) {
-				alone := rapid.IntRange(0, daemons-1).Draw(t, "daemon")
+				fallback := rapid.IntRange(0, daemons-1).Draw(t, "daemon")
 				for range rapid.IntRange(1, 20).Draw(t, "count") {
-					if attempt(t, fleet[alone], service.AsFallback(daemons), retry.Retry) {
-						more++
+					if attempt(t, fleet[fallback], service.AsFallback(daemons), retry.Retry) {
+						extraAttempts++
 					}
 				}
 			},
@@ -133,7 +134,7 @@
 				fleet[rapid.IntRange(0, daemons-1).Draw(t, "daemon")] = newService(t)
 			},
 			"": func(t *rapid.T) {
-				require.LessOrEqual(t, float64(more), ratio*float64(requests)+burst)
+				require.LessOrEqual(t, float64(extraAttempts), ratio*float64(requests)+burst)
 			},
 		})
 	})
--- a/service/clients.go
+++ b/service/clients.go
@@ -7,67 +7,68 @@
 	"github.com/tuliphall/tuliphall/backend"
 )
 
-// clientKept is for how long an unused client of a back end is kept. Its connections are
-// closed long before that; what is saved is the making of another one.
-const clientKept = time.Minute
+// clientRetention is how long an unused client of a back end is kept. Its connections are closed
+// long before that; keeping the client saves creating another one.
+const clientRetention = time.Minute
 
-// clientPool holds the clients of back ends that were used of late. It is safe for concurrent use.
-// A client for each declared back end took 1.4 kB of memory: 14 MB of a daemon beside 10,000 back
-// ends, of which it uses a few dozen in a minute.
+// clientPool holds the clients of recently used back ends. It is safe for concurrent use.
+// Clients are created on demand because one takes 1.4 kB of memory: 14 MB for 10,000 declared back
+// ends, of which a daemon uses a few dozen in a minute.
 type clientPool struct {
-	mutex  sync.Mutex
-	made   map[string]*pooledClient // by the back end's id
-	pruned time.Time
+	mutex      sync.Mutex
+	clients    map[string]*pooledClient // by back end id
+	lastPruned time.Time
 }
 
 type pooledClient struct {
-	client *backend.Client
-	used   time.Time
+	client   *backend.Client
+	lastUsed time.Time
 }
 
-// get returns the client of a back end, and makes it where there is none with these options.
+// get returns the client of a back end, creating it if there is none with these options.
 func (p *clientPool) get(now time.Time, id string, options backend.Options) *backend.Client {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.prune(now)
-	present, known := p.made[id]
-	if known && present.client.Serves(options) {
-		present.used = now
-		return present.client
+	pooled, known := p.clients[id]
+	if known && pooled.client.Serves(options) {
+		pooled.lastUsed = now
+		return pooled.client
 	}
 	if known {
-		present.client.Close()
+		pooled.client.Close()
 	}
-	if p.made == nil {
-		p.made = make(map[string]*pooledClient)
+	if p.clients == nil {
+		p.clients = make(map[string]*pooledClient)
 	}
-	made := &pooledClient{client: backend.NewClient(options), used: now}
-	p.made[id] = made
-	return made.client
+	created := &pooledClient{client: backend.NewClient(options), lastUsed: now}
+	p.clients[id] = created
+	return created.client
 }
 
-// prune drops clients that were not used for long. The caller holds the mutex.
+// prune removes clients that have not been used for clientRetention. The caller holds the mutex.
 func (p *clientPool) prune(now time.Time) {
-	if now.Sub(p.pruned) < clientKept/2 {
+	if now.Sub(p.lastPruned) < clientRetention/2 {
 		return
 	}
-	p.pruned = now
-	p.dropIf(func(_ string, one *pooledClient) bool { return now.Sub(one.used) > clientKept })
+	p.lastPruned = now
+	p.removeIf(func(_ string, pooled *pooledClient) bool { return now.Sub(pooled.lastUsed) > clientRetention })
 }
 
-// dropIf drops clients. Their requests in flight go on. The caller holds the mutex.
-func (p *clientPool) dropIf(drop func(id string, one *pooledClient) bool) {
-	for id, one := range p.made {
-		if drop(id, one) {
-			one.client.Close()
-			delete(p.made, id)
+// removeIf closes and removes the clients for which remove returns true. Their requests in flight
+// continue. The caller holds the mutex.
+func (p *clientPool) removeIf(remove func(id string, pooled *pooledClient) bool) {
+	for id, pooled := range p.clients {
+		if remove(id, pooled) {
+			pooled.client.Close()
+			delete(p.clients, id)
 		}
 	}
 }
 
-// retain drops the clients of all other back ends.
+// retain removes the clients of back ends that are not declared.
 func (p *clientPool) retain(declared func(id string) bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.dropIf(func(id string, _ *pooledClient) bool { return !declared(id) })
+	p.removeIf(func(id string, _ *pooledClient) bool { return !declared(id) })
 }
--- a/service/memory_test.go
+++ b/service/memory_test.go
@@ -17,7 +17,7 @@
 	"github.com/tuliphall/tuliphall/service"
 )
 
-// heap returns the bytes that are in use.
+// heap returns the number of heap bytes in use.
 func heap() uint64 {
 	runtime.GC()
 	runtime.GC()
@@ -26,7 +26,7 @@
 	return stats.HeapAlloc
 }
 
-// allocated returns how many bytes something allocates.
+// allocated returns the number of bytes that a function allocates.
 func allocated(do func()) uint64 {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
@@ -35,7 +35,7 @@
 	return after.TotalAlloc - before.TotalAlloc
 }
 
-// documentOf returns a document with three services of so many listed back ends together.
+// documentOf returns a document with three services and the given total of listed back ends.
 func documentOf(backends int) config.Document {
 	document := config.Document{Revision: 1}
 	for service := range 3 {
@@ -54,8 +54,9 @@
 	return document
 }
 
-// TestStandbyKeepsLittle puts 10,000 back ends in force at a daemon that gives out none of their
-// places, and changes one: what it keeps and what a change costs is bounded for each back end.
+// TestStandbyKeepsLittle guards against a daemon spending memory on back ends for which it grants no
+// permits: with 10,000 back ends in force, the heap per back end and the allocation of a change to
+// one of them are bounded.
 func TestStandbyKeepsLittle(t *testing.T) {
 	const backends = 10_000
 	before := heap()
@@ -64,12 +65,12 @@
 	require.NoError(t, err)
 	registry := service.NewRegistry(service.Options{Network: network.TCP{}, Seed: 1, Log: slog.New(slog.DiscardHandler)})
 	require.True(t, registry.Put(snapshot))
-	kept := (heap() - before) / backends
+	heapPerBackend := (heap() - before) / backends
 
 	changed := document.Directory.Listed[7]
 	changed.Drained = true
 	var next *config.Snapshot
-	change := allocated(func() {
+	changeBytes := allocated(func() {
 		later := document
 		later.Directory, _, err = document.Directory.Follow(config.DirectoryChange{After: 1, Revision: 2, Listed: []config.Listed{changed}})
 		require.NoError(t, err)
@@ -77,24 +78,24 @@
 		require.NoError(t, err)
 		require.True(t, registry.Put(next))
 	}) / backends
-	t.Logf("kept %d bytes a back end, a change allocates %d", kept, change)
-	require.Less(t, kept, uint64(500), "2,322 with a client and a picture of each")
-	require.Less(t, change, uint64(300), "1,770 with all services made anew")
+	t.Logf("heap per back end: %d bytes, allocated by a change per back end: %d", heapPerBackend, changeBytes)
+	require.Less(t, heapPerBackend, uint64(500), "2,322 with a client and routing state for each back end")
+	require.Less(t, changeBytes, uint64(300), "1,770 with all services rebuilt")
 
-	running, known := registry.Find("work-1")
+	work, known := registry.Find("work-1")
 	require.True(t, known)
-	require.False(t, running.IsEligible(changed.ID), "it leaves")
-	require.True(t, running.IsEligible(document.Directory.Listed[10].ID))
-	client, _ := running.Client(document.Directory.Listed[10].ID)
+	require.False(t, work.IsEligible(changed.ID), "it is drained")
+	require.True(t, work.IsEligible(document.Directory.Listed[10].ID))
+	client, _ := work.Client(document.Directory.Listed[10].ID)
 	require.NotNil(t, client)
-	grant, err := running.Acquire(context.Background(), service.AsDispatcher(), retry.First, dispatch.Request{Weight: 1, Deadline: time.Now().Add(time.Second)})
-	require.NoError(t, err, "it gives out places as soon as it is asked")
+	grant, err := work.Acquire(context.Background(), service.AsDispatcher(), retry.First, dispatch.Request{Weight: 1, Deadline: time.Now().Add(time.Second)})
+	require.NoError(t, err, "it grants permits on demand")
 	require.NotEqual(t, changed.ID, grant.Backend.ID)
 	runtime.KeepAlive(next)
 }
 
-// TestNextIsLikeAnew compares snapshots that go on from an earlier one with those made anew, over
-// back ends that come, change, move to another service, and go.
+// TestNextIsLikeAnew guards against a snapshot derived from an earlier one differing from a newly
+// built one, as back ends are added, changed, moved to another service and removed.
 func TestNextIsLikeAnew(t *testing.T) {
 	document := documentOf(9)
 	snapshot, err := config.NewSnapshot(document)
@@ -114,9 +115,9 @@
 		document.Directory.Revision++
 		snapshot, err = snapshot.Next(document)
 		require.NoError(t, err)
-		anew, err := config.NewSnapshot(document)
+		rebuilt, err := config.NewSnapshot(document)
 		require.NoError(t, err)
-		for index, target := range anew.Targets {
+		for index, target := range rebuilt.Targets {
 			require.Equal(t, target.Backends, snapshot.Targets[index].Backends, "change %d", number)
 		}
 	}
--- a/service/service.go
+++ b/service/service.go
@@ -1,7 +1,6 @@
-// Package service holds what a daemon runs for each declared service: the
-// dispatcher, the clients of its back ends and the retry budget. It follows the
-// configuration: a new snapshot changes a service in place, so that requests in
-// flight are not touched.
+// Package service implements the runtime state that a daemon holds for each declared service: the
+// dispatcher, the clients of its back ends and the retry budget. A new configuration snapshot
+// reconfigures a service in place, so that requests in flight are not affected.
 package service
 
 import (
@@ -24,66 +23,66 @@
 	"github.com/tuliphall/tuliphall/routing"
 )
 
-// Service is one running service. It is safe for concurrent use.
+// Service is the runtime state of one service. It is safe for concurrent use.
 type Service struct {
 	Dispatcher *dispatch.Dispatcher
 
-	network    network.Network
-	echo       string // header that answers carry back; empty: none
-	quarantine Quarantine
-	rates      Rates
-	limits     Limits
-	drains     Drains
-	pauses     Pauses
-	elsewhere  func(zone string) bool
-	declared   atomic.Pointer[declaration]
-	requests   clientPool
-	probes     clientPool
-
-	mutex  sync.Mutex
-	budget retry.Budget
-	earned time.Time // of the last request that earned for it
-	// evacuated are the zones that are, and restored when others were last.
+	network        network.Network
+	echoHeader     string // header that responses carry back; empty: none
+	quarantine     Quarantine
+	rates          Rates
+	limits         Limits
+	drains         Drains
+	pauses         Pauses
+	inOtherRegion  func(zone string) bool
+	declared       atomic.Pointer[declaration]
+	requestClients clientPool
+	probeClients   clientPool
+
+	mutex      sync.Mutex
+	budget     retry.Budget
+	lastEarned time.Time // when a first attempt last added to the budget
+	// evacuated holds the zones that are evacuated now, restored when other zones last ceased to be.
 	evacuated map[string]bool
 	restored  map[string]time.Time
 }
 
 func newService(options Options, name string, seed uint64) *Service {
 	service := &Service{
-		network:    options.Network,
-		echo:       options.EchoHeader,
-		quarantine: options.Quarantine,
-		rates:      options.Rates,
-		limits:     options.Limits,
-		drains:     options.Drains,
-		pauses:     options.Pauses,
-		elsewhere:  options.InOtherRegion,
-		Dispatcher: dispatch.New(rand.New(rand.NewPCG(seed, seed)), config.DefaultQueueLimit),
-		restored:   make(map[string]time.Time),
+		network:       options.Network,
+		echoHeader:    options.EchoHeader,
+		quarantine:    options.Quarantine,
+		rates:         options.Rates,
+		limits:        options.Limits,
+		drains:        options.Drains,
+		pauses:        options.Pauses,
+		inOtherRegion: options.InOtherRegion,
+		Dispatcher:    dispatch.New(rand.New(rand.NewPCG(seed, seed)), config.DefaultQueueLimit),
+		restored:      make(map[string]time.Time),
 	}
-	outliers, routed := logging.Part(options.Log, "outlier"), logging.Part(options.Log, "routing")
+	outlierLog, routingLog := logging.Part(options.Log, "outlier"), logging.Part(options.Log, "routing")
 	service.Dispatcher.OnEjection(func(backend string, ejected bool) {
-		message := "back end let back in"
+		message := "back end reinstated"
 		if ejected {
 			message = "back end ejected"
 		}
-		outliers.Info(message, "service", name, "backend", backend)
+		outlierLog.Info(message, "service", name, "backend", backend)
 	})
 	service.Dispatcher.OnConcurrencyHint(func(slots, before, after int) {
-		routed.Info("concurrency learned", "service", name, "slots", slots, "before", before, "in_flight", after)
+		routingLog.Info("concurrency hint changed", "service", name, "slots", slots, "before", before, "in_flight", after)
 	})
 	return service
 }
 
-// Target returns the service's present declaration.
+// Target returns the current declaration of the service.
 func (s *Service) Target() *config.Target {
 	return s.declared.Load().target
 }
 
 // Recorded implements rollout.Service.
 func (s *Service) Recorded() (config.Rollout, bool) {
-	if order := s.Target().Rollout; order != nil {
-		return *order, true
+	if rollout := s.Target().Rollout; rollout != nil {
+		return *rollout, true
 	}
 	return config.Rollout{}, false
 }
@@ -98,57 +97,57 @@
 	return s.Target().Service.Name
 }
 
-// declaration is what is declared of a service, with its back ends by id. It is immutable.
+// declaration is the declared configuration of a service, with its back ends indexed by id. It is
+// immutable.
 type declaration struct {
 	target *config.Target
 	byID   map[string]*config.Backend
 }
 
-// newDeclaration indexes the back ends of a target.
 func newDeclaration(target *config.Target) *declaration {
-	made := &declaration{target: target, byID: make(map[string]*config.Backend, len(target.Backends))}
+	indexed := &declaration{target: target, byID: make(map[string]*config.Backend, len(target.Backends))}
 	for index := range target.Backends {
-		made.byID[target.Backends[index].ID] = &target.Backends[index]
+		indexed.byID[target.Backends[index].ID] = &target.Backends[index]
 	}
-	return made
+	return indexed
 }
 
-// closed says whether a back end by declaration gets no new requests.
-func (d *declaration) closed(one *config.Backend) bool {
-	return one.Drained || d.target.Evacuated[one.Zone]
+// drainedOrEvacuated reports whether the declaration keeps new requests from a back end.
+func (d *declaration) drainedOrEvacuated(b *config.Backend) bool {
+	return b.Drained || d.target.Evacuated[b.Zone]
 }
 
-// Client returns the client of a back end, and when its present run started, as it says (0: it does not); the
-// client is nil when the back end is no longer declared. It does not block on the network.
+// Client returns the client of a back end and the start time of its current run as the back end
+// declares it (0: not declared). The client is nil if the back end is no longer declared. Client does
+// not block on the network.
 func (s *Service) Client(id string) (client *backend.Client, started int64) {
 	declared := s.declared.Load()
-	one, known := declared.byID[id]
+	b, known := declared.byID[id]
 	if !known {
 		return nil, 0
 	}
-	return s.requests.get(time.Now(), id, s.optionsFor(declared.target, one)), one.Started
+	return s.requestClients.get(time.Now(), id, s.clientOptions(declared.target, b)), b.Started
 }
 
-// ProbeClient is Client for probes.
-// They open a connection for each probe: one that is written to a kept connection while the network
-// stalls would arrive later, together with others. Where probes bring fresher reports, connections
-// are kept: each back end has at most one such probe under way.
+// ProbeClient is Client for probes. It opens a connection for each probe, because probes written to
+// a kept connection while the network stalls would arrive later and all at once. Where the service
+// sets a probe freshness, connections are kept: each back end then has at most one probe in flight.
 func (s *Service) ProbeClient(id string) (client *backend.Client, started int64) {
 	declared := s.declared.Load()
-	one, known := declared.byID[id]
+	b, known := declared.byID[id]
 	if !known {
 		return nil, 0
 	}
-	options := s.optionsFor(declared.target, one)
+	options := s.clientOptions(declared.target, b)
 	options.NoReuse, options.Echo = declared.target.Service.ProbeFreshness == 0, ""
 	options.Connections = probeConnections
-	return s.probes.get(time.Now(), id, options), one.Started
+	return s.probeClients.get(time.Now(), id, options), b.Started
 }
 
-// optionsFor are the options of the client for requests to a back end.
-func (s *Service) optionsFor(target *config.Target, one *config.Backend) backend.Options {
+// clientOptions returns the options of the client for requests to a back end.
+func (s *Service) clientOptions(target *config.Target, b *config.Backend) backend.Options {
 	return backend.Options{
-		Network: s.network, Address: one.Address, Connections: one.Connections, AllowUnframed: target.Service.AllowUnframed, Echo: s.echo,
+		Network: s.network, Address: b.Address, Connections: b.Connections, AllowUnframed: target.Service.AllowUnframed, Echo: s.echoHeader,
 		IdleTimeout: time.Duration(target.Service.IdleTimeout), ConnectTimeout: time.Duration(target.Service.ConnectTimeout),
 	}
 }
@@ -159,17 +158,17 @@
 	defer s.mutex.Unlock()
 	declared := newDeclaration(target)
 	s.declared.Store(declared)
-	s.noteRestored(target)
-	places := s.placesOf(declared)
+	s.recordRestoredZones(target)
+	backends := s.backendsOf(declared)
 	known := func(id string) bool { return declared.byID[id] != nil }
-	s.requests.retain(known)
-	s.probes.retain(known)
+	s.requestClients.retain(known)
+	s.probeClients.retain(known)
 	s.Dispatcher.SetRollout(target.Rollout, target.HoldsVersions)
-	s.Dispatcher.Configure(places, target.Service.QueueLimit)
+	s.Dispatcher.Configure(backends, target.Service.QueueLimit)
 }
 
-// noteRestored notes which zones are not evacuated any more. The caller holds the mutex.
-func (s *Service) noteRestored(target *config.Target) {
+// recordRestoredZones records the zones that are no longer evacuated. The caller holds the mutex.
+func (s *Service) recordRestoredZones(target *config.Target) {
 	now := time.Now()
 	for zone := range s.evacuated {
 		if !target.Evacuated[zone] {
@@ -179,95 +178,93 @@
 	s.evacuated = target.Evacuated
 }
 
-// placesOf returns what makes the places of a declaration, with what is known of its back ends when it is called.
-// The caller holds the mutex.
-func (s *Service) placesOf(declared *declaration) func(now time.Time) []routing.Backend {
+// backendsOf returns a function that builds the routing view of the declared back ends. The function
+// reads the drains, limits and pauses that are known when it is called. The caller holds the mutex.
+func (s *Service) backendsOf(declared *declaration) func(now time.Time) []routing.Backend {
 	target := declared.target
 	restored := maps.Clone(s.restored)
 	warmUp := routing.WarmUp{Duration: time.Duration(target.Service.WarmUp), PerSecond: target.Service.WarmUpRate}
 	return func(now time.Time) []routing.Backend {
-		places := make([]routing.Backend, 0, len(target.Backends))
+		backends := make([]routing.Backend, 0, len(target.Backends))
 		for index := range target.Backends {
-			one := &target.Backends[index]
-			places = append(places, routing.Backend{
-				ID: one.ID, Zone: one.Zone, Version: one.Version, Slots: one.Slots, Window: window(target.Service, *one),
-				// Its zone may have turned cold while it was evacuated.
-				Warm:    one.Warm && now.Sub(restored[one.Zone]) >= warmUp.Duration,
-				Drained: declared.closed(one) || s.isLeaving(one), Evacuated: target.Evacuated[one.Zone], WarmUp: warmUp, Started: one.Started, OtherRegion: s.elsewhere(one.Zone), Limit: s.limitOf(one), PausedUntil: s.pausedUntil(one),
+			b := &target.Backends[index]
+			backends = append(backends, routing.Backend{
+				ID: b.ID, Zone: b.Zone, Version: b.Version, Slots: b.Slots, Window: maxInFlight(target.Service, *b),
+				// A back end may have gone cold while its zone was evacuated.
+				Warm:    b.Warm && now.Sub(restored[b.Zone]) >= warmUp.Duration,
+				Drained: declared.drainedOrEvacuated(b) || s.isDraining(b), Evacuated: target.Evacuated[b.Zone], WarmUp: warmUp, Started: b.Started, OtherRegion: s.inOtherRegion(b.Zone), Limit: s.limitOf(b), PausedUntil: s.pausedUntil(b),
 			})
 		}
-		return places
+		return backends
 	}
 }
 
 // probeConnections bounds the connections to one back end for probes.
 const probeConnections = 2
 
-// window is the bound that the service sets on requests at a back end; 0: none.
-func window(declared config.Service, one config.Backend) int {
+// maxInFlight returns the maximum number of requests in flight at a back end; 0: no maximum.
+func maxInFlight(declared config.Service, b config.Backend) int {
 	if declared.MaxLoad == 0 {
 		return 0
 	}
-	return max(int(declared.MaxLoad*float64(one.Slots)+0.5), 1)
+	return max(int(declared.MaxLoad*float64(b.Slots)+0.5), 1)
 }
 
-// HasBackend says whether a back end is declared.
+// HasBackend reports whether a back end is declared.
 func (s *Service) HasBackend(id string) bool {
 	return s.declared.Load().byID[id] != nil
 }
 
-// Registry holds the running services. It is safe for concurrent use; Match and
-// Find do not block.
+// Registry holds the services in force. It is safe for concurrent use; Match and Find do not block.
 type Registry struct {
 	options Options
 	mutex   sync.Mutex
 	seed    uint64
-	table   atomic.Pointer[table]
+	view    atomic.Pointer[view]
 }
 
-// table is one immutable view of the registry.
-type table struct {
+// view is an immutable state of the registry.
+type view struct {
 	snapshot *config.Snapshot
 	services map[string]*Service
 }
 
-// Options are what services are run with.
+// Options configure a Registry and its services.
 type Options struct {
 	Network network.Network
-	Seed    uint64 // starts the random choices
-	// EchoHeader is a header of which each answer carries the request's value;
-	// empty: none.
+	Seed    uint64 // of the random choices
+	// EchoHeader names a request header whose value each response must repeat; empty: none.
 	EchoHeader string
-	// Quarantine says which requests get no place; nil: all may.
+	// Quarantine refuses quarantined requests; nil: none is refused.
 	Quarantine Quarantine
-	// Rates keeps tenants to their rates; nil: none has one.
+	// Rates enforces the rates of tenants; nil: no tenant has a rate.
 	Rates Rates
-	// Limits knows how many requests back ends take; nil: any number.
+	// Limits provides the request limits of back ends; nil: none has one.
 	Limits Limits
-	// Drains knows which back ends are leaving; nil: none is.
+	// Drains provides the back ends that are draining; nil: none is.
 	Drains Drains
-	// Pauses knows which back ends have asked this daemon for a pause; nil: none has.
+	// Pauses provides the back ends that have asked this daemon for a pause; nil: none has.
 	Pauses Pauses
-	// InOtherRegion says whether a zone lies in another region; nil: none does. It must not block.
+	// InOtherRegion reports whether a zone is in another region; nil: none is. It must not block.
 	InOtherRegion func(zone string) bool
-	Log           *slog.Logger // nil: nothing is logged
+	Log           *slog.Logger // nil: logging is disabled
 }
 
-// Quarantine says which requests get no place at any back end.
+// Quarantine decides which requests are not sent to back ends.
 type Quarantine interface {
-	// Check returns why a request gets none; nil: it may. It must not block.
+	// Check returns the failure of a quarantined request, nil for any other. It must not block.
 	Check(fingerprints quarantine.Fingerprints) *resultcode.Failure
 }
 
-// Rates keeps tenants to their rates over all daemons together. No method blocks.
+// Rates enforces the rates of tenants across all daemons. No method blocks.
 type Rates interface {
-	// Take counts a request of a tenant, and returns why it must not run; nil: it may.
+	// Take counts a request of a tenant. It returns the failure of a request over the rate, else nil.
 	Take(tenant string, role ratelimit.Role) *resultcode.Failure
-	// Return gives back what was taken for a request that has not run.
+	// Return reverses Take for a request that has not run.
 	Return(tenant string)
 }
 
-// noRates counts nothing.
+// noRates enforces no rates.
 type noRates struct{}
 
 // Take implements Rates.
@@ -312,19 +309,18 @@
 	return &Registry{options: options, seed: options.Seed}
 }
 
-// Put puts a snapshot in force unless the present one is as new or newer, and
-// says whether it did.
+// Put puts a snapshot in force if it is newer than the current one, and reports whether it did.
 func (r *Registry) Put(snapshot *config.Snapshot) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if present := r.table.Load(); present != nil && !snapshot.Newer(present.snapshot) {
+	if current := r.view.Load(); current != nil && !snapshot.Newer(current.snapshot) {
 		return false
 	}
 	r.put(snapshot)
 	return true
 }
 
-// Refresh puts a snapshot in force that is as new as the present one.
+// Refresh puts a snapshot in force that has the same age as the current one.
 func (r *Registry) Refresh(snapshot *config.Snapshot) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -333,22 +329,22 @@
 
 // put puts a snapshot in force. The caller holds the mutex.
 func (r *Registry) put(snapshot *config.Snapshot) {
-	present := r.table.Load()
+	current := r.view.Load()
 	services := make(map[string]*Service, len(snapshot.Targets))
 	for _, target := range snapshot.Targets {
-		running := r.running(present, target.Service.Name)
-		if declared := running.declared.Load(); declared == nil || declared.target != target {
-			running.configure(target)
+		service := r.findOrCreate(current, target.Service.Name)
+		if declared := service.declared.Load(); declared == nil || declared.target != target {
+			service.configure(target)
 		}
-		services[target.Service.Name] = running
+		services[target.Service.Name] = service
 	}
-	r.table.Store(&table{snapshot: snapshot, services: services})
+	r.view.Store(&view{snapshot: snapshot, services: services})
 }
 
-func (r *Registry) running(present *table, name string) *Service {
-	if present != nil {
-		if running, ok := present.services[name]; ok {
-			return running
+func (r *Registry) findOrCreate(current *view, name string) *Service {
+	if current != nil {
+		if service, ok := current.services[name]; ok {
+			return service
 		}
 	}
 	r.seed++
@@ -357,46 +353,46 @@
 
 // Snapshot returns the snapshot in force, or nil when there is none yet.
 func (r *Registry) Snapshot() *config.Snapshot {
-	present := r.table.Load()
-	if present == nil {
+	current := r.view.Load()
+	if current == nil {
 		return nil
 	}
-	return present.snapshot
+	return current.snapshot
 }
 
 // Match returns the route for a host and path.
 func (r *Registry) Match(host, path string) (*config.RunningRoute, bool) {
-	present := r.table.Load()
-	if present == nil {
+	current := r.view.Load()
+	if current == nil {
 		return nil, false
 	}
-	return present.snapshot.Match(host, path)
+	return current.snapshot.Match(host, path)
 }
 
 // Find returns a service by name.
 func (r *Registry) Find(name string) (*Service, bool) {
-	present := r.table.Load()
-	if present == nil {
+	current := r.view.Load()
+	if current == nil {
 		return nil, false
 	}
-	found, ok := present.services[name]
+	found, ok := current.services[name]
 	return found, ok
 }
 
 // All returns every running service by name.
 func (r *Registry) All() map[string]*Service {
-	present := r.table.Load()
-	if present == nil {
+	current := r.view.Load()
+	if current == nil {
 		return nil
 	}
-	return present.services
+	return current.services
 }
 
-// Close closes unused connections to back ends.
+// Close closes idle connections to back ends.
 func (r *Registry) Close() {
-	for _, running := range r.All() {
+	for _, service := range r.All() {
 		none := func(string) bool { return false }
-		running.requests.retain(none)
-		running.probes.retain(none)
+		service.requestClients.retain(none)
+		service.probeClients.retain(none)
 	}
 }
--- a/service/signals.go
+++ b/service/signals.go
@@ -12,28 +12,29 @@
 	"github.com/tuliphall/tuliphall/routing"
 )
 
-// Drains knows which back ends are leaving. It must not block.
+// Drains provides the back ends that are draining. It must not block.
 type Drains interface {
-	// Leaving returns from which source it is known that the run of a back end that started at a time is leaving, and false where
-	// nobody says so.
+	// Leaving returns the notice by which the run of a back end that started at the given time is draining, and
+	// false if there is none.
 	Leaving(key backend.Key, started int64) (drain.Notice, bool)
 }
 
-// noDrains knows of none.
+// noDrains implements Drains without draining back ends.
 type noDrains struct{}
 
 // Leaving implements Drains.
 func (noDrains) Leaving(backend.Key, int64) (drain.Notice, bool) { return drain.Notice{}, false }
 
-// Pauses knows which back ends have asked this daemon for a pause. No method blocks.
+// Pauses provides the back ends that have asked this daemon for a pause. No method blocks.
 type Pauses interface {
-	// ActivePause returns the pause that the run of a back end that started at a time is in, and false where it is in none.
+	// ActivePause returns the active pause of the run of a back end that started at the given time, and false if
+	// there is none.
 	ActivePause(key backend.Key, started int64) (pushback.Pause, bool)
-	// PausedBackends returns the ids of a service's back ends that are in one, whichever their run.
+	// PausedBackends returns the ids of a service's paused back ends, regardless of their run.
 	PausedBackends(service string) []string
 }
 
-// noPauses knows of none.
+// noPauses implements Pauses without pauses.
 type noPauses struct{}
 
 // ActivePause implements Pauses.
@@ -44,16 +45,16 @@
 // PausedBackends implements Pauses.
 func (noPauses) PausedBackends(string) []string { return nil }
 
-// Limits knows how many requests back ends take. No method blocks.
+// Limits provides the request limits of back ends. No method blocks.
 type Limits interface {
-	// Lookup returns what the run of a back end that started at a time has said, and false where it
-	// has said nothing.
+	// Lookup returns the limit of the run of a back end that started at the given time, and false if
+	// that run has not set one.
 	Lookup(backend backend.Key, started int64) (backendlimit.Record, bool)
-	// Shares returns which parts of what back ends take daemons may use that this one can reach.
+	// Shares returns the shares of the limits that the daemons that this one can reach may use.
 	Shares() backendlimit.Shares
 }
 
-// noLimits knows of none.
+// noLimits implements Limits without limits.
 type noLimits struct{}
 
 // Lookup implements Limits.
@@ -64,43 +65,45 @@
 // Shares implements Limits.
 func (noLimits) Shares() backendlimit.Shares { return backendlimit.FullShares }
 
-// IsEligible says whether a back end is declared, is not known to leave, and is of a version that gets requests.
+// IsEligible reports whether a back end is declared, neither drained nor evacuated nor draining, and of a version
+// that gets requests.
 func (s *Service) IsEligible(id string) bool {
-	_, why := s.takes(id)
-	return why == ""
+	_, reason := s.eligibility(id)
+	return reason == ""
 }
 
-// takes returns the declaration of a back end, and why it gets no new requests from any daemon; empty: it may.
-func (s *Service) takes(id string) (one *config.Backend, why string) {
+// eligibility returns the declaration of a back end, and why it gets no new requests from any daemon; empty: it
+// gets them.
+func (s *Service) eligibility(id string) (b *config.Backend, reason string) {
 	declared := s.declared.Load()
-	one, known := declared.byID[id]
+	b, known := declared.byID[id]
 	switch {
 	case !known:
 		return nil, "it is not declared"
-	case declared.closed(one):
-		return one, "it is drained by declaration"
-	case s.Dispatcher.ExcludesVersion(one.Version):
-		return one, "its version gets no requests"
+	case declared.drainedOrEvacuated(b):
+		return b, "it is drained by declaration"
+	case s.Dispatcher.ExcludesVersion(b.Version):
+		return b, "its version gets no requests"
 	}
-	if notice, leaving := s.drains.Leaving(s.keyOf(id), one.Started); leaving {
-		return one, "it is leaving, known for " + time.Since(notice.Since).Round(time.Millisecond).String()
+	if notice, draining := s.drains.Leaving(s.keyOf(id), b.Started); draining {
+		return b, "it is leaving, known for " + time.Since(notice.Since).Round(time.Millisecond).String()
 	}
-	return one, ""
+	return b, ""
 }
 
-// IneligibleReason says why this daemon must not send a new request to a back end, whoever gave the place; empty: it may.
+// IneligibleReason returns why this daemon must not send a new request to a back end, whichever daemon granted the
+// permit; empty: it may. The text is part of the response to the caller.
 func (s *Service) IneligibleReason(id string) string {
-	one, why := s.takes(id)
-	if why != "" {
-		return why
+	b, reason := s.eligibility(id)
+	if reason != "" {
+		return reason
 	}
-	if pause, paused := s.pauses.ActivePause(s.keyOf(id), one.Started); paused {
+	if pause, paused := s.pauses.ActivePause(s.keyOf(id), b.Started); paused {
 		return "it asked for a pause, " + time.Until(pause.Until).Round(time.Millisecond).String() + " of which are left"
 	}
 	return ""
 }
 
-// keyOf names a back end of the service.
 func (s *Service) keyOf(id string) backend.Key {
 	return backend.Key{Service: s.Name(), Backend: id}
 }
@@ -114,8 +117,8 @@
 	declared := s.declared.Load()
 	var excluded []routing.Exclusion
 	for _, id := range ids {
-		if one, known := declared.byID[id]; known {
-			if until := s.pausedUntil(one); !until.IsZero() {
+		if b, known := declared.byID[id]; known {
+			if until := s.pausedUntil(b); !until.IsZero() {
 				excluded = append(excluded, routing.Exclusion{Backend: id, Until: until})
 			}
 		}
@@ -123,66 +126,66 @@
 	return excluded
 }
 
-// AddSignals adds to the back ends' states what is known here of their leaving and of pauses.
+// AddSignals adds the drains and pauses that this daemon knows of to the status of back ends.
 func (s *Service) AddSignals(backends []dispatch.BackendStatus) {
 	declared, now := s.declared.Load(), time.Now()
 	for index := range backends {
 		status := &backends[index]
-		one, known := declared.byID[status.ID]
+		b, known := declared.byID[status.ID]
 		if !known {
 			continue
 		}
-		if notice, leaving := s.drains.Leaving(s.keyOf(one.ID), one.Started); leaving {
+		if notice, draining := s.drains.Leaving(s.keyOf(b.ID), b.Started); draining {
 			status.Leaving = &dispatch.LeavingStatus{Source: notice.Source.String(), ReportedByPeer: notice.ReportedByPeer, Since: now.Sub(notice.Since)}
 		}
-		status.PauseLeft = max(s.pausedUntil(one).Sub(now), 0)
+		status.PauseLeft = max(s.pausedUntil(b).Sub(now), 0)
 	}
 }
 
-// pausedUntil returns until when a back end has asked this daemon for a pause; zero: it has not.
-func (s *Service) pausedUntil(one *config.Backend) time.Time {
-	pause, _ := s.pauses.ActivePause(s.keyOf(one.ID), one.Started)
+// pausedUntil returns the end of the pause that a back end has asked this daemon for; zero: there is none.
+func (s *Service) pausedUntil(b *config.Backend) time.Time {
+	pause, _ := s.pauses.ActivePause(s.keyOf(b.ID), b.Started)
 	return pause.Until
 }
 
-// RefreshPause puts in force for this daemon's probes what a back end has asked it for.
+// RefreshPause applies the pause that a back end has asked this daemon for to the daemon's probes.
 func (s *Service) RefreshPause(id string) {
 	s.Dispatcher.SetPause(id, func() time.Time {
-		if one, known := s.declared.Load().byID[id]; known {
-			return s.pausedUntil(one)
+		if b, known := s.declared.Load().byID[id]; known {
+			return s.pausedUntil(b)
 		}
 		return time.Time{}
 	})
 }
 
-// limitOf returns how many requests a back end takes.
-func (s *Service) limitOf(one *config.Backend) backendlimit.Limit {
-	record, _ := s.limits.Lookup(s.keyOf(one.ID), one.Started)
+// limitOf returns the request limit of a back end.
+func (s *Service) limitOf(b *config.Backend) backendlimit.Limit {
+	record, _ := s.limits.Lookup(s.keyOf(b.ID), b.Started)
 	return record.Limit
 }
 
-// RefreshLimit puts in force what is known now of how many requests a back end takes. The declaration is looked up as it
-// is put in force: the back end may have started again meanwhile.
+// RefreshLimit applies the current request limit of a back end. The declaration is looked up only as the limit is
+// applied, because the back end may have been restarted meanwhile.
 func (s *Service) RefreshLimit(id string) {
 	s.Dispatcher.SetLimit(id, func() backendlimit.Limit {
-		if one, known := s.declared.Load().byID[id]; known {
-			return s.limitOf(one)
+		if b, known := s.declared.Load().byID[id]; known {
+			return s.limitOf(b)
 		}
 		return backendlimit.Limit{}
 	})
 }
 
-// isLeaving says whether a back end is known to be leaving, as it says itself or the machine list does.
-func (s *Service) isLeaving(one *config.Backend) bool {
-	_, leaving := s.drains.Leaving(s.keyOf(one.ID), one.Started)
-	return leaving
+// isDraining reports whether the back end itself or the machine list has signalled that it is draining.
+func (s *Service) isDraining(b *config.Backend) bool {
+	_, draining := s.drains.Leaving(s.keyOf(b.ID), b.Started)
+	return draining
 }
 
-// RefreshDrain puts in force what is known now of whether a back end is leaving.
+// RefreshDrain applies whether a back end is draining now.
 func (s *Service) RefreshDrain(id string) {
 	s.Dispatcher.SetDraining(id, func() bool {
 		declared := s.declared.Load()
-		one, known := declared.byID[id]
-		return known && (s.isLeaving(one) || declared.closed(one))
+		b, known := declared.byID[id]
+		return known && (s.isDraining(b) || declared.drainedOrEvacuated(b))
 	})
 }
--- a/service/signals_test.go
+++ b/service/signals_test.go
@@ -14,15 +14,16 @@
 	"github.com/tuliphall/tuliphall/service"
 )
 
-// firstRunLeaves knows that the first run of a back end is leaving.
-type firstRunLeaves struct{}
+// firstRunDraining reports the first run of a back end as draining.
+type firstRunDraining struct{}
 
 // Leaving implements service.Drains.
-func (firstRunLeaves) Leaving(_ backend.Key, started int64) (drain.Notice, bool) {
+func (firstRunDraining) Leaving(_ backend.Key, started int64) (drain.Notice, bool) {
 	return drain.Notice{}, started == 1
 }
 
-// TestWordOnARunThatHasEnded guards against a back end that started again being left out by the word of its earlier run.
+// TestWordOnARunThatHasEnded guards against a restarted back end getting no requests because of the drain signal of
+// its earlier run.
 func TestWordOnARunThatHasEnded(t *testing.T) {
 	document := func(revision config.Revision, started int64) config.Document {
 		return config.Document{Revision: revision, Content: config.Content{
@@ -30,24 +31,24 @@
 			Placements: []config.Placement{{Service: "work", Backends: []config.Backend{{ID: "b1", Address: "127.0.0.1:1", Started: started}}}},
 		}}
 	}
-	put := func(registry *service.Registry, made config.Document) {
-		snapshot, err := config.NewSnapshot(made)
+	put := func(registry *service.Registry, document config.Document) {
+		snapshot, err := config.NewSnapshot(document)
 		require.NoError(t, err)
 		require.True(t, registry.Put(snapshot))
 	}
-	registry := service.NewRegistry(service.Options{Drains: firstRunLeaves{}, Seed: 1})
+	registry := service.NewRegistry(service.Options{Drains: firstRunDraining{}, Seed: 1})
 	put(registry, document(1, 1))
-	running, _ := registry.Find("work")
+	work, _ := registry.Find("work")
 	acquire := func() error {
-		grant, err := running.Acquire(t.Context(), service.AsDispatcher(), retry.First, dispatch.Request{Weight: 1, Deadline: time.Now().Add(time.Second)})
+		grant, err := work.Acquire(t.Context(), service.AsDispatcher(), retry.First, dispatch.Request{Weight: 1, Deadline: time.Now().Add(time.Second)})
 		if err == nil {
 			grant.Done(0, time.Millisecond, nil)
 		}
 		return err
 	}
-	require.Error(t, acquire(), "the first run is leaving")
+	require.Error(t, acquire(), "the first run is draining")
 	put(registry, document(2, 2))
-	running.RefreshDrain("b1")
+	work.RefreshDrain("b1")
 	require.NoError(t, acquire())
-	require.True(t, running.IsEligible("b1"))
+	require.True(t, work.IsEligible("b1"))
 }
