--- a/frontend/answer.go
+++ b/frontend/answer.go
@@ -11,35 +11,34 @@
 	"github.com/tuliphall/tuliphall/routing"
 )
 
-// side says whose fault it was that an answer could not be passed on.
-type side string
+// failureSide tells which side caused a relay to fail.
+type failureSide string
 
 const (
-	backendSide side = "backend"
-	callerSide  side = "caller"
+	backendSide failureSide = "backend"
+	callerSide  failureSide = "caller"
 )
 
-// passError is an answer that could not be passed on whole.
-type passError struct {
-	side  side
+// relayError describes a response that could not be relayed completely.
+type relayError struct {
+	side  failureSide
 	cause error
 }
 
-func (e *passError) outcome() routing.Outcome {
+func (e *relayError) outcome() routing.Outcome {
 	if e.side == backendSide {
 		return routing.Unserved
 	}
 	return routing.Canceled
 }
 
-// copyBytes is the size of a copy buffer.
 const copyBytes = 32 << 10
 
 var copyBuffers = sync.Pool{New: func() any { return new([copyBytes]byte) }}
 
-// pass sends a back end's answer to the caller as it comes. It returns nil when
-// the whole answer was passed on.
-func (a *attempter) pass(response *http.Response, backendID string, code resultcode.Code) *passError {
+// relay streams a back end's response to the caller. It returns nil if the complete response was
+// relayed.
+func (a *attempter) relay(response *http.Response, backendID string, code resultcode.Code) *relayError {
 	header := a.writer.Header()
 	backend.CopyHeader(header, response.Header)
 	if backendID != "" {
@@ -48,13 +47,13 @@
 	}
 	header.Set(a.handler.options.Dialect.RequestID, a.call.id)
 	if response.StatusCode == http.StatusSwitchingProtocols {
-		return a.passUpgrade(response)
+		return a.relayUpgrade(response)
 	}
 	for name := range response.Trailer {
 		header.Add("Trailer", name)
 	}
 	if a.record != nil {
-		a.record.begin(response)
+		a.record.recordHeader(response)
 	}
 	a.writer.WriteHeader(response.StatusCode)
 	if err := a.copyBody(response); err != nil {
@@ -63,7 +62,7 @@
 	for name, values := range response.Trailer {
 		header[name] = values
 	}
-	a.answered(code)
+	a.recordAnswered(code)
 	return nil
 }
 
@@ -72,53 +71,53 @@
 	header.Set(resultcode.HeaderRun, string(code.Info().Run))
 }
 
-// copyBody copies the body. An answer of unknown length is flushed with each
-// piece, as its caller may be waiting for it. An operation's answer is read to
-// its end even when the caller has gone, so that it can be recorded.
-func (a *attempter) copyBody(response *http.Response) *passError {
+// copyBody copies the body. A response of unknown length is flushed after each chunk, because the
+// caller may be waiting for it. The response to an operation is read to its end even if the caller
+// has disconnected, so that it can be recorded.
+func (a *attempter) copyBody(response *http.Response) *relayError {
 	buffer := copyBuffers.Get().(*[copyBytes]byte)
 	defer copyBuffers.Put(buffer)
 	streaming := response.ContentLength < 0
 	control := http.NewResponseController(a.writer)
-	var lost *passError
+	var writeErr *relayError
 	for {
 		n, readErr := response.Body.Read(buffer[:])
 		if n > 0 && a.record != nil {
-			a.record.body(buffer[:n])
+			a.record.recordBody(buffer[:n])
 		}
-		if n > 0 && lost == nil {
-			lost = a.writePiece(buffer[:n], streaming, control)
+		if n > 0 && writeErr == nil {
+			writeErr = a.writeChunk(buffer[:n], streaming, control)
 		}
 		switch {
 		case readErr == io.EOF:
-			return lost
+			return writeErr
 		case readErr != nil:
-			return &passError{side: backendSide, cause: readErr}
-		case lost != nil && a.record == nil:
-			return lost
+			return &relayError{side: backendSide, cause: readErr}
+		case writeErr != nil && a.record == nil:
+			return writeErr
 		}
 	}
 }
 
-func (a *attempter) writePiece(piece []byte, streaming bool, control *http.ResponseController) *passError {
-	if _, err := a.writer.Write(piece); err != nil {
-		return &passError{side: callerSide, cause: err}
+func (a *attempter) writeChunk(chunk []byte, streaming bool, control *http.ResponseController) *relayError {
+	if _, err := a.writer.Write(chunk); err != nil {
+		return &relayError{side: callerSide, cause: err}
 	}
 	if !streaming {
 		return nil
 	}
 	if err := control.Flush(); err != nil {
-		return &passError{side: callerSide, cause: err}
+		return &relayError{side: callerSide, cause: err}
 	}
 	return nil
 }
 
-// passUpgrade joins the caller's connection to the back end's after a 101
-// answer, until either side ends.
-func (a *attempter) passUpgrade(response *http.Response) *passError {
+// relayUpgrade pipes data between the connections of the caller and the back end after a 101
+// response, until either side closes.
+func (a *attempter) relayUpgrade(response *http.Response) *relayError {
 	upstream, ok := response.Body.(io.ReadWriteCloser)
 	if !ok {
-		return &passError{side: backendSide, cause: io.ErrUnexpectedEOF}
+		return &relayError{side: backendSide, cause: io.ErrUnexpectedEOF}
 	}
 	header := a.writer.Header()
 	header.Set("Connection", "Upgrade")
@@ -126,15 +125,15 @@
 	a.writer.WriteHeader(http.StatusSwitchingProtocols)
 	downstream, buffered, err := http.NewResponseController(a.writer).Hijack()
 	if err != nil {
-		return &passError{side: callerSide, cause: err}
+		return &relayError{side: callerSide, cause: err}
 	}
 	a.handler.upgraded.Add(1)
 	defer a.handler.upgraded.Done()
 	defer downstream.Close()
-	a.answered(resultcode.Answered)
+	a.recordAnswered(resultcode.Answered)
 	done := make(chan struct{}, 2)
-	go join(upstream, buffered, done)
-	go join(downstream, upstream, done)
+	go pipe(upstream, buffered, done)
+	go pipe(downstream, upstream, done)
 	<-done
 	upstream.Close()
 	downstream.Close()
@@ -142,9 +141,9 @@
 	return nil
 }
 
-// join copies until either end closes. The error is the end of the session and
-// has no one to go to.
-func join(target io.Writer, source io.Reader, done chan<- struct{}) {
+// pipe copies until either end closes. The copy error is dropped: it only marks the end of the
+// session.
+func pipe(target io.Writer, source io.Reader, done chan<- struct{}) {
 	_, _ = io.Copy(target, source)
 	done <- struct{}{}
 }
--- a/frontend/attempt.go
+++ b/frontend/attempt.go
@@ -18,61 +18,60 @@
 	"github.com/tuliphall/tuliphall/signals"
 )
 
-// attempter sees one call through its attempts.
+// attempter makes the attempts of one call.
 type attempter struct {
 	handler  *Handler
 	call     *call
 	writer   http.ResponseWriter
 	deadline *time.Timer
-	record   *operationRecord // of an operation; nil otherwise
-	got      *received        // the answer that is passed on; nil before
+	record   *responseRecorder // of an operation; nil otherwise
+	relayed  *backendResponse  // the response that is relayed to the caller; nil before
 }
 
-// run sends the call to back ends until one answers or no retry is allowed,
-// and returns the code it ended with.
+// run sends the call to back ends until one responds or no retry is allowed, and returns the result
+// code of the call.
 func (a *attempter) run(ctx context.Context) resultcode.Code {
-	var last *resultcode.Failure // what the caller is told if nothing better comes
+	var last *resultcode.Failure // reported to the caller if no later attempt succeeds
 	kind := retry.First
 	for number := 1; ; number++ {
-		chosen, err := a.acquire(ctx, kind, a.call.wanted(a.call.decision.Wait, a.handler.options.Zone))
+		permit, err := a.acquirePermit(ctx, kind, a.call.permitRequest(a.call.decision.Wait, a.handler.options.Zone))
 		if errors.Is(err, service.ErrOverBudget) {
 			a.handler.log.Info("not retried", "request", a.call.id, "service", a.call.service.Name(), "error", err)
 			break
 		}
 		failure := resultcode.AsFailure(err, resultcode.NoBackend)
-		if chosen != nil {
-			failure = a.once(ctx, chosen)
+		if permit != nil {
+			failure = a.attemptOnce(ctx, permit)
 		}
 		if failure == nil {
 			return resultcode.Answered
 		}
-		last = worse(last, failure)
-		if chosen == nil || !a.mayRetry(failure, number) {
+		last = failureToReport(last, failure)
+		if permit == nil || !a.mayRetry(failure, number) {
 			break
 		}
 		kind = retry.KindAfter(failure.Code)
 	}
-	a.refuse(last)
+	a.respondFailure(last)
 	return last.Code
 }
 
-// worse returns the failure that the caller is told of two: the later one, unless
-// only the earlier attempt may have run.
-func worse(earlier, later *resultcode.Failure) *resultcode.Failure {
+// failureToReport returns which of two failures is reported to the caller: the later one, unless only
+// the earlier attempt may have run the request.
+func failureToReport(earlier, later *resultcode.Failure) *resultcode.Failure {
 	if earlier != nil && earlier.Code.Info().Run != resultcode.NotRun && later.Code.Info().Run == resultcode.NotRun {
 		return earlier
 	}
 	return later
 }
 
-// mayRetry says whether another attempt is asked for after one that failed, and logs
-// it.
+// mayRetry decides whether to try another attempt after a failed one, and logs the verdict.
 func (a *attempter) mayRetry(failure *resultcode.Failure, number int) bool {
 	c := a.call
 	if len(c.tried) == 0 {
-		return false // it was never sent
+		return false // the request was never sent
 	}
-	// A second attempt beside the first counts, too.
+	// A hedge counts as an attempt, too.
 	sent := max(len(c.tried), number) - c.unsent
 	verdict := retry.Evaluate(retry.Attempt{
 		Code: failure.Code, Number: sent, Unsent: c.unsent, MaxAttempts: c.route.Attempts, Repeatable: c.decision.Retry, UpstreamRetry: c.attempt > 1,
@@ -84,112 +83,111 @@
 	return verdict == retry.Allowed
 }
 
-// once makes one attempt at a place. It returns nil once an answer, or a part of one,
-// has been passed on.
-func (a *attempter) once(ctx context.Context, chosen *place) *resultcode.Failure {
-	if chosen.kind == retry.Retry {
+// attemptOnce makes one attempt with a permit. It returns nil if the response has been relayed, in
+// whole or in part.
+func (a *attempter) attemptOnce(ctx context.Context, permit *grantedPermit) *resultcode.Failure {
+	if permit.kind == retry.Retry {
 		a.handler.metrics.retries.Inc(1)
 	}
-	first, failure := a.prepare(chosen)
+	first, failure := a.prepare(permit)
 	if failure != nil {
 		return failure
 	}
-	if hedgeAt, may := a.hedgeAt(chosen); may {
-		return a.race(ctx, first, hedgeAt)
+	if hedgeAt, may := a.hedgeAt(permit); may {
+		return a.runHedged(ctx, first, hedgeAt)
 	}
-	got, failure := a.exchange(ctx, first)
+	resp, failure := a.exchange(ctx, first)
 	if failure != nil {
-		a.call.noteFailure(failure)
+		a.call.recordFailure(failure)
 		return failure
 	}
-	a.deliver(got)
+	a.deliver(resp)
 	return nil
 }
 
-func (a *attempter) logDecision(chosen *place) {
-	a.handler.metrics.waited.RecordDuration(chosen.waited)
+func (a *attempter) logDecision(permit *grantedPermit) {
+	a.handler.metrics.waited.RecordDuration(permit.waited)
 	if !a.handler.options.LogDecisions() {
 		return
 	}
 	c := a.call
 	a.handler.routing.LogAttrs(context.Background(), slog.LevelInfo, "chosen",
-		slog.String("request", c.id), slog.String("attempt_kind", chosen.kind.String()),
+		slog.String("request", c.id), slog.String("attempt_kind", permit.kind.String()),
 		slog.String("service", c.service.Name()), slog.String("class", c.decision.Class),
-		slog.String("backend", chosen.backend), slog.String("dispatcher", chosen.dispatcher),
-		slog.String("reason", string(chosen.reason)), slog.Int("candidates", chosen.candidates),
-		slog.Duration("report_age", chosen.reportAge), slog.Duration("waited", chosen.waited),
+		slog.String("backend", permit.backend), slog.String("dispatcher", permit.dispatcher),
+		slog.String("reason", string(permit.reason)), slog.Int("candidates", permit.candidates),
+		slog.Duration("report_age", permit.reportAge), slog.Duration("waited", permit.waited),
 		slog.Duration("remaining", time.Until(c.deadline)))
 }
 
-// outbound is a request that is ready to be sent to the back end of a place.
-type outbound struct {
-	chosen  *place
+// outboundRequest is a request that is ready to be sent to the back end of a permit.
+type outboundRequest struct {
+	permit  *grantedPermit
 	client  *backend.Client
 	request *http.Request
 }
 
-// prepare logs the choice and builds the request. Where it fails, the place is
-// given back.
-func (a *attempter) prepare(chosen *place) (*outbound, *resultcode.Failure) {
-	a.logDecision(chosen)
+// prepare logs the decision and builds the request. If it fails, it releases the permit.
+func (a *attempter) prepare(permit *grantedPermit) (*outboundRequest, *resultcode.Failure) {
+	a.logDecision(permit)
 	c := a.call
-	client, started := c.service.Client(chosen.backend)
+	client, started := c.service.Client(permit.backend)
 	if client == nil {
-		chosen.done(routing.Canceled, 0, nil)
-		return nil, &resultcode.Failure{Code: resultcode.NoBackend, Detail: "the back end was taken out of the placement", RetryAfter: dispatch.RetryAfterRefusal(chosen.waited)}
+		permit.done(routing.Canceled, 0, nil)
+		return nil, &resultcode.Failure{Code: resultcode.NoBackend, Detail: "the back end was taken out of the placement", RetryAfter: dispatch.RetryAfterRefusal(permit.waited)}
 	}
 	if refused := a.handler.options.Quarantine.Check(c.fingerprints); refused != nil {
-		// The daemon that gave the place had not heard of it.
-		chosen.done(routing.Canceled, 0, nil)
+		// The daemon that granted the permit did not know yet that the request is quarantined.
+		permit.done(routing.Canceled, 0, nil)
 		return nil, refused
 	}
 	if !c.caller.Holds(a.handler.options.Services.Snapshot()) {
-		// The key was withdrawn while the request waited.
-		chosen.done(routing.Canceled, 0, nil)
+		// The tenant's key was revoked while the request was queued.
+		permit.done(routing.Canceled, 0, nil)
 		return nil, &resultcode.Failure{Code: resultcode.Unauthorized, Detail: identity.ErrUnknownKey.Error()}
 	}
-	if a.record != nil && !a.record.usable() {
-		chosen.done(routing.Canceled, 0, nil)
+	if a.record != nil && !a.record.claimValid() {
+		permit.done(routing.Canceled, 0, nil)
 		return nil, &resultcode.Failure{Code: resultcode.StoreUnavailable, Detail: "the claim lapsed before the request could be sent"}
 	}
-	c.tried = append(c.tried, chosen.backend)
-	chosen.started = started
-	return &outbound{chosen: chosen, client: client, request: c.toBackend(chosen.backend, a.handler.options.Dialect)}, nil
+	c.tried = append(c.tried, permit.backend)
+	permit.started = started
+	return &outboundRequest{permit: permit, client: client, request: c.backendRequest(permit.backend, a.handler.options.Dialect)}, nil
 }
 
-// received is an answer whose body is still to be read.
-type received struct {
-	refused  bool // the back end says that it did not run the request
-	chosen   *place
+// backendResponse is a response whose body has not been read yet.
+type backendResponse struct {
+	refused  bool // the back end states that it did not run the request
+	permit   *grantedPermit
 	response *http.Response
 	latency  time.Duration
 	report   *routing.Report
 }
 
-// exchange sends the request and returns the answer. It blocks until the answer's
-// header is there; a failed exchange has given its place back.
-func (a *attempter) exchange(ctx context.Context, sent *outbound) (*received, *resultcode.Failure) {
-	chosen := sent.chosen
+// exchange sends the request and returns the response. It blocks until the header of the response has
+// arrived. If the exchange fails, the permit has been released.
+func (a *attempter) exchange(ctx context.Context, sent *outboundRequest) (*backendResponse, *resultcode.Failure) {
+	permit := sent.permit
 	response, err := sent.client.Do(ctx, sent.request)
 	if err != nil {
-		return nil, a.sendFailed(chosen, err)
+		return nil, a.handleExchangeError(permit, err)
 	}
-	got := &received{chosen: chosen, response: response, latency: time.Since(chosen.sent), report: a.load(response)}
-	got.refused = a.refused(response)
+	resp := &backendResponse{permit: permit, response: response, latency: time.Since(permit.sent), report: a.loadReport(response)}
+	resp.refused = a.isRefusal(response)
 	a.handler.options.Signals.Observe(signals.Response{
-		Key: backend.Key{Service: a.call.service.Name(), Backend: chosen.backend}, Started: chosen.started, Sent: chosen.sent,
-		RequestID: a.call.id, Status: response.StatusCode, Header: response.Header, Refused: got.refused,
+		Key: backend.Key{Service: a.call.service.Name(), Backend: permit.backend}, Started: permit.started, Sent: permit.sent,
+		RequestID: a.call.id, Status: response.StatusCode, Header: response.Header, Refused: resp.refused,
 	})
-	if !got.refused {
-		return got, nil
+	if !resp.refused {
+		return resp, nil
 	}
 	response.Body.Close()
-	chosen.done(got.outcome(), 0, got.report)
-	return nil, &resultcode.Failure{Code: resultcode.BackendRefused, Detail: "back end " + chosen.backend, RetryAfter: dispatch.RetryAfterRefusal(chosen.waited)}
+	permit.done(resp.outcome(), 0, resp.report)
+	return nil, &resultcode.Failure{Code: resultcode.BackendRefused, Detail: "back end " + permit.backend, RetryAfter: dispatch.RetryAfterRefusal(permit.waited)}
 }
 
-// outcome says what the answer tells of the back end.
-func (r *received) outcome() routing.Outcome {
+// outcome classifies the response for the state of the back end.
+func (r *backendResponse) outcome() routing.Outcome {
 	switch {
 	case signals.RequestsPause(r.response):
 		return routing.PushedBack
@@ -201,35 +199,35 @@
 	return routing.Success
 }
 
-// discard gives an answer up that nobody needs any more.
-func (r *received) discard() {
+// discard closes a response that is not needed any more and releases its permit.
+func (r *backendResponse) discard() {
 	r.response.Body.Close()
-	r.chosen.done(r.outcome(), r.latency, r.report)
+	r.permit.done(r.outcome(), r.latency, r.report)
 }
 
-// deliver passes the answer on.
-func (a *attempter) deliver(got *received) {
-	defer got.response.Body.Close()
-	a.got = got
+// deliver relays the response to the caller and releases the permit.
+func (a *attempter) deliver(resp *backendResponse) {
+	defer resp.response.Body.Close()
+	a.relayed = resp
 	a.deadline.Stop()
-	// The place is held until the whole answer has been read, as the back
-	// end's slot is. A caller that does not take the answer says nothing about
-	// the back end.
-	outcome := got.outcome()
-	defer func() { got.chosen.done(outcome, got.latency, got.report) }()
-	if err := a.pass(got.response, got.chosen.backend, resultcode.Answered); err != nil {
+	// The permit is held until the whole response has been read, because the back end's slot is
+	// occupied until then. A caller that does not read the response does not affect the state of the
+	// back end.
+	outcome := resp.outcome()
+	defer func() { resp.permit.done(outcome, resp.latency, resp.report) }()
+	if err := a.relay(resp.response, resp.permit.backend, resultcode.Answered); err != nil {
 		outcome = err.outcome()
-		if err.side == backendSide && a.endedUnder(got.chosen) {
+		if err.side == backendSide && a.crashedDuring(resp.permit) {
 			outcome = routing.ProcessExited
 		}
-		a.abort(err)
-	} else if got.response.StatusCode < http.StatusInternalServerError {
+		a.abortResponse(err)
+	} else if resp.response.StatusCode < http.StatusInternalServerError {
 		a.handler.options.Quarantine.RecordSuccess(a.call.fingerprints)
 	}
 }
 
-// refused says whether the back end says that it did not run the request.
-func (a *attempter) refused(response *http.Response) bool {
+// isRefusal reports whether the back end states that it did not run the request.
+func (a *attempter) isRefusal(response *http.Response) bool {
 	dialect := a.handler.options.Dialect
 	if dialect.NotRun != "" && response.Header.Get(dialect.NotRun) != "" {
 		return true
@@ -241,7 +239,7 @@
 	return refusal != 0 && response.StatusCode == refusal
 }
 
-func (a *attempter) sendFailed(chosen *place, err error) *resultcode.Failure {
+func (a *attempter) handleExchangeError(permit *grantedPermit, err error) *resultcode.Failure {
 	var failed *backend.Failure
 	if !errors.As(err, &failed) {
 		failed = &backend.Failure{Code: resultcode.ConnectionBroken, Cause: err}
@@ -253,15 +251,15 @@
 	switch {
 	case failed.Code == resultcode.ConnectFailed && backend.IsRefused(failed.Cause):
 		outcome = routing.ConnectionRefused
-	case failed.Code == resultcode.ConnectionBroken && a.endedUnder(chosen):
+	case failed.Code == resultcode.ConnectionBroken && a.crashedDuring(permit):
 		outcome = routing.ProcessExited
 	}
-	chosen.done(outcome, 0, nil)
-	return &resultcode.Failure{Code: failed.Code, Detail: "back end " + chosen.backend + ": " + failed.Cause.Error()}
+	permit.done(outcome, 0, nil)
+	return &resultcode.Failure{Code: failed.Code, Detail: "back end " + permit.backend + ": " + failed.Cause.Error()}
 }
 
-// load returns the load that the back end tells with an answer; nil where it tells none.
-func (a *attempter) load(response *http.Response) *routing.Report {
+// loadReport returns the load report of a response; nil if it has none.
+func (a *attempter) loadReport(response *http.Response) *routing.Report {
 	dialect := a.handler.options.Dialect
 	report, ok := dialect.ParseReport(response.Header.Get(dialect.Report))
 	if !ok {
@@ -270,12 +268,12 @@
 	return new(routing.Report(report))
 }
 
-// abort breaks off an answer that has begun, so that the caller cannot take it
-// for whole.
-func (a *attempter) abort(err *passError) {
-	a.logBrokenOff(err)
+// abortResponse aborts a response that has been started, so that the caller cannot mistake it for a
+// complete one.
+func (a *attempter) abortResponse(err *relayError) {
+	a.logAborted(err)
 	if a.record != nil && err.side == backendSide {
-		a.record.broken()
+		a.record.recordIncomplete()
 	}
 	panic(http.ErrAbortHandler)
 }
--- a/frontend/attempt_test.go
+++ b/frontend/attempt_test.go
@@ -8,8 +8,8 @@
 	"github.com/tuliphall/tuliphall/resultcode"
 )
 
-// TestWorseFailureIsTold never says "not run" of a request whose earlier attempt may
-// have run.
+// TestWorseFailureIsTold guards against the caller being told "not run" although an earlier attempt
+// may have run the request.
 func TestWorseFailureIsTold(t *testing.T) {
 	failure := func(code resultcode.Code) *resultcode.Failure { return &resultcode.Failure{Code: code} }
 	for _, one := range []struct {
@@ -23,6 +23,6 @@
 		{"the later may have run", failure(resultcode.BackendRefused), failure(resultcode.ConnectionBroken), resultcode.ConnectionBroken},
 		{"both may have run", failure(resultcode.ConnectionBroken), failure(resultcode.DeadlineExceeded), resultcode.DeadlineExceeded},
 	} {
-		require.Equal(t, one.want, worse(one.earlier, one.later).Code, one.name)
+		require.Equal(t, one.want, failureToReport(one.earlier, one.later).Code, one.name)
 	}
 }
--- a/frontend/call.go
+++ b/frontend/call.go
@@ -22,42 +22,40 @@
 	"github.com/tuliphall/tuliphall/service"
 )
 
-// Headers that travel with a request from level to level and between daemons.
+// Headers of requests between the levels of a call chain and between daemons, and of responses.
 const (
-	// HeaderRequestID identifies a request in logs, in the project's dialect.
+	// HeaderRequestID identifies a request in logs, in the default dialect.
 	HeaderRequestID = backend.HeaderRequestID
-	// HeaderDeadline holds the milliseconds that remain, in the project's
-	// dialect.
+	// HeaderDeadline holds the remaining time in milliseconds, in the default dialect.
 	HeaderDeadline = backend.HeaderDeadline
 	// HeaderAttempt holds the number of this attempt, 1 for the first.
 	HeaderAttempt = "Tuliphall-Attempt"
-	// HeaderDepth holds how many load-balanced calls lead to this one.
+	// HeaderDepth holds the number of load-balanced calls that led to this one.
 	HeaderDepth = "Tuliphall-Depth"
 	// HeaderForwardedBy names the daemon that forwarded the request.
 	HeaderForwardedBy = "Tuliphall-Forwarded-By"
-	// HeaderFingerprint tells the daemon that a request is forwarded to what the request
-	// shares with its repeats.
+	// HeaderFingerprint holds the exact fingerprint of a forwarded request.
 	HeaderFingerprint = "Tuliphall-Fingerprint"
-	// HeaderCaller tells the daemon that a request is forwarded to whose request it is.
+	// HeaderCaller names the tenant of a forwarded request.
 	HeaderCaller = "Tuliphall-Caller"
 	// HeaderBackend names the back end that answered.
 	HeaderBackend = "Tuliphall-Backend"
 )
 
-// ownHeaders are the project's own headers on requests. Back ends that expect
-// nothing besides their dialect do not get them.
+// ownHeaders are the tuliphall headers of requests. They are removed for back ends with a transparent
+// dialect.
 var ownHeaders = []string{HeaderAttempt, HeaderDepth, HeaderForwardedBy, HeaderFingerprint, HeaderCaller}
 
-// Bounds on what a caller may ask.
+// Limits on requests.
 const (
 	maxDepth           = 64
 	maxRequestIDLength = 128
 	maxKeyLength       = 256
-	// maxBuffered is the largest body kept so that it can be sent again.
-	maxBuffered = 64 << 10
+	// maxBufferedBytes is the size of the largest body that is buffered to be sent again.
+	maxBufferedBytes = 64 << 10
 )
 
-// call is one request on its way.
+// call is the state of one request.
 type call struct {
 	id       string
 	service  *service.Service
@@ -65,61 +63,62 @@
 	decision policy.Decision
 	deadline time.Time
 	caller   identity.Caller
-	// identified: tenants are declared, so that requests carry keys.
-	identified bool
-	depth      int
-	attempt    int  // as the caller numbered it
-	forwarded  bool // by another daemon
-	body       []byte
-	buffered   bool // body holds the whole body
-	upgrade    bool
-	request    *http.Request
-	received   time.Time
-	firstTry   time.Time // when the caller first asked, as far as it tells
-	unsent     int       // of the attempts, those that were never sent
-	tried      []string  // ids of the back ends it was sent to, in order
-	// fingerprints are what the request shares with its repeats.
+	// tenantsDeclared tells that tenants are declared, so that requests carry keys.
+	tenantsDeclared bool
+	depth           int
+	attempt         int  // attempt number stated by the caller
+	forwarded       bool // by another daemon
+	body            []byte
+	buffered        bool // body holds the whole body
+	upgrade         bool
+	request         *http.Request
+	received        time.Time
+	firstTry        time.Time // estimated time of the caller's first try
+	unsent          int       // number of attempts that were never sent
+	tried           []string  // ids of the back ends of all attempts, in order
+	// fingerprints identify the request and its repeats.
 	fingerprints quarantine.Fingerprints
-	refusedBy    string // daemon that refused a place; empty: none did
-	// hedge is why a second attempt was due, and why none was made if so; empty: none was due.
+	refusedBy    string // daemon that refused a permit; empty: none did
+	// hedge tells why a hedge was due and, if it was not made, why not; empty: none was due.
 	hedge string
 }
 
-// headers are the numbers a caller may send.
-type headers struct {
-	remaining time.Duration // 0: none given
+// callHeaders holds the numeric headers that a caller may send.
+type callHeaders struct {
+	remaining time.Duration // 0: not sent
 	attempt   int
 	depth     int
 }
 
-// noteFailure notes how an exchange with a back end failed. The call's own goroutine calls it.
-func (c *call) noteFailure(failure *resultcode.Failure) {
+// recordFailure counts a failed exchange if the request was never sent. It must be called by the
+// goroutine that owns the call.
+func (c *call) recordFailure(failure *resultcode.Failure) {
 	if failure.Code == resultcode.ConnectFailed {
 		c.unsent++
 	}
 }
 
-func parseHeaders(header http.Header, dialect backend.Dialect) (headers, error) {
-	parsed := headers{attempt: 1}
-	milliseconds, err := number(header, dialect.Deadline, 0, 1, int((24 * time.Hour).Milliseconds()))
+func parseHeaders(header http.Header, dialect backend.Dialect) (callHeaders, error) {
+	parsed := callHeaders{attempt: 1}
+	milliseconds, err := integerHeader(header, dialect.Deadline, 0, 1, int((24 * time.Hour).Milliseconds()))
 	if err != nil {
-		return headers{}, err
+		return callHeaders{}, err
 	}
 	parsed.remaining = time.Duration(milliseconds) * time.Millisecond
-	if parsed.attempt, err = number(header, HeaderAttempt, 1, 1, 1000); err != nil {
-		return headers{}, err
+	if parsed.attempt, err = integerHeader(header, HeaderAttempt, 1, 1, 1000); err != nil {
+		return callHeaders{}, err
 	}
-	if parsed.depth, err = number(header, HeaderDepth, 0, 0, maxDepth); err != nil {
-		return headers{}, err
+	if parsed.depth, err = integerHeader(header, HeaderDepth, 0, 0, maxDepth); err != nil {
+		return callHeaders{}, err
 	}
 	return parsed, nil
 }
 
-// number reads an integer header; missing gives the value when it is not sent.
-func number(header http.Header, name string, missing, low, high int) (int, error) {
+// integerHeader parses an integer header. It returns defaultValue if the header is not sent.
+func integerHeader(header http.Header, name string, defaultValue, low, high int) (int, error) {
 	text := header.Get(name)
 	if text == "" {
-		return missing, nil
+		return defaultValue, nil
 	}
 	value, err := strconv.Atoi(text)
 	if err != nil || value < low || value > high {
@@ -128,7 +127,7 @@
 	return value, nil
 }
 
-// requestID takes the caller's id if it is short and printable, or makes one.
+// requestID returns the caller's request id if it is short and printable, else a new one.
 func (h *Handler) requestID(header http.Header) string {
 	id := header.Get(h.options.Dialect.RequestID)
 	if id != "" && len(id) <= maxRequestIDLength && printable(id) {
@@ -146,24 +145,24 @@
 	return true
 }
 
-// newCall reads what the request asks for. The error is a *resultcode.Failure.
-func (h *Handler) newCall(r *http.Request, id string, route *config.RunningRoute, running *service.Service, caller identity.Caller) (*call, *resultcode.Failure) {
+// newCall creates a call from the request's headers, policy and body.
+func (h *Handler) newCall(r *http.Request, id string, route *config.RunningRoute, svc *service.Service, caller identity.Caller) (*call, *resultcode.Failure) {
 	parsed, err := parseHeaders(r.Header, h.options.Dialect)
 	if err != nil {
 		return nil, &resultcode.Failure{Code: resultcode.BadRequest, Detail: err.Error()}
 	}
-	target := running.Target()
+	target := svc.Target()
 	decision, err := route.Policy.Evaluate(policy.Request{Method: r.Method, Path: r.URL.Path, Header: r.Header})
 	if err != nil {
 		h.metrics.policyErrors.Inc(1)
-		h.log.Warn("policy failed, safe defaults used", "request", id, "service", target.Service.Name, "error", err)
+		h.log.Warn("policy evaluation failed; using safe defaults", "request", id, "service", target.Service.Name, "error", err)
 	}
 	if caller.Tenant != nil && caller.Tenant.Weight > 0 {
 		decision.Weight = caller.Tenant.Weight
 	}
 	now := time.Now()
 	c := &call{
-		id: id, service: running, route: route, decision: decision, request: r, received: now, caller: caller,
+		id: id, service: svc, route: route, decision: decision, request: r, received: now, caller: caller,
 		depth: parsed.depth, attempt: parsed.attempt,
 		upgrade: r.Header.Get("Upgrade") != "",
 	}
@@ -171,19 +170,19 @@
 	if parsed.remaining > 0 && now.Add(parsed.remaining).Before(c.deadline) {
 		c.deadline = now.Add(parsed.remaining)
 	}
-	c.firstTry = now.Add(-h.patience.waited(route.Name, parsed.remaining))
+	c.firstTry = now.Add(-h.patience.elapsedWait(route.Name, parsed.remaining))
 	if decision.Once {
-		if failure := checkKey(decision.Key); failure != nil {
+		if failure := checkIdempotencyKey(decision.Key); failure != nil {
 			return nil, failure
 		}
 	}
-	if failure := c.buffer(); failure != nil {
+	if failure := c.bufferBody(); failure != nil {
 		return nil, failure
 	}
 	return c, nil
 }
 
-func checkKey(key string) *resultcode.Failure {
+func checkIdempotencyKey(key string) *resultcode.Failure {
 	if key == "" {
 		return &resultcode.Failure{Code: resultcode.KeyMissing, Detail: "send the header " + policy.HeaderIdempotencyKey}
 	}
@@ -202,14 +201,14 @@
 	return 0
 }
 
-// buffer keeps a small body of known length, so that it can be sent again.
-func (c *call) buffer() *resultcode.Failure {
+// bufferBody reads a small body of known length into memory, so that it can be sent again.
+func (c *call) bufferBody() *resultcode.Failure {
 	length := c.request.ContentLength
 	if length == 0 {
 		c.buffered = true
 		return nil
 	}
-	if length < 0 || length > maxBuffered || c.upgrade {
+	if length < 0 || length > maxBufferedBytes || c.upgrade {
 		return nil
 	}
 	body := make([]byte, length)
@@ -220,64 +219,64 @@
 	return nil
 }
 
-// headerForwardedFor lists the addresses a request came through.
+// headerForwardedFor lists the addresses that a request has passed through.
 const headerForwardedFor = "X-Forwarded-For"
 
-// callerOf returns the caller's IP, of an address with a port; empty: there is none.
-func callerOf(remote string) string {
-	host, _, err := net.SplitHostPort(remote)
+// callerIP returns the IP of an address with a port; empty: the address is not valid.
+func callerIP(address string) string {
+	host, _, err := net.SplitHostPort(address)
 	if err != nil {
 		return ""
 	}
 	return host
 }
 
-// appendForwardedFor adds the caller's IP to those that the request came through.
-func appendForwardedFor(header http.Header, remote string) {
-	host := callerOf(remote)
+// appendForwardedFor appends the caller's IP to the X-Forwarded-For header.
+func appendForwardedFor(header http.Header, address string) {
+	host := callerIP(address)
 	if host == "" {
 		return
 	}
-	if before := header.Get(headerForwardedFor); before != "" {
-		host = before + ", " + host
+	if previous := header.Get(headerForwardedFor); previous != "" {
+		host = previous + ", " + host
 	}
 	header.Set(headerForwardedFor, host)
 }
 
-// outgoing builds the request as sent to a back end or another daemon.
-func (c *call) outgoing(r *http.Request, dialect backend.Dialect) *http.Request {
-	out := &http.Request{
-		Method: r.Method, URL: targetOf(r), Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
+// outgoingRequest builds the request that is sent to a back end or another daemon.
+func (c *call) outgoingRequest(r *http.Request, dialect backend.Dialect) *http.Request {
+	outgoing := &http.Request{
+		Method: r.Method, URL: requestURL(r), Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 		Header: make(http.Header, len(r.Header)+4), Host: r.Host, ContentLength: r.ContentLength, Body: r.Body,
 	}
-	backend.CopyHeader(out.Header, r.Header)
+	backend.CopyHeader(outgoing.Header, r.Header)
 	if c.buffered {
-		out.Body = http.NoBody
+		outgoing.Body = http.NoBody
 		if len(c.body) > 0 {
-			out.Body = io.NopCloser(bytes.NewReader(c.body))
+			outgoing.Body = io.NopCloser(bytes.NewReader(c.body))
 		}
 	}
 	if c.upgrade {
-		out.Header.Set("Connection", "Upgrade")
-		out.Header.Set("Upgrade", r.Header.Get("Upgrade"))
+		outgoing.Header.Set("Connection", "Upgrade")
+		outgoing.Header.Set("Upgrade", r.Header.Get("Upgrade"))
 	}
-	c.nameCaller(out.Header, dialect)
+	c.setTenantHeader(outgoing.Header, dialect)
 	remaining := max(time.Until(c.deadline).Milliseconds(), 1)
-	out.Header.Set(dialect.Deadline, strconv.FormatInt(remaining, 10))
+	outgoing.Header.Set(dialect.Deadline, strconv.FormatInt(remaining, 10))
 	if dialect.Transparent {
-		return out
+		return outgoing
 	}
 	if !c.forwarded {
-		appendForwardedFor(out.Header, r.RemoteAddr)
+		appendForwardedFor(outgoing.Header, r.RemoteAddr)
 	}
-	out.Header.Set(dialect.RequestID, c.id)
-	return out
+	outgoing.Header.Set(dialect.RequestID, c.id)
+	return outgoing
 }
 
-// nameCaller puts the name of the tenant in the place of the key, and of whatever the caller
-// sent under the name of that header. Without declared tenants nothing is changed.
-func (c *call) nameCaller(header http.Header, dialect backend.Dialect) {
-	if !c.identified {
+// setTenantHeader removes the caller's key and sets the tenant header of the dialect to the name of
+// the tenant, replacing any value that the caller sent. Without declared tenants it changes nothing.
+func (c *call) setTenantHeader(header http.Header, dialect backend.Dialect) {
+	if !c.tenantsDeclared {
 		return
 	}
 	header.Del(identity.HeaderKey)
@@ -290,28 +289,28 @@
 	}
 }
 
-// targetOf returns a URL that is sent just as the request's target came, bytes
-// that would be escaped differently included.
-func targetOf(r *http.Request) *url.URL {
+// requestURL returns a URL that reproduces the target of the request byte for byte, including
+// characters that net/url would escape differently.
+func requestURL(r *http.Request) *url.URL {
 	if !strings.HasPrefix(r.RequestURI, "/") || strings.HasPrefix(r.RequestURI, "//") {
 		return cloneURL(r)
 	}
 	return &url.URL{Opaque: r.RequestURI}
 }
 
-// toBackend builds the request as sent to the back end of a grant.
-func (c *call) toBackend(id string, dialect backend.Dialect) *http.Request {
-	out := c.outgoing(c.request, dialect)
+// backendRequest builds the request that is sent to a back end.
+func (c *call) backendRequest(id string, dialect backend.Dialect) *http.Request {
+	outgoing := c.outgoingRequest(c.request, dialect)
 	if dialect.Instance != "" {
-		out.Header.Set(dialect.Instance, id)
+		outgoing.Header.Set(dialect.Instance, id)
 	}
 	if dialect.Transparent {
 		for _, name := range ownHeaders {
-			out.Header.Del(name)
+			outgoing.Header.Del(name)
 		}
-		return out
+		return outgoing
 	}
-	out.Header.Set(HeaderAttempt, strconv.Itoa(max(len(c.tried), c.attempt)))
-	out.Header.Set(HeaderDepth, strconv.Itoa(c.depth+1))
-	return out
+	outgoing.Header.Set(HeaderAttempt, strconv.Itoa(max(len(c.tried), c.attempt)))
+	outgoing.Header.Set(HeaderDepth, strconv.Itoa(c.depth+1))
+	return outgoing
 }
--- a/frontend/call_test.go
+++ b/frontend/call_test.go
@@ -21,13 +21,13 @@
 	}
 	parsed, err := parseHeaders(http.Header{}, backend.DefaultDialect())
 	require.NoError(t, err)
-	require.Equal(t, headers{attempt: 1}, parsed)
+	require.Equal(t, callHeaders{attempt: 1}, parsed)
 }
 
 func TestOperationKeys(t *testing.T) {
-	require.Nil(t, checkKey("order-5"))
+	require.Nil(t, checkIdempotencyKey("order-5"))
 	for _, bad := range []string{"", "two words", "\x00", string(make([]byte, maxKeyLength+1))} {
-		require.NotNil(t, checkKey(bad))
+		require.NotNil(t, checkIdempotencyKey(bad))
 	}
 }
 
--- a/frontend/ending.go
+++ b/frontend/ending.go
@@ -9,19 +9,20 @@
 	"github.com/tuliphall/tuliphall/resultcode"
 )
 
-// Quarantine notes requests under which back ends end, and holds them back. No method blocks.
+// Quarantine records requests that crash back ends, and keeps them from other back ends. No method
+// blocks.
 type Quarantine interface {
-	// Check returns why a request must not reach a back end; nil: it may.
+	// Check returns the failure of a quarantined request, nil for any other.
 	Check(fingerprints quarantine.Fingerprints) *resultcode.Failure
-	// CrashCount returns under how many endings of back ends a request was.
+	// CrashCount returns how many back ends crashed while they ran a request or its repeats.
 	CrashCount(fingerprints quarantine.Fingerprints) int
-	// RecordCrash notes that a back end ended while it ran a request.
+	// RecordCrash records that a back end crashed while it ran a request.
 	RecordCrash(identity quarantine.Identity, service string, backend quarantine.BackendRun)
-	// RecordSuccess notes that a back end answered a request.
+	// RecordSuccess records that a back end answered a request.
 	RecordSuccess(fingerprints quarantine.Fingerprints)
 }
 
-// noQuarantine notes nothing.
+// noQuarantine quarantines nothing.
 type noQuarantine struct{}
 
 func (noQuarantine) Check(quarantine.Fingerprints) *resultcode.Failure              { return nil }
@@ -30,43 +31,43 @@
 func (noQuarantine) RecordSuccess(quarantine.Fingerprints)                          {}
 
 const (
-	// livenessWait is how long a request whose connection broke waits to learn whether its
-	// back end has ended. A refusal takes a round trip: 3 ms between zones.
+	// livenessWait is how long a request whose connection broke waits for the liveness check of its
+	// back end. A refused connection takes one round trip: 3 ms between zones.
 	livenessWait = 25 * time.Millisecond
-	// livenessAgain is when a back end that still accepts connections is looked at once
-	// more: a process that ends closes its connections and its listener one by one.
-	livenessAgain = 100 * time.Millisecond
+	// livenessRecheckDelay is the delay before the second check of a back end that still accepts
+	// connections: an exiting process closes its connections and its listener one by one.
+	livenessRecheckDelay = 100 * time.Millisecond
 )
 
-// identity is what tells the request apart from others but not from its repeats.
+// identity returns the properties that a request shares with its repeats but not with other requests.
 func (c *call) identity() quarantine.Identity {
 	return quarantine.Identity{
-		Method: c.request.Method, Host: c.request.Host, Target: c.request.RequestURI, Caller: callerOf(c.request.RemoteAddr),
+		Method: c.request.Method, Host: c.request.Host, Target: c.request.RequestURI, Caller: callerIP(c.request.RemoteAddr),
 		Body: c.body, Length: c.request.ContentLength,
 	}
 }
 
-// identify sets the call's fingerprints. The daemon that the caller reached has made the exact one
-// of a request that is forwarded, whose caller the other one does not see.
-func (c *call) identify() {
+// setFingerprints sets the call's fingerprints. The exact fingerprint of a forwarded request is computed by
+// the daemon that received it, because this daemon does not see the caller's address.
+func (c *call) setFingerprints() {
 	c.fingerprints = c.identity().Fingerprints()
 	if !c.forwarded {
 		return
 	}
-	if told, err := quarantine.ParseFingerprint(c.request.Header.Get(HeaderFingerprint)); err == nil {
-		c.fingerprints.Exact = told
+	if exact, err := quarantine.ParseFingerprint(c.request.Header.Get(HeaderFingerprint)); err == nil {
+		c.fingerprints.Exact = exact
 	}
 }
 
-// endedUnder says whether the back end of a place ended under the request, whose connection to it
-// broke. It blocks for at most livenessWait; the look goes on behind it.
-func (a *attempter) endedUnder(chosen *place) bool {
-	client, _ := a.call.service.Client(chosen.backend)
+// crashedDuring reports whether the back end of a permit, whose connection broke, crashed while it ran
+// the request. It blocks for at most livenessWait; the check continues in the background.
+func (a *attempter) crashedDuring(permit *grantedPermit) bool {
+	client, _ := a.call.service.Client(permit.backend)
 	if client == nil {
 		return false
 	}
 	first := make(chan backend.Liveness, 1)
-	go a.lookAt(client, chosen, first)
+	go a.checkLiveness(client, permit, first)
 	timer := time.NewTimer(livenessWait)
 	defer timer.Stop()
 	select {
@@ -77,35 +78,37 @@
 	}
 }
 
-// lookAt tells what became of a back end whose connection broke, and what it saw first.
-func (a *attempter) lookAt(client *backend.Client, chosen *place, first chan<- backend.Liveness) {
+// checkLiveness checks a back end whose connection broke, records the result and sends the result of
+// the first check to first.
+func (a *attempter) checkLiveness(client *backend.Client, permit *grantedPermit, first chan<- backend.Liveness) {
 	liveness := client.Liveness(context.Background())
 	if liveness != backend.Ended {
 		first <- liveness
-		time.Sleep(livenessAgain)
-		a.connectionBroke(chosen, client.Liveness(context.Background()))
+		time.Sleep(livenessRecheckDelay)
+		a.recordBrokenConnection(permit, client.Liveness(context.Background()))
 		return
 	}
-	a.connectionBroke(chosen, liveness)
+	a.recordBrokenConnection(permit, liveness)
 	first <- liveness
 }
 
-// connectionBroke logs and counts what became of a back end whose connection broke under the
-// request, and notes that it ended. One that was leaving ends by plan.
-func (a *attempter) connectionBroke(chosen *place, liveness backend.Liveness) {
+// recordBrokenConnection logs and counts a connection that broke during the request, by the liveness of
+// the back end, and records a crash if the back end's process has ended. The exit of a back end that gets
+// no new requests, for example as it is draining, is planned and not recorded as a crash.
+func (a *attempter) recordBrokenConnection(permit *grantedPermit, liveness backend.Liveness) {
 	c := a.call
 	a.handler.metrics.broken[liveness].Inc(1)
-	if liveness == backend.Ended && c.service.IsEligible(chosen.backend) {
-		a.handler.options.Quarantine.RecordCrash(c.identity(), c.service.Name(), quarantine.RunOf(chosen.backend, chosen.started))
+	if liveness == backend.Ended && c.service.IsEligible(permit.backend) {
+		a.handler.options.Quarantine.RecordCrash(c.identity(), c.service.Name(), quarantine.RunOf(permit.backend, permit.started))
 	}
-	a.handler.log.Info("connection broke", "request", c.id, "service", c.service.Name(), "backend", chosen.backend, "liveness", string(liveness),
-		"fingerprint", c.fingerprints.Exact.String(), "broad", c.fingerprints.Broad.String(), "attempt_kind", chosen.kind.String(), "method", c.request.Method, "target", shortened(c.request.RequestURI),
-		"caller", callerOf(c.request.RemoteAddr))
+	a.handler.log.Info("connection broke", "request", c.id, "service", c.service.Name(), "backend", permit.backend, "liveness", string(liveness),
+		"fingerprint", c.fingerprints.Exact.String(), "broad", c.fingerprints.Broad.String(), "attempt_kind", permit.kind.String(), "method", c.request.Method, "target", truncateTarget(c.request.RequestURI),
+		"caller", callerIP(c.request.RemoteAddr))
 }
 
-// maxLoggedTarget bounds what a line has of a request's target, in bytes.
+// maxLoggedTarget is the maximum number of bytes of a request's target in a log line.
 const maxLoggedTarget = 128
 
-func shortened(target string) string {
+func truncateTarget(target string) string {
 	return target[:min(len(target), maxLoggedTarget)]
 }
--- a/frontend/handler.go
+++ b/frontend/handler.go
@@ -26,56 +26,54 @@
 	"github.com/tuliphall/tuliphall/slots"
 )
 
-// Peers says which daemon dispatches a service. The frontend calls it for each
-// request; it must not block.
+// Peers provides the dispatcher of each service. It is called for each request and must not block.
 type Peers interface {
-	// DispatcherOf returns the daemon that dispatches the service, and false
-	// when it is this one.
+	// DispatcherOf returns the dispatcher of a service, and false if this daemon is the dispatcher.
 	DispatcherOf(service string) (member membership.Member, other bool)
-	// Daemons returns how many daemons take requests, this one included.
+	// Daemons returns the number of daemons that accept requests, including this one.
 	Daemons() int
-	// Suspect notes that a daemon could not be reached.
+	// Suspect reports that a daemon could not be reached.
 	Suspect(name string)
 }
 
-// Options are the frontend's collaborators.
+// Options configure a Handler.
 type Options struct {
-	Name     string // the daemon's
-	Zone     string // the daemon's
+	Name     string // of the daemon
+	Zone     string // of the daemon
 	Network  network.Network
 	Services *service.Registry
 	Peers    Peers
-	// Configured says whether what it takes to serve has been read: the configuration,
-	// and the back ends where they are listed elsewhere. It must not block. nil: yes.
+	// Configured reports whether the configuration and, if it is separate, the directory of back ends
+	// have been read. It must not block. nil: they have.
 	Configured func() bool
-	Slots      *slots.Client // asks other daemons for places
+	Slots      *slots.Client // requests permits from other daemons
 	Operations *operation.Claimer
-	// Quarantine holds back requests under which back ends end; nil: none is held back.
+	// Quarantine keeps requests that crash back ends from other back ends; nil: it is disabled.
 	Quarantine Quarantine
-	// Signals takes in what back ends say of themselves with their answers; nil: nobody does.
+	// Signals observes the signals that back ends send with their responses; nil: they are ignored.
 	Signals signals.Listener
 	Log     *slog.Logger
 	Metrics tally.Scope
-	// LogDecisions says whether each routing decision and each answered request
-	// gets a line; nil: none does. It must not block.
+	// LogDecisions reports whether each routing decision and each answered request is logged; nil:
+	// none is. It must not block.
 	LogDecisions func() bool
-	// Dialect is how callers and back ends spell headers.
+	// Dialect defines the header names that callers and back ends use.
 	Dialect backend.Dialect
 }
 
-// Handler serves callers. Use Forwarded for requests from other daemons.
+// Handler serves requests of callers. ForwardedHandler serves requests that other daemons forward.
 type Handler struct {
-	options   Options
-	log       *slog.Logger
-	routing   *slog.Logger
-	outcomes  *slog.Logger // of requests that were answered
-	metrics   *metrics
-	sequence  atomic.Uint64
-	inFlight  atomic.Int64
-	phase     float64 // of the turns by which routes divide requests
-	upgraded  sync.WaitGroup
-	forwarder *forwarder
-	patience  patience
+	options        Options
+	log            *slog.Logger
+	routing        *slog.Logger
+	outcomes       *slog.Logger // for answered requests
+	metrics        *metrics
+	sequence       atomic.Uint64
+	inFlight       atomic.Int64
+	splitPhase     float64 // random offset in the rotation by which routes split requests
+	upgraded       sync.WaitGroup
+	forwardClients *forwardClients
+	patience       patience
 }
 
 // NewHandler returns a handler.
@@ -93,15 +91,16 @@
 		options.LogDecisions = func() bool { return false }
 	}
 	h := &Handler{
-		options:   options,
-		log:       logging.Part(options.Log, "frontend"),
-		routing:   logging.Routine(logging.Part(options.Log, "routing")),
-		outcomes:  logging.Routine(logging.Part(options.Log, "frontend")),
-		metrics:   newMetrics(options.Metrics),
-		forwarder: newForwarder(options.Network),
-		phase:     rand.Float64(),
-	}
-	// Ids stay unique when a daemon is restarted under the same name.
+		options:        options,
+		log:            logging.Part(options.Log, "frontend"),
+		routing:        logging.Routine(logging.Part(options.Log, "routing")),
+		outcomes:       logging.Routine(logging.Part(options.Log, "frontend")),
+		metrics:        newMetrics(options.Metrics),
+		forwardClients: newForwardClients(options.Network),
+		splitPhase:     rand.Float64(),
+	}
+	// The sequence starts at the current time, so that request ids stay unique after a restart under
+	// the same name.
 	h.sequence.Store(uint64(time.Now().UnixNano()))
 	return h
 }
@@ -118,14 +117,14 @@
 
 // ServeHTTP serves a caller.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	// What only daemons may say is not taken from callers.
+	// Only daemons may set these headers.
 	r.Header.Del(HeaderForwardedBy)
 	r.Header.Del(HeaderFingerprint)
 	r.Header.Del(HeaderCaller)
 	h.serve(w, r, false)
 }
 
-// Repeatable says whether a request may be served twice: its policy lets it be sent
+// Repeatable reports whether a request may be served twice, because its policy allows it to be sent
 // again. It does not block.
 func (h *Handler) Repeatable(r *http.Request) bool {
 	if h.options.Services.Snapshot() == nil || !h.options.Configured() || r.Header.Get("Upgrade") != "" {
@@ -139,12 +138,12 @@
 	return err == nil && decision.Retry && !decision.Once
 }
 
-// RefuseAmbiguous answers a request whose head must not be served, as it could be read in two ways.
+// RefuseAmbiguous rejects a request whose header could be interpreted in two ways.
 func (h *Handler) RefuseAmbiguous(w http.ResponseWriter, r *http.Request, cause error) {
-	h.refuse(w, h.requestID(r.Header), &resultcode.Failure{Code: resultcode.AmbiguousRequest, Detail: cause.Error()})
+	h.respondFailure(w, h.requestID(r.Header), &resultcode.Failure{Code: resultcode.AmbiguousRequest, Detail: cause.Error()})
 }
 
-// ForwardedHandler serves requests that other daemons forward.
+// ForwardedHandler returns a handler for requests that other daemons forward.
 func (h *Handler) ForwardedHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		h.serve(w, r, true)
@@ -157,20 +156,20 @@
 	id := h.requestID(r.Header)
 	c, failure := h.admit(r, id, forwarded)
 	if failure != nil {
-		h.refuse(w, id, failure)
+		h.respondFailure(w, id, failure)
 		return
 	}
 	ctx, cancel := context.WithCancelCause(r.Context())
 	defer cancel(nil)
-	// The deadline is for the beginning of the answer: a long answer may take
-	// as long as its caller stays.
+	// The deadline applies to the start of the response: a long response may take as long as the
+	// caller stays connected.
 	timer := time.AfterFunc(time.Until(c.deadline), func() { cancel(context.DeadlineExceeded) })
 	defer timer.Stop()
 	a := &attempter{handler: h, call: c, writer: w, deadline: timer}
-	// A request under which back ends end reaches no more of them, whichever daemon it comes to:
-	// without this one request ended 81 back ends in 20 s (TestCrashingRequestIsStopped).
+	// A request that crashes back ends is kept from further ones, whichever daemon receives it. Without
+	// this, one request crashed 81 back ends in 20 s (TestCrashingRequestIsStopped).
 	if refused := h.options.Quarantine.Check(c.fingerprints); refused != nil {
-		a.refuse(refused)
+		a.respondFailure(refused)
 		return
 	}
 	if c.decision.Once {
@@ -183,11 +182,10 @@
 	a.run(ctx)
 }
 
-// notConfiguredRetryAfter is when a caller may come back to a daemon that has just
-// started.
+// notConfiguredRetryAfter is when a caller may retry at a daemon that has just started.
 const notConfiguredRetryAfter = 250 * time.Millisecond
 
-// admit finds the request's service and reads what it asks for.
+// admit authenticates the caller, selects the service of the request and creates a call.
 func (h *Handler) admit(r *http.Request, id string, forwarded bool) (*call, *resultcode.Failure) {
 	if h.options.Services.Snapshot() == nil || !h.options.Configured() {
 		return nil, &resultcode.Failure{Code: resultcode.NotConfigured, Detail: "configuration and back ends have not all been read yet", RetryAfter: notConfiguredRetryAfter}
@@ -197,27 +195,28 @@
 		return nil, &resultcode.Failure{Code: resultcode.NoService, Detail: "host " + r.Host + ", path " + r.URL.Path}
 	}
 	snapshot := h.options.Services.Snapshot()
-	caller, failure := identify(snapshot, r, route, forwarded)
+	caller, failure := identifyCaller(snapshot, r, route, forwarded)
 	if failure != nil {
 		return nil, failure
 	}
-	name := route.Choose(h.phase).Service.Name
-	running, ok := h.options.Services.Find(name)
+	name := route.Choose(h.splitPhase).Service.Name
+	svc, ok := h.options.Services.Find(name)
 	if !ok {
 		return nil, &resultcode.Failure{Code: resultcode.NoService, Detail: "service " + name}
 	}
-	c, failure := h.newCall(r, id, route, running, caller)
+	c, failure := h.newCall(r, id, route, svc, caller)
 	if failure != nil {
 		return nil, failure
 	}
-	c.forwarded, c.identified = forwarded, snapshot.HasTenants()
-	c.identify()
+	c.forwarded, c.tenantsDeclared = forwarded, snapshot.HasTenants()
+	c.setFingerprints()
 	return c, nil
 }
 
-// identify finds out whose request it is. A daemon that was not told of the tenant of a
-// forwarded request lacks news: the daemon that forwarded it serves it.
-func identify(snapshot *config.Snapshot, r *http.Request, route *config.RunningRoute, forwarded bool) (identity.Caller, *resultcode.Failure) {
+// identifyCaller returns the caller of a request. A daemon that does not know the tenant of a
+// forwarded request has a stale configuration: it refuses the request, and the daemon that forwarded
+// it serves it.
+func identifyCaller(snapshot *config.Snapshot, r *http.Request, route *config.RunningRoute, forwarded bool) (identity.Caller, *resultcode.Failure) {
 	if forwarded {
 		caller, known := identity.Told(snapshot, r.Header.Get(HeaderCaller))
 		if !known {
--- a/frontend/hedge.go
+++ b/frontend/hedge.go
@@ -9,72 +9,72 @@
 	"github.com/tuliphall/tuliphall/routing"
 )
 
-// result is how one exchange of a race ended: exactly one of got and failure is
-// set.
-type result struct {
-	number  int // of the exchange in its race
-	got     *received
+// exchangeResult is the result of one exchange of a hedged attempt: exactly one of resp and failure
+// is set.
+type exchangeResult struct {
+	number  int // index of the exchange in cancels
+	resp    *backendResponse
 	failure *resultcode.Failure
 }
 
-// race is one attempt that gets a second one beside it when it is slow. The first
-// answer counts, the other exchange is broken off. One goroutine owns it.
-type race struct {
-	attempter *attempter
-	results   chan result         // room for both
-	running   int                 // exchanges whose result is still to come
-	failure   *resultcode.Failure // of those that have failed; nil: none has
-	cancels   []context.CancelFunc
-	places    chan asked // room for the one that was asked for
-	asking    bool
+// hedgedAttempt is an attempt that is joined by a hedge if it is slow. The first response is used and
+// the other exchange canceled. It is owned by one goroutine.
+type hedgedAttempt struct {
+	attempter  *attempter
+	results    chan exchangeResult // buffered for both exchanges
+	running    int                 // exchanges without a result so far
+	failure    *resultcode.Failure // to report of the failed exchanges; nil: none has failed
+	cancels    []context.CancelFunc
+	permits    chan permitResult // buffered for the one that is requested
+	requesting bool
 }
 
-// asked is what became of asking for a place for the second attempt.
-type asked struct {
-	chosen *place // nil: there is none
-	err    error  // why
+// permitResult is the result of acquiring a permit for the hedge.
+type permitResult struct {
+	permit *grantedPermit // nil: none was granted
+	err    error          // why no permit was granted
 }
 
-// why says why there is no place.
-func (a asked) why() string {
+// reason returns why no permit was granted.
+func (a permitResult) reason() string {
 	if a.err == nil {
 		return "no place"
 	}
 	return a.err.Error()
 }
 
-// race sends the request and, if no answer has come when the policy says so, sends
-// it to another back end too. It returns nil once an answer has been passed on.
-func (a *attempter) race(ctx context.Context, first *outbound, hedgeAt time.Time) *resultcode.Failure {
-	r := &race{attempter: a, results: make(chan result, 2), places: make(chan asked, 1)}
+// runHedged sends the request and, if no response has arrived at hedgeAt, also sends it to another
+// back end. It returns nil once a response has been relayed.
+func (a *attempter) runHedged(ctx context.Context, first *outboundRequest, hedgeAt time.Time) *resultcode.Failure {
+	r := &hedgedAttempt{attempter: a, results: make(chan exchangeResult, 2), permits: make(chan permitResult, 1)}
 	ctx, cancel := context.WithCancel(ctx)
-	defer r.drain()
+	defer r.discardLate()
 	defer cancel()
-	r.launch(ctx, first)
+	r.startExchange(ctx, first)
 	timer := time.NewTimer(time.Until(hedgeAt))
 	defer timer.Stop()
-	disturbed := first.chosen.disturbed
+	disturbed := first.permit.disturbed
 	for {
 		select {
 		case <-disturbed:
 			disturbed = nil
 			timer.Stop()
-			r.ask(ctx, "disturbed")
+			r.requestPermit(ctx, "disturbed")
 		case <-timer.C:
 			disturbed = nil
-			r.ask(ctx, "slow")
-		case one := <-r.places:
-			r.asking = false
-			r.add(ctx, one)
-		case one := <-r.results:
+			r.requestPermit(ctx, "slow")
+		case granted := <-r.permits:
+			r.requesting = false
+			r.startHedge(ctx, granted)
+		case result := <-r.results:
 			r.running--
-			if one.got != nil {
-				r.stopOthers(one.number)
-				a.deliver(one.got)
+			if result.resp != nil {
+				r.cancelOthers(result.number)
+				a.deliver(result.resp)
 				return nil
 			}
-			a.call.noteFailure(one.failure)
-			r.failure = worse(r.failure, one.failure)
+			a.call.recordFailure(result.failure)
+			r.failure = failureToReport(r.failure, result.failure)
 			if r.running == 0 {
 				return r.failure
 			}
@@ -82,39 +82,37 @@
 	}
 }
 
-// hedgeAt returns when an attempt at a place is slow enough for a second one beside it,
-// and false where there is to be none: when the policy says so, or else what was learned
-// of the class.
-func (a *attempter) hedgeAt(chosen *place) (time.Time, bool) {
+// hedgeAt returns when an attempt with a permit is slow enough for a hedge, and false if there is to
+// be none. The time is set by the policy or else derived from the observed latencies of the class.
+func (a *attempter) hedgeAt(permit *grantedPermit) (time.Time, bool) {
 	c := a.call
 	switch {
 	case !c.buffered || !c.decision.Retry:
 		return time.Time{}, false
 	case a.handler.options.Quarantine.CrashCount(c.fingerprints) > 0:
-		return time.Time{}, false // it might end another back end beside the first
+		return time.Time{}, false // the request may crash a second back end
 	case c.decision.Hedge > 0:
 		return c.received.Add(c.decision.Hedge), true
 	}
-	if chosen.hedgeAfter == 0 {
-		return c.deadline, chosen.disturbed != nil
+	if permit.hedgeAfter == 0 {
+		return c.deadline, permit.disturbed != nil
 	}
-	return chosen.sent.Add(chosen.hedgeAfter), true
+	return permit.sent.Add(permit.hedgeAfter), true
 }
 
-// launch starts one exchange.
-func (r *race) launch(ctx context.Context, sent *outbound) {
+func (r *hedgedAttempt) startExchange(ctx context.Context, sent *outboundRequest) {
 	ctx, cancel := context.WithCancel(ctx)
 	number := len(r.cancels)
 	r.cancels = append(r.cancels, cancel)
 	r.running++
 	go func() {
-		got, failure := r.attempter.exchange(ctx, sent)
-		r.results <- result{number: number, got: got, failure: failure}
+		resp, failure := r.attempter.exchange(ctx, sent)
+		r.results <- exchangeResult{number: number, resp: resp, failure: failure}
 	}()
 }
 
-// ask asks for a place for the second attempt, if the route allows one.
-func (r *race) ask(ctx context.Context, cause string) {
+// requestPermit requests a permit for the hedge, if the route allows another attempt.
+func (r *hedgedAttempt) requestPermit(ctx context.Context, cause string) {
 	a := r.attempter
 	c := a.call
 	c.hedge = cause
@@ -123,56 +121,56 @@
 		c.hedge += ", no attempt left"
 		return
 	}
-	r.asking = true
-	request := c.wanted(0, a.handler.options.Zone)
+	r.requesting = true
+	request := c.permitRequest(0, a.handler.options.Zone)
 	go func() {
-		// Where there is none, the first attempt goes on alone.
-		chosen, err := a.acquire(ctx, retry.Hedge, request)
-		r.places <- asked{chosen: chosen, err: err}
+		// If none is granted, the first attempt continues alone.
+		permit, err := a.acquirePermit(ctx, retry.Hedge, request)
+		r.permits <- permitResult{permit: permit, err: err}
 	}()
 }
 
-// add sends the second attempt, unless there was no place for it.
-func (r *race) add(ctx context.Context, one asked) {
-	if one.chosen == nil {
-		r.attempter.call.hedge += ", none: " + one.why()
+// startHedge sends the hedge, unless no permit was granted for it.
+func (r *hedgedAttempt) startHedge(ctx context.Context, result permitResult) {
+	if result.permit == nil {
+		r.attempter.call.hedge += ", none: " + result.reason()
 		return
 	}
-	sent, failure := r.attempter.prepare(one.chosen)
+	sent, failure := r.attempter.prepare(result.permit)
 	if failure != nil {
 		return
 	}
 	r.attempter.handler.metrics.hedges.Inc(1)
-	r.launch(ctx, sent)
+	r.startExchange(ctx, sent)
 }
 
-// stopOthers breaks off the other exchange, so that its back end can stop working
-// on it.
-func (r *race) stopOthers(winner int) {
+// cancelOthers cancels the other exchange, so that its back end can stop working on it.
+func (r *hedgedAttempt) cancelOthers(keep int) {
 	for number, cancel := range r.cancels {
-		if number != winner {
+		if number != keep {
 			cancel()
 		}
 	}
 }
 
-// drain gives back what still comes in after the race is over. It does not block.
-func (r *race) drain() {
-	running, asking := r.running, r.asking
-	if running == 0 && !asking {
+// discardLate releases, in the background, the permits and responses that arrive after the hedged
+// attempt has ended.
+func (r *hedgedAttempt) discardLate() {
+	running, requesting := r.running, r.requesting
+	if running == 0 && !requesting {
 		return
 	}
 	go func() {
 		for range running {
-			if late := <-r.results; late.got != nil {
-				late.got.discard()
+			if late := <-r.results; late.resp != nil {
+				late.resp.discard()
 			}
 		}
-		if !asking {
+		if !requesting {
 			return
 		}
-		if one := <-r.places; one.chosen != nil {
-			one.chosen.done(routing.Canceled, 0, nil)
+		if result := <-r.permits; result.permit != nil {
+			result.permit.done(routing.Canceled, 0, nil)
 		}
 	}()
 }
--- a/frontend/hedge_test.go
+++ b/frontend/hedge_test.go
@@ -14,8 +14,9 @@
 	"github.com/tuliphall/tuliphall/resultcode"
 )
 
-// TestHedgeThatIsRefusedDoesNotHideARun breaks off the first attempt, which has run,
-// and refuses the one beside it a little later: the caller is not told "not run".
+// TestHedgeThatIsRefusedDoesNotHideARun guards against the caller being told "not run" if the
+// connection of the first attempt breaks after it has run, and the back end refuses the hedge a
+// little later.
 func TestHedgeThatIsRefusedDoesNotHideARun(t *testing.T) {
 	var arrivals atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -47,13 +48,13 @@
 	for range 20 {
 		require.Equal(t, http.StatusOK, send("/earn").Code)
 	}
-	got := send("/break")
+	response := send("/break")
 	require.EqualValues(t, 2, arrivals.Load())
-	require.Equal(t, string(resultcode.Unknown), got.Header().Get(resultcode.HeaderRun), got.Body)
+	require.Equal(t, string(resultcode.Unknown), response.Header().Get(resultcode.HeaderRun), response.Body)
 }
 
-// TestBothOfARaceCount breaks off the first attempt and the one beside it: where a route allows two attempts, none
-// follows, and where it allows three, one does.
+// TestBothOfARaceCount guards against a hedge not being counted as an attempt: after the connections of the first
+// attempt and its hedge have broken, a route that allows two attempts makes no other, one that allows three makes one.
 func TestBothOfARaceCount(t *testing.T) {
 	for _, attempts := range []int{2, 3} {
 		var arrivals atomic.Int32
--- a/frontend/metrics.go
+++ b/frontend/metrics.go
@@ -10,8 +10,8 @@
 	"github.com/tuliphall/tuliphall/resultcode"
 )
 
-// metrics are the request path's counters, made once so that counting a request
-// builds nothing.
+// metrics holds the metrics of the request path. They are created once, so that counting a request
+// does not allocate.
 type metrics struct {
 	requests     map[resultcode.Code]tally.Counter
 	latency      tally.Histogram
@@ -20,7 +20,7 @@
 	hedges       tally.Counter
 	forwards     tally.Counter
 	policyErrors tally.Counter
-	broken       map[backend.Liveness]tally.Counter // connections that broke, by what became of their back ends
+	broken       map[backend.Liveness]tally.Counter // broken connections, by liveness of the back end
 	inFlight     tally.Gauge
 }
 
--- a/frontend/outcome.go
+++ b/frontend/outcome.go
@@ -11,13 +11,13 @@
 	"github.com/tuliphall/tuliphall/resultcode"
 )
 
-// refuse answers with a failure of a request that no call was made of.
-func (h *Handler) refuse(w http.ResponseWriter, id string, failure *resultcode.Failure) {
+// respondFailure answers a request that failed before a call was created for it.
+func (h *Handler) respondFailure(w http.ResponseWriter, id string, failure *resultcode.Failure) {
 	var revision uint64
 	if snapshot := h.options.Services.Snapshot(); snapshot != nil {
 		revision = uint64(snapshot.Revision)
 	}
-	h.logRefused(id, failure, slog.Uint64("revision", revision))
+	h.logFailure(id, failure, slog.Uint64("revision", revision))
 	h.writeFailure(w, id, failure)
 }
 
@@ -29,25 +29,25 @@
 	failure.Write(w, id, h.options.Dialect.FractionalRetryAfter)
 }
 
-// refuse answers with a failure, and logs how the call ended.
-func (a *attempter) refuse(failure *resultcode.Failure) {
+// respondFailure answers the call with a failure, and logs its outcome.
+func (a *attempter) respondFailure(failure *resultcode.Failure) {
 	c := a.call
-	a.handler.logRefused(c.id, failure, append(a.described(), slog.String("refused_by", c.refusedBy),
+	a.handler.logFailure(c.id, failure, append(a.outcomeAttributes(), slog.String("refused_by", c.refusedBy),
 		slog.Uint64("revision", uint64(a.handler.options.Services.Snapshot().Revision)))...)
 	a.handler.writeFailure(a.writer, c.id, failure)
 }
 
-func (h *Handler) logRefused(id string, failure *resultcode.Failure, more ...slog.Attr) {
+func (h *Handler) logFailure(id string, failure *resultcode.Failure, extra ...slog.Attr) {
 	info := failure.Code.Info()
 	attributes := append([]slog.Attr{
 		slog.String("request", id), slog.Int("code", int(failure.Code)), slog.String("name", info.Name), slog.String("run", string(info.Run)),
 		slog.String("cause", failure.Detail), slog.Duration("retry_after", failure.RetryAfter),
-	}, more...)
+	}, extra...)
 	h.log.LogAttrs(context.Background(), slog.LevelInfo, "failed", attributes...)
 }
 
-// described is what each line on how a call ended has.
-func (a *attempter) described() []slog.Attr {
+// outcomeAttributes returns the attributes common to all log lines on the outcome of a call.
+func (a *attempter) outcomeAttributes() []slog.Attr {
 	c := a.call
 	return []slog.Attr{
 		slog.String("service", c.service.Name()), slog.String("class", c.decision.Class), slog.String("route", c.route.Name), slog.String("tenant", c.caller.Name()),
@@ -56,27 +56,27 @@
 	}
 }
 
-// logBrokenOff logs a call whose answer could not be passed on whole.
-func (a *attempter) logBrokenOff(err *passError) {
+// logAborted logs a call whose response could not be relayed completely.
+func (a *attempter) logAborted(err *relayError) {
 	attributes := append([]slog.Attr{
 		slog.String("request", a.call.id), slog.String("side", string(err.side)), slog.String("cause", err.cause.Error()),
-	}, a.described()...)
+	}, a.outcomeAttributes()...)
 	a.handler.log.LogAttrs(context.Background(), slog.LevelWarn, "answer broken off", attributes...)
 }
 
-// answered counts and logs a call whose answer was passed on whole.
-func (a *attempter) answered(code resultcode.Code) {
+// recordAnswered counts and logs a call whose response was relayed completely.
+func (a *attempter) recordAnswered(code resultcode.Code) {
 	a.handler.metrics.count(code)
 	a.handler.metrics.latency.RecordDuration(time.Since(a.call.received))
 	if !a.handler.options.LogDecisions() {
 		return
 	}
-	attributes := append([]slog.Attr{slog.String("request", a.call.id), slog.Int("code", int(code))}, a.described()...)
-	if got := a.got; got != nil {
-		attributes = append(attributes, slog.String("backend", got.chosen.backend), slog.Int("status", got.response.StatusCode),
-			slog.Duration("backend_latency", got.latency))
-		if got.report != nil {
-			attributes = append(attributes, slog.Int("backend_in_flight", got.report.InFlight), slog.Float64("backend_slowdown", got.report.Slowdown))
+	attributes := append([]slog.Attr{slog.String("request", a.call.id), slog.Int("code", int(code))}, a.outcomeAttributes()...)
+	if resp := a.relayed; resp != nil {
+		attributes = append(attributes, slog.String("backend", resp.permit.backend), slog.Int("status", resp.response.StatusCode),
+			slog.Duration("backend_latency", resp.latency))
+		if resp.report != nil {
+			attributes = append(attributes, slog.Int("backend_in_flight", resp.report.InFlight), slog.Float64("backend_slowdown", resp.report.Slowdown))
 		}
 	}
 	a.handler.outcomes.LogAttrs(context.Background(), slog.LevelInfo, "answered", attributes...)
--- a/frontend/patience.go
+++ b/frontend/patience.go
@@ -6,59 +6,60 @@
 	"time"
 )
 
-// patience learns for how long the callers of a route are willing to wait, so that one
-// who comes back after a refusal, and says how much of that is left, is known by it. It
-// is safe for concurrent use. The zero value has seen nobody.
+// patience estimates how long a caller has been waiting already. It learns the total time that the
+// callers of a route are willing to wait; a caller that retries after a refusal and states less
+// remaining time than that has spent the rest. It is safe for concurrent use, and its zero value is
+// ready to use.
 //
-// It takes the callers of a route for alike. One who is willing to wait less than the
-// others is taken for one who has waited already, and goes behind them while places are
-// short.
+// The estimate assumes that all callers of a route have the same patience. A caller with less patience
+// than the others is taken for one that has waited already, and is queued behind them while permits
+// are scarce.
 type patience struct {
 	mutex   sync.Mutex
-	byRoute map[string]*recentWaits
+	byRoute map[string]*waitSamples
 }
 
 const (
-	// patienceMemory is how many callers of a route are remembered.
-	patienceMemory = 64
-	// patienceOutliers is how many of them may be willing to wait longer than is usual.
+	// patienceSamples is the number of callers remembered per route.
+	patienceSamples = 64
+	// patienceOutliers is how many of them may wait longer than the typical patience.
 	patienceOutliers = 3
-	// maxPatienceRoutes bounds the routes that are remembered; what is known is
-	// forgotten beyond it, and learned anew within some requests.
+	// maxPatienceRoutes is the maximum number of routes. Beyond it, all samples are discarded; a few
+	// requests per route restore the estimate.
 	maxPatienceRoutes = 1000
 )
 
-// recentWaits are the times that the last callers of a route were still willing to wait.
-type recentWaits struct {
-	last [patienceMemory]time.Duration
+// waitSamples holds the remaining times that the last callers of a route stated.
+type waitSamples struct {
+	last [patienceSamples]time.Duration
 	seen int
 }
 
-// waited returns for how long the caller of a request has waited already, who says how
-// long it goes on; 0: it did not say.
-func (p *patience) waited(route string, remaining time.Duration) time.Duration {
+// elapsedWait records the remaining time that a caller states, and returns how long it has been waiting
+// already. remaining is 0 if the caller states none; the result is then 0, too.
+func (p *patience) elapsedWait(route string, remaining time.Duration) time.Duration {
 	if remaining == 0 {
 		return 0
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	recent, known := p.byRoute[route]
+	samples, known := p.byRoute[route]
 	if !known {
 		if p.byRoute == nil || len(p.byRoute) >= maxPatienceRoutes {
-			p.byRoute = make(map[string]*recentWaits)
+			p.byRoute = make(map[string]*waitSamples)
 		}
-		recent = new(recentWaits)
-		p.byRoute[route] = recent
+		samples = new(waitSamples)
+		p.byRoute[route] = samples
 	}
-	recent.last[recent.seen%patienceMemory] = remaining
-	recent.seen++
-	return max(recent.usual()-remaining, 0)
+	samples.last[samples.seen%patienceSamples] = remaining
+	samples.seen++
+	return max(samples.typicalPatience()-remaining, 0)
 }
 
-// usual returns how long callers are willing to wait in all: as long as most of those
-// say who say the most.
-func (r *recentWaits) usual() time.Duration {
-	count := min(r.seen, patienceMemory)
+// typicalPatience returns the total time that callers are willing to wait: the longest remaining time
+// except for outliers.
+func (r *waitSamples) typicalPatience() time.Duration {
+	count := min(r.seen, patienceSamples)
 	sorted := slices.Sorted(slices.Values(r.last[:count]))
 	return sorted[count-1-min(patienceOutliers, count/8)]
 }
--- a/frontend/patience_test.go
+++ b/frontend/patience_test.go
@@ -8,49 +8,50 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestReturningCallersAreKnown: who says that it waits for less than callers of its route
-// usually do has waited for the rest, also while most callers come back.
+// TestReturningCallersAreKnown checks that a caller that states less remaining time than is typical of
+// its route is taken to have waited for the rest, also while most callers are retrying.
 func TestReturningCallersAreKnown(t *testing.T) {
 	var p patience
 	for range 10 {
-		require.Zero(t, p.waited("a", 4*time.Second))
+		require.Zero(t, p.elapsedWait("a", 4*time.Second))
 	}
-	require.Equal(t, time.Second, p.waited("a", 3*time.Second))
+	require.Equal(t, time.Second, p.elapsedWait("a", 3*time.Second))
 	for range 500 {
-		p.waited("a", 4*time.Second)
+		p.elapsedWait("a", 4*time.Second)
 		for _, remaining := range []time.Duration{3800, 3500, 2000} {
-			require.Equal(t, 4*time.Second-remaining*time.Millisecond, p.waited("a", remaining*time.Millisecond))
+			require.Equal(t, 4*time.Second-remaining*time.Millisecond, p.elapsedWait("a", remaining*time.Millisecond))
 		}
 	}
-	require.Zero(t, p.waited("b", time.Second), "callers of another route wait for less")
-	require.Zero(t, p.waited("a", 0), "nothing was said")
+	require.Zero(t, p.elapsedWait("b", time.Second), "callers of another route wait for less")
+	require.Zero(t, p.elapsedWait("a", 0), "no remaining time is stated")
 }
 
-// TestOddCallersAreNotUsual: few who would wait far longer do not make all others late.
+// TestOddCallersAreNotUsual guards against a few very patient callers making all others look as if they
+// had been waiting.
 func TestOddCallersAreNotUsual(t *testing.T) {
 	var p patience
 	for number := range 200 {
-		p.waited("a", 4*time.Second)
+		p.elapsedWait("a", 4*time.Second)
 		if number%30 == 0 {
-			p.waited("a", time.Hour)
+			p.elapsedWait("a", time.Hour)
 		}
 	}
-	require.Zero(t, p.waited("a", 4*time.Second))
+	require.Zero(t, p.elapsedWait("a", 4*time.Second))
 }
 
-// TestPatienceIsForgotten: what is remembered does not grow with the routes, and follows
-// callers who have become less patient.
+// TestPatienceIsForgotten checks that the memory is bounded regardless of the number of routes, and
+// that the estimate follows callers that have become less patient.
 func TestPatienceIsForgotten(t *testing.T) {
 	var p patience
 	for number := range 3 * maxPatienceRoutes {
-		p.waited(fmt.Sprint(number), time.Second)
+		p.elapsedWait(fmt.Sprint(number), time.Second)
 	}
 	require.LessOrEqual(t, len(p.byRoute), maxPatienceRoutes)
-	for range patienceMemory {
-		p.waited("a", 4*time.Second)
+	for range patienceSamples {
+		p.elapsedWait("a", 4*time.Second)
 	}
-	for range patienceMemory {
-		p.waited("a", time.Second)
+	for range patienceSamples {
+		p.elapsedWait("a", time.Second)
 	}
-	require.Zero(t, p.waited("a", time.Second))
+	require.Zero(t, p.elapsedWait("a", time.Second))
 }
--- a/frontend/place.go
+++ b/frontend/place.go
@@ -18,27 +18,27 @@
 	"github.com/tuliphall/tuliphall/slots"
 )
 
-// place is a place at a back end, from this daemon's dispatcher or another's.
-type place struct {
+// grantedPermit is a permit for one request to a back end, granted by this daemon or another one.
+type grantedPermit struct {
 	backend    string // id
-	dispatcher string // name of the daemon that gave it
+	dispatcher string // name of the daemon that granted it
 	kind       retry.Kind
 	reason     routing.Reason
 	candidates int
 	reportAge  time.Duration
 	waited     time.Duration
-	started    int64         // of the run of the back end, as this daemon knows it
-	hedgeAfter time.Duration // after sent; 0: no second attempt for that
-	// disturbed is closed when it is known that the back end was disturbed as the request
-	// reached it; nil: that will not be told.
+	started    int64         // start time of the back end's run that this daemon knows
+	hedgeAfter time.Duration // after sent; 0: no hedge for slowness
+	// disturbed is closed when it is known that the back end was disturbed as the request reached it;
+	// nil: this is not tracked.
 	disturbed <-chan struct{}
 	sent      time.Time
 	done      func(outcome routing.Outcome, latency time.Duration, report *routing.Report)
 }
 
-// wanted is the request for a place for the next attempt, which may wait so long for
-// it; 0: until the deadline.
-func (c *call) wanted(wait time.Duration, zone string) dispatch.Request {
+// permitRequest returns the request for a permit for the next attempt. wait is the maximum time in
+// the queue; 0: until the deadline.
+func (c *call) permitRequest(wait time.Duration, zone string) dispatch.Request {
 	return dispatch.Request{
 		Weight: c.decision.Weight, Wait: wait, Deadline: c.deadline, FirstTry: c.firstTry,
 		Class: namedClass(c.decision.Class), Objective: c.decision.Objective, Fingerprints: c.fingerprints, Tenant: c.caller.Name(),
@@ -46,8 +46,9 @@
 	}
 }
 
-// namedClass returns the class that a policy names. Requests of the default class may take
-// any time: nothing is learned of them, so that none is refused for what others take.
+// namedClass returns the class that a policy names; empty: the default class. Requests of the default
+// class may take any time. No latencies are learned for them, so that none is refused because of how
+// long others take.
 func namedClass(class string) string {
 	if class == policy.DefaultClass {
 		return ""
@@ -55,141 +56,142 @@
 	return class
 }
 
-// mostAsked is how often a place is asked for where this daemon must not use what it was given, before it chooses by
-// itself.
-const mostAsked = 2
-
-// acquire gets a place for an attempt that this daemon may use. Who gave it may not know yet that the back end is
-// leaving, or that it asked this daemon for a pause, also while the request waited. The error is service.ErrOverBudget,
-// or a *resultcode.Failure. It blocks for as long as the request may wait.
-func (a *attempter) acquire(ctx context.Context, kind retry.Kind, request dispatch.Request) (*place, error) {
-	var unusable []routing.Exclusion
-	paidAs := kind
-	for asked := 0; ; asked++ {
-		request.Routing.Excluded = append(a.call.service.Exclusions(), unusable...)
-		chosen, err := a.placeFor(ctx, paidAs, request, asked < mostAsked)
+// maxUnusablePermits is how many permits that this daemon must not use are accepted from the dispatcher before the daemon
+// decides by itself.
+const maxUnusablePermits = 2
+
+// acquirePermit acquires a permit that this daemon may use for an attempt. The daemon that granted a permit may not know
+// yet that the back end is draining or has asked this daemon for a pause, which may also have happened while the request
+// was queued. The error is service.ErrOverBudget or a *resultcode.Failure. It blocks for as long as the request may wait.
+func (a *attempter) acquirePermit(ctx context.Context, kind retry.Kind, request dispatch.Request) (*grantedPermit, error) {
+	var excluded []routing.Exclusion
+	chargedKind := kind
+	for unused := 0; ; unused++ {
+		request.Routing.Excluded = append(a.call.service.Exclusions(), excluded...)
+		permit, err := a.requestPermit(ctx, chargedKind, request, unused < maxUnusablePermits)
 		if err != nil {
 			return nil, err
 		}
-		barred := a.call.service.IneligibleReason(chosen.backend)
-		if barred == "" {
-			chosen.kind = kind
-			return chosen, nil
+		ineligible := a.call.service.IneligibleReason(permit.backend)
+		if ineligible == "" {
+			permit.kind = kind
+			return permit, nil
 		}
-		chosen.done(routing.Canceled, 0, nil)
-		a.handler.log.Info("place not used", "request", a.call.id, "service", a.call.service.Name(), "dispatcher", chosen.dispatcher,
-			"backend", chosen.backend, "reason", barred)
-		if asked == mostAsked || kind == retry.Hedge {
+		permit.done(routing.Canceled, 0, nil)
+		a.handler.log.Info("permit not used", "request", a.call.id, "service", a.call.service.Name(), "dispatcher", permit.dispatcher,
+			"backend", permit.backend, "reason", ineligible)
+		if unused == maxUnusablePermits || kind == retry.Hedge {
 			return nil, &resultcode.Failure{
-				Code: resultcode.NoBackend, Detail: "back end " + chosen.backend + ": " + barred, RetryAfter: dispatch.RetryAfterRefusal(chosen.waited),
+				Code: resultcode.NoBackend, Detail: "back end " + permit.backend + ": " + ineligible, RetryAfter: dispatch.RetryAfterRefusal(permit.waited),
 			}
 		}
-		unusable = append(unusable, routing.Exclusion{Backend: chosen.backend})
-		paidAs = retry.Redial // what the attempt costs has been paid
+		excluded = append(excluded, routing.Exclusion{Backend: permit.backend})
+		chargedKind = retry.Redial // the attempt has already been charged to the retry budget
 	}
 }
 
-// placeFor gets a place for an attempt, from this daemon's own picture of the back ends unless others are asked.
-func (a *attempter) placeFor(ctx context.Context, kind retry.Kind, request dispatch.Request, askOthers bool) (*place, error) {
-	if !askOthers {
-		return a.acquireHere(ctx, service.AsFallback(a.handler.options.Peers.Daemons()), kind, request)
+// requestPermit acquires a permit from the dispatcher if useDispatcher is set, else from this daemon's own state of the
+// back ends.
+func (a *attempter) requestPermit(ctx context.Context, kind retry.Kind, request dispatch.Request, useDispatcher bool) (*grantedPermit, error) {
+	if !useDispatcher {
+		return a.acquireLocally(ctx, service.AsFallback(a.handler.options.Peers.Daemons()), kind, request)
 	}
-	return a.askForPlace(ctx, kind, request)
+	return a.acquireFromDispatcher(ctx, kind, request)
 }
 
-// askForPlace gets a place for an attempt: from the daemon that dispatches the service,
-// or here if that is this one or it cannot be reached. It blocks for as long as the
-// request may wait. The error is service.ErrOverBudget, or a *resultcode.Failure. A
-// hedge calls it beside the attempt that is under way.
-func (a *attempter) askForPlace(ctx context.Context, kind retry.Kind, request dispatch.Request) (*place, error) {
+// acquireFromDispatcher acquires a permit from the dispatcher of the service, or from this daemon if
+// it is the dispatcher, the service is direct or the dispatcher cannot be reached. It blocks for as
+// long as the request may wait. The error is service.ErrOverBudget or a *resultcode.Failure. For a
+// hedge it is called concurrently with the first attempt.
+func (a *attempter) acquireFromDispatcher(ctx context.Context, kind retry.Kind, request dispatch.Request) (*grantedPermit, error) {
 	c := a.call
 	peers := a.handler.options.Peers
 	if c.service.Target().Service.Direct {
-		return a.acquireHere(ctx, service.AsIndependent(peers.Daemons()), kind, request)
+		return a.acquireLocally(ctx, service.AsIndependent(peers.Daemons()), kind, request)
 	}
-	dispatcher, other := peers.DispatcherOf(c.service.Name())
-	for asked := 0; other && !c.forwarded; asked++ {
-		chosen, err := a.ask(ctx, dispatcher, kind, request)
-		if chosen != nil || err != nil {
-			return chosen, err
+	dispatcher, isOther := peers.DispatcherOf(c.service.Name())
+	for asked := 0; isOther && !c.forwarded; asked++ {
+		permit, err := a.askDispatcher(ctx, dispatcher, kind, request)
+		if permit != nil || err != nil {
+			return permit, err
 		}
-		// The requests of a tenant with a rate are counted by dispatchers: the next in line
-		// is asked before this daemon serves it from what little it may let through itself.
-		before := dispatcher.Name
-		dispatcher, other = peers.DispatcherOf(c.service.Name())
-		if !c.caller.Limited() || asked == furtherDispatchers || other && dispatcher.Name == before {
-			return a.acquireHere(ctx, service.AsFallback(peers.Daemons()), kind, request)
+		// Dispatchers count the requests of tenants with a rate. The next dispatcher is asked before
+		// this daemon uses its own small share of the rate.
+		previous := dispatcher.Name
+		dispatcher, isOther = peers.DispatcherOf(c.service.Name())
+		if !c.caller.Limited() || asked == maxFurtherDispatchers || isOther && dispatcher.Name == previous {
+			return a.acquireLocally(ctx, service.AsFallback(peers.Daemons()), kind, request)
 		}
 	}
-	return a.acquireHere(ctx, service.AsDispatcher(), kind, request)
+	return a.acquireLocally(ctx, service.AsDispatcher(), kind, request)
 }
 
-// furtherDispatchers is how many dispatchers are asked after one that could not be reached.
-const furtherDispatchers = 1
+// maxFurtherDispatchers is how many more dispatchers are asked after one that did not decide.
+const maxFurtherDispatchers = 1
 
-// acquireHere gets a place from this daemon's own picture of the back ends.
-func (a *attempter) acquireHere(ctx context.Context, as service.Grantor, kind retry.Kind, request dispatch.Request) (*place, error) {
-	grant, err := a.call.service.Acquire(ctx, as, kind, request)
+// acquireLocally acquires a permit from this daemon's own state of the back ends.
+func (a *attempter) acquireLocally(ctx context.Context, grantor service.Grantor, kind retry.Kind, request dispatch.Request) (*grantedPermit, error) {
+	grant, err := a.call.service.Acquire(ctx, grantor, kind, request)
 	if err != nil {
-		a.noteRefusal(kind, a.handler.options.Name)
+		a.recordRefusal(kind, a.handler.options.Name)
 		return nil, err
 	}
-	return a.ownPlace(grant, kind), nil
+	return a.localPermit(grant, kind), nil
 }
 
-// ask asks another daemon for a place. It returns neither a place nor an error where
-// this daemon must choose by itself: the other one cannot be reached, or knows less
-// than this one.
-func (a *attempter) ask(ctx context.Context, dispatcher membership.Member, kind retry.Kind, request dispatch.Request) (*place, error) {
+// askDispatcher requests a permit from another daemon. It returns neither a permit nor an error if
+// this daemon must decide by itself, because the dispatcher is unreachable or has a stale
+// configuration.
+func (a *attempter) askDispatcher(ctx context.Context, dispatcher membership.Member, kind retry.Kind, request dispatch.Request) (*grantedPermit, error) {
 	c := a.call
-	granted, err := a.handler.options.Slots.Acquire(ctx, dispatcher.PeerAddress, c.service.Name(), kind, request)
+	grant, err := a.handler.options.Slots.Acquire(ctx, dispatcher.PeerAddress, c.service.Name(), kind, request)
 	switch {
 	case errors.Is(err, slots.ErrUnreachable):
 		a.handler.options.Peers.Suspect(dispatcher.Name)
-		a.logAsked(slog.LevelWarn, "dispatcher unreachable", dispatcher, slog.Any("error", err))
+		a.logDispatcherFailure(slog.LevelWarn, "dispatcher unreachable; deciding without it", dispatcher, slog.Any("error", err))
 		return nil, nil
 	case errors.Is(err, slots.ErrStaleDispatcher):
-		a.logAsked(slog.LevelInfo, "dispatcher behind", dispatcher, slog.Any("error", err))
+		a.logDispatcherFailure(slog.LevelInfo, "dispatcher has stale configuration; deciding without it", dispatcher, slog.Any("error", err))
 		return nil, nil
 	case err != nil:
-		a.noteRefusal(kind, dispatcher.Name)
+		a.recordRefusal(kind, dispatcher.Name)
 		return nil, err
 	}
-	c.service.Dispatcher.SetConcurrencyHint(granted.Backend, granted.BestInFlight)
-	return placeOf(granted, kind, dispatcher.Name), nil
+	c.service.Dispatcher.SetConcurrencyHint(grant.Backend, grant.BestInFlight)
+	return remotePermit(grant, kind, dispatcher.Name), nil
 }
 
-// noteRefusal keeps who refused a place, to be logged when the call ends. For a hedge
-// that says nothing of how the call ends.
-func (a *attempter) noteRefusal(kind retry.Kind, dispatcher string) {
+// recordRefusal records which daemon refused a permit, to be logged with the outcome of the call. The
+// refusal of a hedge does not affect the outcome and is not recorded.
+func (a *attempter) recordRefusal(kind retry.Kind, dispatcher string) {
 	if kind != retry.Hedge {
 		a.call.refusedBy = dispatcher
 	}
 }
 
-// logAsked logs why what a dispatcher said was not followed.
-func (a *attempter) logAsked(level slog.Level, message string, dispatcher membership.Member, why slog.Attr) {
+// logDispatcherFailure logs why a dispatcher did not decide on a request.
+func (a *attempter) logDispatcherFailure(level slog.Level, message string, dispatcher membership.Member, cause slog.Attr) {
 	a.handler.log.LogAttrs(context.Background(), level, message, slog.String("request", a.call.id),
-		slog.String("service", a.call.service.Name()), slog.String("dispatcher", dispatcher.Name), why)
+		slog.String("service", a.call.service.Name()), slog.String("dispatcher", dispatcher.Name), cause)
 }
 
-// ownPlace is a place that this daemon's own dispatcher gave.
-func (a *attempter) ownPlace(grant *dispatch.Grant, kind retry.Kind) *place {
+// localPermit returns the permit of a grant by this daemon.
+func (a *attempter) localPermit(grant *dispatch.Grant, kind retry.Kind) *grantedPermit {
 	var disturbed chan struct{}
 	if grant.Followed {
 		disturbed = make(chan struct{})
 		grant.OnDisturbed(func() { close(disturbed) })
 	}
-	return &place{
+	return &grantedPermit{
 		disturbed: disturbed,
 		backend:   grant.Backend.ID, dispatcher: a.handler.options.Name, kind: kind, reason: grant.Reason, candidates: grant.Candidates, reportAge: grant.ReportAge,
 		waited: grant.Waited(), hedgeAfter: grant.HedgeAfter, sent: grant.GrantedAt, done: grant.Done,
 	}
 }
 
-// placeOf is a place that another daemon gave.
-func placeOf(grant *slots.Grant, kind retry.Kind, dispatcher string) *place {
-	return &place{
+// remotePermit returns the permit of a grant by another daemon.
+func remotePermit(grant *slots.Grant, kind retry.Kind, dispatcher string) *grantedPermit {
+	return &grantedPermit{
 		disturbed: grant.Disturbed,
 		backend:   grant.Backend, dispatcher: dispatcher, kind: kind, reason: grant.Reason, candidates: grant.Candidates, reportAge: grant.ReportAge,
 		waited: grant.Waited, hedgeAfter: grant.HedgeAfter, sent: time.Now(), done: grant.Done,
--- a/frontend/place_test.go
+++ b/frontend/place_test.go
@@ -27,7 +27,7 @@
 	"github.com/tuliphall/tuliphall/slots"
 )
 
-// fixedPeers names one daemon as the dispatcher of every service; nil: this one.
+// fixedPeers makes one daemon the dispatcher of every service; nil: this daemon.
 type fixedPeers struct {
 	dispatcher *membership.Member
 }
@@ -41,8 +41,7 @@
 func (fixedPeers) Daemons() int   { return 2 }
 func (fixedPeers) Suspect(string) {}
 
-// registryOf returns the services of a daemon that has a document in force; nil:
-// it has none.
+// registryOf returns the registry of a daemon with a document in force; nil: with no configuration.
 func registryOf(t *testing.T, document *config.Document) *service.Registry {
 	t.Helper()
 	services := service.NewRegistry(service.Options{Network: network.TCP{}, Seed: 1})
@@ -55,8 +54,7 @@
 	return services
 }
 
-// startDispatcher starts a daemon's side that gives out places and takes forwarded
-// requests.
+// startDispatcher starts the servers of a daemon that grants permits and accepts forwarded requests.
 func startDispatcher(t *testing.T, services *service.Registry) *membership.Member {
 	t.Helper()
 	mux := drpcmux.New()
@@ -64,14 +62,14 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(stopped)
 		_ = drpcserver.New(mux).Serve(ctx, listener)
 	}()
 	t.Cleanup(func() {
 		cancel()
-		<-ended
+		<-stopped
 	})
 	forwarded := httptest.NewServer(startHandler(t, services, fixedPeers{}).ForwardedHandler())
 	t.Cleanup(forwarded.Close)
@@ -89,8 +87,8 @@
 	})
 }
 
-// TestDispatcherThatKnowsLess asks a dispatcher that has not heard all that the
-// daemon with the request has: what it lacks must not decide.
+// TestDispatcherThatKnowsLess guards against a request failing, or being sent to a back end that is
+// drained or gone, because the dispatcher has a stale configuration.
 func TestDispatcherThatKnowsLess(t *testing.T) {
 	served := make(chan string, 1)
 	serve := func(name string) string {
@@ -98,7 +96,7 @@
 		t.Cleanup(server.Close)
 		return server.Listener.Addr().String()
 	}
-	old, fresh := serve("old"), serve("fresh")
+	drainedAddress, freshAddress := serve("old"), serve("fresh")
 	document := func(forward bool, backends ...config.Backend) *config.Document {
 		directory := config.Directory{Revision: 1}
 		for _, one := range backends {
@@ -110,20 +108,20 @@
 			Directory: directory,
 		}
 	}
-	leaving := config.Backend{ID: "old", Address: old, Slots: 1, Drained: true}
-	known := []config.Backend{leaving, {ID: "fresh", Address: fresh, Slots: 1}}
-	for name, theirs := range map[string]*config.Document{
+	drained := config.Backend{ID: "old", Address: drainedAddress, Slots: 1, Drained: true}
+	known := []config.Backend{drained, {ID: "fresh", Address: freshAddress, Slots: 1}}
+	for name, dispatcherDocument := range map[string]*config.Document{
 		"no configuration":              nil,
 		"no back ends":                  document(false),
-		"a back end that is leaving":    document(false, config.Backend{ID: "old", Address: old, Slots: 1}),
+		"a back end that is leaving":    document(false, config.Backend{ID: "old", Address: drainedAddress, Slots: 1}),
 		"a back end that is gone":       document(false, config.Backend{ID: "gone", Address: "127.0.0.1:1", Slots: 1}),
-		"only back ends that have left": document(false, leaving),
+		"only back ends that have left": document(false, drained),
 		"forwarded, no configuration":   nil,
 		"forwarded, no back ends":       document(true),
 	} {
 		t.Run(name, func(t *testing.T) {
 			forward := strings.HasPrefix(name, "forwarded")
-			dispatcher := startDispatcher(t, registryOf(t, theirs))
+			dispatcher := startDispatcher(t, registryOf(t, dispatcherDocument))
 			handler := startHandler(t, registryOf(t, document(forward, known...)), fixedPeers{dispatcher: dispatcher})
 			recorder := httptest.NewRecorder()
 			ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
@@ -135,8 +133,8 @@
 	}
 }
 
-// TestNotAllReadYet refuses, as a daemon that has just started does, what it could only
-// answer wrongly: a route that it may not have read, a service without its back ends.
+// TestNotAllReadYet guards against a daemon that has just started, and has not read the whole
+// configuration yet, giving wrong answers for routes or back ends that it does not know.
 func TestNotAllReadYet(t *testing.T) {
 	document := &config.Document{Revision: 1, Content: config.Content{Services: []config.Service{{Name: "prices", PathPrefix: "/prices/"}}}}
 	handler := startHandler(t, registryOf(t, document), fixedPeers{})
