--- a/pushback/doc.go
+++ b/pushback/doc.go
@@ -1,9 +1,10 @@
-// Package pushback keeps which back ends have asked this daemon for a pause.
+// Package pushback tracks which back ends have asked this daemon for a pause.
 //
-// A back end that turns a request away with 503 and Retry-After wants nothing from the daemon that sent it for so
-// long. That binds this daemon only, by every way and for every route: others were not asked. The longest pause
-// that was asked for counts, whatever the back end answers meanwhile, and only for the run that asked. It is neither
-// a failure nor a limit, and nothing is owed once it is over.
+// A back end that refuses a request with status 503 and a Retry-After header wants no requests from the daemon that
+// sent it for that long. This applies to this daemon only, for all routes and all kinds of requests, because other
+// daemons were not asked. The longest requested pause counts, whatever the back end responds meanwhile, and only for
+// the run that asked. A pause is neither a failure nor a request limit, and requests withheld during it are not made
+// up for afterwards.
 //
-// Table is the pure part: time and randomness are passed in. Keeper is a daemon's table, safe for concurrent use.
+// Table is the pure part: time and randomness are passed in. Tracker is the table of a daemon, safe for concurrent use.
 package pushback
--- a/pushback/keeper.go
+++ b/pushback/keeper.go
@@ -15,90 +15,91 @@
 	"github.com/tuliphall/tuliphall/wait"
 )
 
-// forgetInterval is how often pauses that are over are dropped.
-const forgetInterval = time.Second
+// pruneInterval is how often pauses that have ended are removed.
+const pruneInterval = time.Second
 
-// Options are a Keeper's collaborators. No function may block.
+// Options configure a Tracker. No function may block.
 type Options struct {
-	// Apply puts a back end's pause in force for the probes of this daemon.
+	// Apply applies the pause of a back end to the probes of this daemon.
 	Apply   func(backend.Key)
 	Log     *slog.Logger
 	Metrics tally.Scope
 }
 
-// Tracker is a daemon's table of pauses. It is safe for concurrent use; but for Run, no method blocks.
+// Tracker tracks the pauses that a daemon has been asked for. It is safe for concurrent use. No method except Run blocks.
 type Tracker struct {
-	options Options
-	log     *slog.Logger
-	asked   tally.Counter
-	gauge   tally.Gauge
-	// kept is how many pauses there are. Requests need not look further while it is 0.
-	kept atomic.Int64
+	options   Options
+	log       *slog.Logger
+	requested tally.Counter
+	gauge     tally.Gauge
+	// count is the number of pauses. While it is 0, lookups for requests do not lock the mutex.
+	count atomic.Int64
 
 	mutex sync.Mutex
 	table *Table
 }
 
-// NewTracker returns a keeper without pauses.
+// NewTracker returns a tracker without pauses.
 func NewTracker(options Options) *Tracker {
 	return &Tracker{
 		options: options, log: logging.Part(options.Log, "pushback"), table: NewTable(),
-		asked: options.Metrics.Counter("backend_pauses_asked"), gauge: options.Metrics.Gauge("backends_paused"),
+		requested: options.Metrics.Counter("backend_pauses_asked"), gauge: options.Metrics.Gauge("backends_paused"),
 	}
 }
 
-// RecordPause takes in that the run of a back end that started at a time turned a request away and asks for a pause. The
-// request path calls it.
-func (k *Tracker) RecordPause(key backend.Key, lasts time.Duration, started int64, request string) {
-	k.asked.Inc(1)
-	k.mutex.Lock()
-	begins := k.table.RecordPause(time.Now(), key, lasts, started, request, rand.Float64())
-	k.publish()
-	k.mutex.Unlock()
-	k.options.Apply(key)
-	if begins {
-		k.log.Info("back end asks for a pause", "service", key.Service, "backend", key.Backend, "started", started, "lasts", lasts, "by_request", request)
+// RecordPause records that the run of a back end that started at the given time has refused a request and asks for a
+// pause. It is called on the request path.
+func (t *Tracker) RecordPause(key backend.Key, duration time.Duration, started int64, requestID string) {
+	t.requested.Inc(1)
+	t.mutex.Lock()
+	isNew := t.table.RecordPause(time.Now(), key, duration, started, requestID, rand.Float64())
+	t.publish()
+	t.mutex.Unlock()
+	t.options.Apply(key)
+	if isNew {
+		t.log.Info("back end asks for a pause", "service", key.Service, "backend", key.Backend, "started", started, "lasts", duration, "by_request", requestID)
 	}
 }
 
-// publish tells how many pauses there are. The caller holds the mutex.
-func (k *Tracker) publish() {
-	k.kept.Store(int64(k.table.count))
-	k.gauge.Update(float64(k.table.count))
+// publish updates the count and the gauge. The caller holds the mutex.
+func (t *Tracker) publish() {
+	t.count.Store(int64(t.table.count))
+	t.gauge.Update(float64(t.table.count))
 }
 
-// ActivePause returns the pause that the run of a back end that started at a time is in, and false where it is in none. The
-// request path calls it.
-func (k *Tracker) ActivePause(key backend.Key, started int64) (Pause, bool) {
-	if k.kept.Load() == 0 {
+// ActivePause returns the active pause of the run of a back end that started at the given time, and false if there is
+// none. It is called on the request path.
+func (t *Tracker) ActivePause(key backend.Key, started int64) (Pause, bool) {
+	if t.count.Load() == 0 {
 		return Pause{}, false
 	}
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	return k.table.ActivePause(time.Now(), key, started)
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return t.table.ActivePause(time.Now(), key, started)
 }
 
-// PausedBackends returns the ids of a service's back ends that are in a pause, whichever their run. The request path calls it.
-func (k *Tracker) PausedBackends(service string) []string {
-	if k.kept.Load() == 0 {
+// PausedBackends returns the ids of a service's paused back ends, regardless of their run. It is called on the request
+// path.
+func (t *Tracker) PausedBackends(service string) []string {
+	if t.count.Load() == 0 {
 		return nil
 	}
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	return k.table.PausedBackends(time.Now(), service)
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return t.table.PausedBackends(time.Now(), service)
 }
 
-// PauseCount returns how many back ends are in a pause.
-func (k *Tracker) PauseCount() int {
-	return int(k.kept.Load())
+// PauseCount returns the number of paused back ends.
+func (t *Tracker) PauseCount() int {
+	return int(t.count.Load())
 }
 
-// Run drops pauses that are over until ctx ends.
-func (k *Tracker) Run(ctx context.Context) {
-	for wait.Sleep(ctx, forgetInterval) {
-		k.mutex.Lock()
-		k.table.Prune(time.Now())
-		k.publish()
-		k.mutex.Unlock()
+// Run removes pauses that have ended, until ctx is canceled.
+func (t *Tracker) Run(ctx context.Context) {
+	for wait.Sleep(ctx, pruneInterval) {
+		t.mutex.Lock()
+		t.table.Prune(time.Now())
+		t.publish()
+		t.mutex.Unlock()
 	}
 }
--- a/pushback/pushback_test.go
+++ b/pushback/pushback_test.go
@@ -19,12 +19,12 @@
 	return start.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// TestParseRetryAfter reads small and odd figures each in a stated way.
+// TestParseRetryAfter checks the interpretation of regular, borderline and invalid values.
 func TestParseRetryAfter(t *testing.T) {
 	for name, one := range map[string]struct {
-		values []string
-		want   time.Duration
-		fails  string
+		values    []string
+		want      time.Duration
+		wantError string
 	}{
 		"seconds":                 {values: []string{"4"}, want: 4 * time.Second},
 		"fractions":               {values: []string{"0.25"}, want: 250 * time.Millisecond},
@@ -37,18 +37,18 @@
 		"huge":                    {values: []string{"1e300"}, want: pushback.MaxPause},
 		"twice: the longer":       {values: []string{"2", "4"}, want: 4 * time.Second},
 		"one of them unreadable":  {values: []string{"soon", "4"}, want: 4 * time.Second},
-		"empty":                   {values: []string{""}, fails: `value ""`},
-		"a word":                  {values: []string{"soon"}, fails: `value "soon"`},
-		"negative":                {values: []string{"-1"}, fails: `value "-1"`},
-		"not a number":            {values: []string{"NaN"}, fails: `value "NaN"`},
-		"infinite":                {values: []string{"Inf"}, fails: `value "Inf"`},
-		"beyond what a float has": {values: []string{"1e309"}, fails: `value "1e309"`},
-		"hexadecimal":             {values: []string{"0x10"}, fails: `value "0x10"`},
+		"empty":                   {values: []string{""}, wantError: `value ""`},
+		"a word":                  {values: []string{"soon"}, wantError: `value "soon"`},
+		"negative":                {values: []string{"-1"}, wantError: `value "-1"`},
+		"not a number":            {values: []string{"NaN"}, wantError: `value "NaN"`},
+		"infinite":                {values: []string{"Inf"}, wantError: `value "Inf"`},
+		"beyond what a float has": {values: []string{"1e309"}, wantError: `value "1e309"`},
+		"hexadecimal":             {values: []string{"0x10"}, wantError: `value "0x10"`},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got, err := pushback.ParseRetryAfter(one.values, start)
-			if one.fails != "" {
-				require.ErrorContains(t, err, one.fails)
+			if one.wantError != "" {
+				require.ErrorContains(t, err, one.wantError)
 			} else {
 				require.NoError(t, err)
 			}
@@ -57,7 +57,7 @@
 	}
 }
 
-// FuzzParseRetryAfter never reads a pause that is negative or longer than the longest.
+// FuzzParseRetryAfter checks that no value yields a negative pause or one longer than MaxPause.
 func FuzzParseRetryAfter(f *testing.F) {
 	for _, seed := range []string{"4", "0", "-0", "1e309", "Tue, 01 Jan 2030 00:00:07 GMT", ".5", "5e-324"} {
 		f.Add(seed)
@@ -77,14 +77,15 @@
 	return paused
 }
 
-// TestPauseLasts keeps to the longest pause that was asked for, and to none once it is over.
+// TestPauseLasts guards against a pause being shortened by a shorter one that is asked for later, or
+// lasting beyond its end.
 func TestPauseLasts(t *testing.T) {
 	table := pushback.NewTable()
 	require.True(t, table.RecordPause(at(0), key, 4*time.Second, 1, "r1", 0))
 	require.False(t, table.RecordPause(at(1), key, time.Second, 1, "r2", 0), "a shorter one after a longer one")
 	require.True(t, isPaused(table, at(3.9), 1))
 	require.False(t, isPaused(table, at(4), 1))
-	require.False(t, table.RecordPause(at(3), key, 4*time.Second, 1, "r3", 0), "it goes on")
+	require.False(t, table.RecordPause(at(3), key, 4*time.Second, 1, "r3", 0), "the pause continues")
 	pause, paused := table.ActivePause(at(6.9), key, 1)
 	require.True(t, paused)
 	require.Equal(t, at(0), pause.Since)
@@ -92,21 +93,23 @@
 	require.Equal(t, []string{"i-1"}, table.PausedBackends(at(6.9), "board"))
 	require.Empty(t, table.PausedBackends(at(7), "board"))
 	require.Zero(t, table.Prune(at(7)))
-	require.True(t, table.RecordPause(at(9), key, time.Second, 1, "r4", 0), "another one")
+	require.True(t, table.RecordPause(at(9), key, time.Second, 1, "r4", 0), "a new pause")
 }
 
-// TestPauseIsOfOneRun lets the run that started later take requests, whatever the earlier one asked for.
+// TestPauseIsOfOneRun guards against a restarted back end getting no requests because of a pause that
+// its earlier run asked for.
 func TestPauseIsOfOneRun(t *testing.T) {
 	table := pushback.NewTable()
 	table.RecordPause(at(0), key, time.Minute, 1, "r1", 0)
 	require.False(t, isPaused(table, at(1), 2))
 	require.True(t, table.RecordPause(at(2), key, 4*time.Second, 2, "r2", 0))
-	require.False(t, table.RecordPause(at(3), key, time.Minute, 1, "r3", 0), "a late answer of the earlier run")
+	require.False(t, table.RecordPause(at(3), key, time.Minute, 1, "r3", 0), "a late response of the earlier run")
 	require.True(t, isPaused(table, at(5), 2))
 	require.False(t, isPaused(table, at(6), 2))
 }
 
-// TestPausesEndApart draws pauses out by a little, never shorter, so that daemons do not all come back together.
+// TestPausesEndApart checks that pauses are extended by a random amount, and never shortened, so that daemons do not
+// all resume together.
 func TestPausesEndApart(t *testing.T) {
 	for name, one := range map[string]struct{ lasts, longest time.Duration }{
 		"short": {lasts: time.Second, longest: 1100 * time.Millisecond},
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -1,13 +1,12 @@
-// Package retry decides whether a request that failed is sent again.
+// Package retry decides whether a failed request is sent again.
 //
-// A request is sent again only if it certainly did not run, or if its policy
-// allows a repeat; only while attempts, deadline and the service's retry budget
-// last; and never for a request that is itself a retry from further up, so that
-// in a chain of calls only the level next to the failure retries. An answer of
-// a back end, whatever its status, is an answer and is passed on: the level
-// below has done its own retrying.
+// A request is sent again only if it certainly did not run or its policy allows a repeat, and only
+// as long as the number of attempts, the deadline and the service's retry budget allow it. A request
+// that is itself a retry by an upstream caller is never retried, so that in a chain of calls only the
+// level next to the failure retries. A response of a back end is relayed whatever its status, because
+// the level below has already retried.
 //
-// The package is pure. Budget is not safe for concurrent use.
+// The package is pure: it reads no clock and does no I/O. Budget is not safe for concurrent use.
 package retry
 
 import (
@@ -20,27 +19,26 @@
 const (
 	// DefaultRatio is the number of retries earned by one request.
 	DefaultRatio = 0.1
-	// DefaultBurst is the most retries that can be saved up.
+	// DefaultBurst is the maximum number of retries that can be saved.
 	DefaultBurst = 10
 )
 
-// Budget bounds the retries of a service to a share of its requests. Without a
-// first retry saved it is empty: a daemon that has just started earns its first
-// retries.
+// Budget limits the retries of a service to a ratio of its requests. It starts empty: a daemon that
+// has just started has to earn its first retries.
 type Budget struct {
-	Ratio float64 // retries earned by one request; 0: DefaultRatio
-	Burst float64 // most retries that can be saved up; 0: DefaultBurst
-	saved float64
+	Ratio   float64 // retries earned by one request; 0: DefaultRatio
+	Burst   float64 // maximum number of saved retries; 0: DefaultBurst
+	balance float64 // saved retries
 }
 
-// Earn notes a first attempt.
+// Earn adds the retries earned by a first attempt.
 func (b *Budget) Earn() {
 	ratio := b.Ratio
 	if ratio == 0 {
 		ratio = DefaultRatio
 	}
-	// Below one and a ratio, what is earned beyond one would be lost each time.
-	b.saved = min(b.saved+ratio, max(b.burst(), 1+ratio))
+	// A cap below 1+ratio would discard what is earned in excess of a whole retry each time.
+	b.balance = min(b.balance+ratio, max(b.burst(), 1+ratio))
 }
 
 func (b *Budget) burst() float64 {
@@ -50,10 +48,10 @@
 	return b.Burst
 }
 
-// Kind is what an attempt is for.
+// Kind is the reason for an attempt.
 type Kind int
 
-// String returns the kind's name, as logs have it.
+// String returns the name of the kind for logs.
 func (k Kind) String() string {
 	switch k {
 	case First:
@@ -68,17 +66,17 @@
 
 // The kinds of attempt.
 const (
-	First Kind = iota // it costs nothing and earns
-	Retry             // another one failed
-	Hedge             // another one is slow
-	// Redial: another one was never sent, as no connection was opened. It costs nothing: no back
-	// end has had anything to do with the request. On a day on which back ends ended all the
-	// time, 326 requests were given up on after a refused connection for want of a retry, of
-	// 681 that failed in the logs.
+	First Kind = iota // costs nothing and earns retries
+	Retry             // another attempt failed
+	Hedge             // another attempt is slow
+	// Redial: another attempt was never sent, because no connection could be opened. It costs
+	// nothing, because it has put no load on a back end. On a day with frequent back end exits, 326
+	// of the 681 failed requests in the logs were given up after a refused connection because the
+	// retry budget was empty.
 	Redial
 )
 
-// KindAfter returns the kind of the attempt after one that failed with a code.
+// KindAfter returns the kind of the attempt that follows one that failed with a code.
 func KindAfter(code resultcode.Code) Kind {
 	if code == resultcode.ConnectFailed {
 		return Redial
@@ -86,68 +84,68 @@
 	return Retry
 }
 
-// CostsBudget says whether an attempt of the kind is paid for from the budget.
+// CostsBudget reports whether an attempt of the kind is charged to the budget.
 func (k Kind) CostsBudget() bool {
 	return k == Retry || k == Hedge
 }
 
-// Parts of the burst that are left to attempts that matter more.
+// Fractions of the burst that are reserved for attempts of higher priority.
 const (
-	// firstTryReserve is left to callers that were refused before, who have fewer tries
-	// left: where back ends refuse half of all requests, 0.960 instead of 0.943 of the
-	// callers are served in time (TestPatterns, shed).
-	firstTryReserve = 0.25
-	// hedgeReserve is left to attempts that failed: a request that failed is lost without
-	// another one, one that is slow may still be answered.
+	// callerRetryReserve is reserved for callers that were refused before and have fewer tries left.
+	// If back ends refuse half of all requests, it raises the share of callers that are served in
+	// time from 0.943 to 0.960 (TestPatterns, shed).
+	callerRetryReserve = 0.25
+	// hedgeReserve is reserved for retries: a failed request is lost without another attempt, a slow
+	// one may still be answered.
 	hedgeReserve = 0.25
 )
 
-// Spend takes one attempt of a kind, and says whether there was one. returned says that
-// the caller was refused before and has come back.
-func (b *Budget) Spend(kind Kind, returned bool) bool {
+// Spend charges an attempt to the budget and reports whether the budget allows it. callerRetry tells
+// that the caller was refused before and has retried.
+func (b *Budget) Spend(kind Kind, callerRetry bool) bool {
 	reserve := 0.0
 	switch {
 	case !kind.CostsBudget():
 		return true
 	case kind == Hedge:
 		reserve = hedgeReserve * b.burst()
-	case !returned:
-		reserve = firstTryReserve * b.burst()
+	case !callerRetry:
+		reserve = callerRetryReserve * b.burst()
 	}
-	if b.saved < 1+reserve {
+	if b.balance < 1+reserve {
 		return false
 	}
-	b.saved--
+	b.balance--
 	return true
 }
 
-// Reset gives up what was saved.
+// Reset discards the saved retries.
 func (b *Budget) Reset() {
-	b.saved = 0
+	b.balance = 0
 }
 
-// Refund gives back what Spend took for a retry that was not made.
+// Refund reverses Spend for an attempt that was not made.
 func (b *Budget) Refund() {
-	b.saved++
+	b.balance++
 }
 
 // Attempt describes a failed attempt.
 type Attempt struct {
 	Code             resultcode.Code
-	Number           int           // attempts so far, without those that were never sent
-	Unsent           int           // attempts that were never sent, and do not count as attempts
-	MaxAttempts      int           // attempts allowed, the first included
+	Number           int           // attempts so far, except those that were never sent
+	Unsent           int           // attempts that were never sent; not included in Number
+	MaxAttempts      int           // maximum of Number, including the first attempt
 	Repeatable       bool          // the policy allows a repeat
-	Returned         bool          // the caller was refused before and has come back
+	Returned         bool          // the caller was refused before and has retried
 	UpstreamRetry    bool          // the caller's request was itself a retry
 	Rewindable       bool          // the request's body can be sent again
-	Remaining        time.Duration // until the deadline
-	ExpectedDuration time.Duration // time another attempt takes
-	UntriedBackends  int           // back ends that have not failed the request yet
-	Endings          int           // back ends that ended while they ran this request or its repeats
+	Remaining        time.Duration // time until the deadline
+	ExpectedDuration time.Duration // expected time of another attempt
+	UntriedBackends  int           // back ends that have not been tried for this request
+	Endings          int           // back ends that crashed while they ran this request or its repeats
 }
 
-// Verdict says whether to send again and, if not, why.
+// Verdict is the decision whether to send a request again and, if not, the reason.
 type Verdict string
 
 // The verdicts.
@@ -163,8 +161,8 @@
 	BackendsEnded     Verdict = "back-ends-ended"
 )
 
-// Decide says whether to send again. It spends from the budget only when the
-// verdict is Again.
+// Decide decides whether to send a request again. It charges the budget only if the verdict is
+// Allowed.
 func Decide(attempt Attempt, budget *Budget) Verdict {
 	verdict := Evaluate(attempt)
 	if verdict == Allowed && !budget.Spend(Retry, attempt.Returned) {
@@ -173,16 +171,16 @@
 	return verdict
 }
 
-// maxEndings is under how many endings of back ends a request is sent again. Under one it may be
-// a bystander, whom another attempt serves; the second time it is the culprit as a rule, and
-// the third back end is left to the next repeat to show it.
-const maxEndings = 1
+// maxCrashes is the number of back end crashes up to which a request is sent again. After one crash the
+// request may have been a bystander, which another attempt serves. After the second it is usually the
+// cause, and a third back end is only risked if the caller repeats the request.
+const maxCrashes = 1
 
-// maxUnsent is how many attempts of a request may go unsent: with half of the back ends gone and not
-// known to be, one request of sixteen meets four of them.
+// maxUnsent is the maximum number of unsent attempts of a request: if half of the back ends are gone
+// without this being known, one request in sixteen is routed to four of them.
 const maxUnsent = 3
 
-// Evaluate says whether to send again, as far as that does not depend on the budget.
+// Evaluate decides whether to send a request again, regardless of the budget.
 func Evaluate(attempt Attempt) Verdict {
 	notRun := attempt.Code.Info().Run == resultcode.NotRun
 	switch {
@@ -190,7 +188,7 @@
 		return NotRepeatable
 	case attempt.Number >= attempt.MaxAttempts || attempt.Unsent > maxUnsent:
 		return TooManyAttempts
-	case attempt.Endings > maxEndings:
+	case attempt.Endings > maxCrashes:
 		return BackendsEnded
 	case attempt.UpstreamRetry:
 		return AlreadyRetry
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -10,12 +10,12 @@
 	"github.com/tuliphall/tuliphall/retry"
 )
 
-// attempt is a failed first attempt that may be made again.
+// attempt returns a failed first attempt that may be retried.
 func attempt() retry.Attempt {
 	return retry.Attempt{Code: resultcode.ConnectionBroken, Number: 1, MaxAttempts: 3, Repeatable: true, Rewindable: true, Remaining: time.Second, UntriedBackends: 3}
 }
 
-func full() *retry.Budget {
+func fullBudget() *retry.Budget {
 	budget := &retry.Budget{}
 	for range 1000 {
 		budget.Earn()
@@ -38,37 +38,38 @@
 		{"no time", func(a *retry.Attempt) { a.ExpectedDuration = time.Minute }, retry.NoTimeLeft},
 		{"no other back end", func(a *retry.Attempt) { a.UntriedBackends = 0 }, retry.NoOtherBackend},
 	} {
-		made := attempt()
-		one.change(&made)
-		require.Equal(t, one.want, retry.Decide(made, full()), one.name)
+		failed := attempt()
+		one.change(&failed)
+		require.Equal(t, one.want, retry.Decide(failed, fullBudget()), one.name)
 	}
 	require.Equal(t, retry.OverBudget, retry.Decide(attempt(), &retry.Budget{}))
 }
 
-// chain calls level after level; the last one fails always. Each level tells the
-// one above by an error answer, which is an answer and is not retried.
+// chain simulates a chain of calls whose last level always fails. Each level reports the failure to
+// the one above by an error response, which is not retried.
 func chain(budgets []*retry.Budget, level, number int, attempts []int) resultcode.Code {
 	budgets[level].Earn()
 	for try := 1; ; try++ {
 		attempts[level]++
 		code := resultcode.ConnectionBroken
 		if level+1 < len(budgets) {
-			// The back end of this level answers 502 when its own call fails.
+			// The back end of this level responds with 502 if its own call fails.
 			chain(budgets, level+1, number, attempts)
 			code = resultcode.Answered
 		}
 		if code == resultcode.Answered {
 			return code
 		}
-		made := attempt()
-		made.Number, made.Code = try, code
-		if retry.Decide(made, budgets[level]) != retry.Allowed {
+		failed := attempt()
+		failed.Number, failed.Code = try, code
+		if retry.Decide(failed, budgets[level]) != retry.Allowed {
 			return code
 		}
 	}
 }
 
-// TestChain sends requests down 20 levels of which the last one fails.
+// TestChain guards against retries multiplying along a chain of calls: with 20 levels of which the
+// last always fails, the last level gets at most 1.2 attempts per request.
 func TestChain(t *testing.T) {
 	const levels, requests = 20, 2000
 	var budgets []*retry.Budget
@@ -84,8 +85,8 @@
 	require.Greater(t, attempts[levels-1], requests, "nothing was retried")
 }
 
-// TestBudgetKeepsItsRatio spends whatever a budget gives and finds no more than
-// its ratio of the requests and one burst.
+// TestBudgetKeepsItsRatio spends as much as a budget allows: never more than the ratio of the requests
+// plus one burst, and not less than the ratio.
 func TestBudgetKeepsItsRatio(t *testing.T) {
 	for _, one := range []struct{ ratio, burst float64 }{{0, 0}, {0.16, 3}, {0.16, 0.4}, {0.5, 20}} {
 		budget := &retry.Budget{Ratio: one.ratio, Burst: one.burst}
@@ -114,14 +115,14 @@
 	budget.Earn()
 	require.True(t, budget.Spend(retry.Retry, true))
 	budget.Refund()
-	require.True(t, budget.Spend(retry.Retry, true), "a refund is there again")
+	require.True(t, budget.Spend(retry.Retry, true), "a refunded retry can be spent again")
 	require.False(t, budget.Spend(retry.Retry, true))
 }
 
-// TestFirstTriesLeaveAReserve lets requests that failed at their callers' first try spend
-// until what is left is kept for callers that have come back.
+// TestFirstTriesLeaveAReserve guards against the first tries of callers using up the budget, so that
+// callers that were refused before get no retry.
 func TestFirstTriesLeaveAReserve(t *testing.T) {
-	budget := full()
+	budget := fullBudget()
 	first, returned := 0, 0
 	for budget.Spend(retry.Retry, false) {
 		first++
@@ -133,10 +134,10 @@
 	require.Equal(t, 3, returned)
 }
 
-// TestHedgesLeaveAReserve lets hedges spend until what is left is kept for requests
-// that failed.
+// TestHedgesLeaveAReserve guards against hedges using up the budget, so that failed requests get no
+// retry.
 func TestHedgesLeaveAReserve(t *testing.T) {
-	budget := full()
+	budget := fullBudget()
 	hedges, retries := 0, 0
 	for budget.Spend(retry.Hedge, true) {
 		hedges++
@@ -149,8 +150,8 @@
 	require.True(t, budget.Spend(retry.First, true), "a first attempt costs nothing")
 }
 
-// TestUnsentAttemptsCostNothing: a refused connection takes neither an attempt nor a retry of the
-// budget, but only so many are tried.
+// TestUnsentAttemptsCostNothing checks that a refused connection uses up neither an attempt nor the
+// budget, and that the number of such attempts is limited.
 func TestUnsentAttemptsCostNothing(t *testing.T) {
 	require.Equal(t, retry.Redial, retry.KindAfter(resultcode.ConnectFailed))
 	require.Equal(t, retry.Retry, retry.KindAfter(resultcode.BackendRefused))
@@ -167,8 +168,8 @@
 	require.Equal(t, retry.TooManyAttempts, retry.Evaluate(attempt))
 }
 
-// TestEndedBackEndsEndRetries: a request under which more than one back end has ended is not sent
-// to the next by us.
+// TestEndedBackEndsEndRetries guards against retries carrying a request that crashes back ends from
+// one to the next: after two crashes it is not sent again.
 func TestEndedBackEndsEndRetries(t *testing.T) {
 	attempt := retry.Attempt{Code: resultcode.ConnectionBroken, Number: 1, MaxAttempts: 3, Repeatable: true, Rewindable: true, Remaining: time.Second, UntriedBackends: 9, Endings: 1}
 	require.Equal(t, retry.Allowed, retry.Evaluate(attempt))
