--- a/signals/doc.go
+++ b/signals/doc.go
@@ -1,7 +1,7 @@
-// Package signals reads what back ends say of themselves with their answers, to requests and to probes alike,
-// and hands each signal to the part that acts on it.
+// Package signals reads the signals that back ends send about themselves with their responses, to requests and to
+// probes alike, and passes each signal to the package that acts on it.
 //
-// Every answer passes through a Reader, so that a signal is either read here, or known to be for callers only, or
-// logged and counted as one that nothing reads. What tells of load is read where the answer is used, as it goes
-// into the decision that comes next; docs/back-end-signals.md lists all signals with who acts on them.
+// Every response passes through a Reader, so that each signal is either read here, known to be for callers only, or
+// logged and counted as unread. Load reports are read where the response is used, because they enter the next routing
+// decision; docs/back-end-signals.md lists all signals and what acts on them.
 package signals
--- a/signals/list.go
+++ b/signals/list.go
@@ -7,7 +7,7 @@
 	"github.com/tuliphall/tuliphall/backend"
 )
 
-// Signal is something that a back end may say with an answer, and who reads it.
+// Signal describes a signal that a back end may send with a response, and what reads it.
 type Signal struct {
 	Meaning string
 	ReadBy  string // package
@@ -15,12 +15,12 @@
 	header  func(dialect *backend.Dialect) string
 }
 
-// Header returns how a dialect spells the signal; empty: it has none.
+// Header returns the header of the signal in a dialect; empty: the dialect has none.
 func (s Signal) Header(dialect *backend.Dialect) string {
 	return s.header(dialect)
 }
 
-// list has every signal. A field of backend.Dialect that names a header of answers must be in it.
+// list holds every signal. Each field of backend.Dialect that names a response header must be in it.
 var list = []Signal{
 	{"its load, and how much longer work takes", "frontend, measure", "routing", func(d *backend.Dialect) string { return d.Report }},
 	{"that it is leaving, or is back", "signals", "drain: no new requests from any daemon", func(d *backend.Dialect) string { return d.Draining }},
@@ -34,13 +34,13 @@
 	{"for how long it keeps an idle connection", "nobody", "a service declares it", func(*backend.Dialect) string { return "Keep-Alive" }},
 }
 
-// List returns every signal.
+// List returns all signals.
 func List() []Signal {
 	return slices.Clone(list)
 }
 
-// namesOf returns the headers of answers that are known signals in a dialect, or are for callers only.
-func namesOf(dialect *backend.Dialect) map[string]bool {
+// knownHeaders returns the response headers that are signals in a dialect or are for callers only.
+func knownHeaders(dialect *backend.Dialect) map[string]bool {
 	names := make(map[string]bool)
 	for _, name := range dialect.PassedOn {
 		names[http.CanonicalHeaderKey(name)] = true
@@ -51,8 +51,8 @@
 	return names
 }
 
-// ordinary are the headers that any answer may have and by which a back end says nothing of itself.
-var ordinary = map[string]bool{
+// standardHeaders are the headers that any response may have and that are not signals.
+var standardHeaders = map[string]bool{
 	"Accept-Ranges": true, "Age": true, "Alt-Svc": true, "Cache-Control": true, "Content-Encoding": true, "Content-Length": true, "Content-Type": true,
 	"Date": true, "Etag": true, "Expires": true, "Last-Modified": true, "Pragma": true, "Server": true, "Set-Cookie": true,
 	"Strict-Transport-Security": true, "Transfer-Encoding": true, "Vary": true, "Via": true, "Www-Authenticate": true,
--- a/signals/list_test.go
+++ b/signals/list_test.go
@@ -14,16 +14,16 @@
 	"github.com/tuliphall/tuliphall/signals"
 )
 
-// ofRequests are the fields of a dialect that name headers of requests, or no header.
-var ofRequests = []string{"Deadline", "Instance", "Tenant", "SelfPrefix"}
+// notOfResponses are the fields of a dialect that name request headers, or no header.
+var notOfResponses = []string{"Deadline", "Instance", "Tenant", "SelfPrefix"}
 
-// TestEveryHeaderOfADialectIsListed guards against a signal that a dialect knows and nothing reads.
+// TestEveryHeaderOfADialectIsListed guards against a signal that a dialect defines but nothing reads.
 func TestEveryHeaderOfADialectIsListed(t *testing.T) {
 	var dialect backend.Dialect
 	fields := reflect.ValueOf(&dialect).Elem()
 	for number := range fields.NumField() {
 		name, field := fields.Type().Field(number).Name, fields.Field(number)
-		if field.Kind() != reflect.String || slices.Contains(ofRequests, name) {
+		if field.Kind() != reflect.String || slices.Contains(notOfResponses, name) {
 			continue
 		}
 		field.SetString("X-" + name)
@@ -32,15 +32,15 @@
 	}
 }
 
-// TestListInDocs keeps docs/back-end-signals.md equal to the code.
+// TestListInDocs guards against the table in docs/back-end-signals.md differing from the code.
 func TestListInDocs(t *testing.T) {
 	text, err := os.ReadFile("../docs/back-end-signals.md")
 	require.NoError(t, err)
 	rows := regexp.MustCompile(`(?m)^\| [^|]+ \| `+"`"+`[^|]*\|.*$`).FindAllString(string(text), -1)
 	dialect := backend.DefaultDialect()
-	var wanted []string
+	var want []string
 	for _, signal := range signals.List() {
-		wanted = append(wanted, fmt.Sprintf("| %s | `%s` | %s | %s |", signal.Meaning, signal.Header(&dialect), signal.ReadBy, signal.Effect))
+		want = append(want, fmt.Sprintf("| %s | `%s` | %s | %s |", signal.Meaning, signal.Header(&dialect), signal.ReadBy, signal.Effect))
 	}
-	require.Equal(t, wanted, rows)
+	require.Equal(t, want, rows)
 }
--- a/signals/reader.go
+++ b/signals/reader.go
@@ -14,54 +14,54 @@
 	"github.com/tuliphall/tuliphall/pushback"
 )
 
-// headerRetryAfter holds, of a refusal, for how long the back end wants nothing more (RFC 9110, 10.2.3).
+// headerRetryAfter states for how long the back end wants no requests after a refusal (RFC 9110, 10.2.3).
 const headerRetryAfter = "Retry-After"
 
-// Response is an answer of a back end.
+// Response is a response of a back end.
 type Response struct {
 	backend.Key
-	Started   int64     // of the run that was asked, in Unix milliseconds; 0: not known
+	Started   int64     // start of the back end's run, in Unix milliseconds; 0: not known
 	Sent      time.Time // when the request was sent, or earlier
-	RequestID string    // id of the request; empty: a probe was answered
+	RequestID string    // id of the request; empty: it was a probe
 	Status    int
 	Header    http.Header
-	Refused   bool // the back end says that it did not run the request
+	Refused   bool // the back end states that it did not run the request
 }
 
-// isProbe says whether a probe was answered.
+// isProbe reports whether the response is to a probe.
 func (a *Response) isProbe() bool {
 	return a.RequestID == ""
 }
 
-// Listener takes in answers of back ends. It must not block.
+// Listener observes the responses of back ends. It must not block.
 type Listener interface {
-	Observe(answer Response)
+	Observe(response Response)
 }
 
-// NopListener takes in nothing. It implements Listener.
+// NopListener is a Listener that ignores all responses.
 type NopListener struct{}
 
 // Observe implements Listener.
 func (NopListener) Observe(Response) {}
 
-// Limits is told what back ends say, or do not say, of how many requests they take. It must not block.
+// Limits observes the request limits that responses state or omit. It must not block.
 type Limits interface {
-	Observe(header http.Header, answer backendlimit.Response)
+	Observe(header http.Header, response backendlimit.Response)
 }
 
-// Drains is told of back ends that are leaving, or are back. It must not block.
+// Drains observes signals that back ends are draining or have stopped draining. It must not block.
 type Drains interface {
 	Observe(signal drain.Signal)
 }
 
-// Pauses is told of back ends that ask this daemon for a pause. It must not block.
+// Pauses records that back ends ask this daemon for a pause. It must not block.
 type Pauses interface {
-	RecordPause(key backend.Key, lasts time.Duration, started int64, request string)
+	RecordPause(key backend.Key, duration time.Duration, started int64, requestID string)
 }
 
-// Options are a Reader's collaborators.
+// Options configure a Reader.
 type Options struct {
-	// Dialect is how back ends spell their signals.
+	// Dialect defines the headers of the signals.
 	Dialect backend.Dialect
 	Limits  Limits
 	Drains  Drains
@@ -70,102 +70,102 @@
 	Metrics tally.Scope
 }
 
-// Reader reads the signals of answers. It implements Listener and is safe for concurrent use.
+// Reader reads the signals of responses. It implements Listener and is safe for concurrent use.
 type Reader struct {
 	options    Options
 	log        *slog.Logger
-	unread     *unread
+	unread     *unreadHeaders
 	unreadable tally.Counter
-	// warned are the back ends and headers of which it was logged that a value cannot be read.
+	// warned holds the back ends and headers for which an invalid value has been logged.
 	warned *logging.Once[badValue]
 }
 
-// badValue is a header of a back end whose value cannot be read.
+// badValue identifies a header of a back end that has an invalid value.
 type badValue struct {
 	backend.Key
 	header string
 }
 
-// maxBadValues bounds those that are remembered, and so logged.
-const maxBadValues = 256
+// maxLoggedBadValues is the maximum number of back ends and headers that are remembered, and so logged.
+const maxLoggedBadValues = 256
 
 // NewReader returns a reader.
 func NewReader(options Options) *Reader {
 	log := logging.Part(options.Log, "signals")
 	return &Reader{
-		options: options, log: log, unread: newUnread(&options.Dialect, log, options.Metrics),
-		unreadable: options.Metrics.Counter("backend_signals_unreadable"), warned: logging.NewOnce[badValue](maxBadValues),
+		options: options, log: log, unread: newUnreadHeaders(&options.Dialect, log, options.Metrics),
+		unreadable: options.Metrics.Counter("backend_signals_unreadable"), warned: logging.NewOnce[badValue](maxLoggedBadValues),
 	}
 }
 
 // Observe implements Listener.
-func (r *Reader) Observe(answer Response) {
-	if answer.Status == http.StatusMisdirectedRequest && !answer.isProbe() {
-		// Another back end has answered. Where requests name the one that they are meant for, that one is gone.
+func (r *Reader) Observe(response Response) {
+	if response.Status == http.StatusMisdirectedRequest && !response.isProbe() {
+		// Another back end has responded. If requests name their intended back end, that one is gone.
 		if r.options.Dialect.Instance != "" {
-			r.tellDrain(answer, true)
+			r.reportDrain(response, true)
 		}
 		return
 	}
-	r.readDraining(answer)
-	r.readPause(answer)
-	r.options.Limits.Observe(answer.Header, backendlimit.Response{
-		Key: answer.Key, Started: answer.Started, Sent: answer.Sent, Probe: answer.isProbe(),
-		Failed: answer.Refused || answer.Status >= http.StatusInternalServerError,
+	r.readDraining(response)
+	r.readPause(response)
+	r.options.Limits.Observe(response.Header, backendlimit.Response{
+		Key: response.Key, Started: response.Started, Sent: response.Sent, Probe: response.isProbe(),
+		Failed: response.Refused || response.Status >= http.StatusInternalServerError,
 	})
-	r.unread.look(answer.Header, answer.Refused || answer.isProbe(), answer.Service, answer.Backend)
+	r.unread.observe(response.Header, response.Refused || response.isProbe(), response.Service, response.Backend)
 }
 
-// readDraining reads whether the back end is leaving.
-func (r *Reader) readDraining(answer Response) {
+// readDraining reports to Drains if the response states whether the back end is draining.
+func (r *Reader) readDraining(response Response) {
 	dialect := &r.options.Dialect
 	if dialect.Draining == "" {
 		return
 	}
-	said, err := dialect.ParseDraining(answer.Header.Values(dialect.Draining))
+	state, err := dialect.ParseDraining(response.Header.Values(dialect.Draining))
 	switch {
 	case err != nil:
-		r.noteUnreadable(answer.Key, dialect.Draining, err)
-	case said != backend.DrainingUnsaid:
-		r.tellDrain(answer, said == backend.Leaving)
+		r.recordUnreadable(response.Key, dialect.Draining, err)
+	case state != backend.DrainingUnsaid:
+		r.reportDrain(response, state == backend.Leaving)
 	}
 }
 
-// readPause reads whether the back end turned the request away and wants nothing more from this daemon for a while.
-func (r *Reader) readPause(answer Response) {
-	lasts, err := pauseOf(answer.Status, answer.Header)
+// readPause reports to Pauses if the response refuses the request and asks for a pause.
+func (r *Reader) readPause(response Response) {
+	duration, err := parsePause(response.Status, response.Header)
 	switch {
 	case err != nil:
-		r.noteUnreadable(answer.Key, headerRetryAfter, err)
-	case lasts > 0:
-		r.options.Pauses.RecordPause(answer.Key, lasts, answer.Started, answer.RequestID)
+		r.recordUnreadable(response.Key, headerRetryAfter, err)
+	case duration > 0:
+		r.options.Pauses.RecordPause(response.Key, duration, response.Started, response.RequestID)
 	}
 }
 
-// RequestsPause says whether a back end turned a request away and wants nothing more for a while.
+// RequestsPause reports whether a response refuses a request and asks for a pause.
 func RequestsPause(response *http.Response) bool {
-	lasts, err := pauseOf(response.StatusCode, response.Header)
-	return err == nil && lasts > 0
+	duration, err := parsePause(response.StatusCode, response.Header)
+	return err == nil && duration > 0
 }
 
-// pauseOf returns for how long the back end that gave an answer wants nothing more; 0: it does not say so.
-func pauseOf(status int, header http.Header) (time.Duration, error) {
+// parsePause returns the pause that a response asks for; 0: none.
+func parsePause(status int, header http.Header) (time.Duration, error) {
 	if status != http.StatusServiceUnavailable {
 		return 0, nil
 	}
 	return pushback.ParseRetryAfter(header.Values(headerRetryAfter), time.Now())
 }
 
-func (r *Reader) tellDrain(answer Response, draining bool) {
+func (r *Reader) reportDrain(response Response, draining bool) {
 	r.options.Drains.Observe(drain.Signal{
-		SignalKey: drain.SignalKey{Key: answer.Key, Source: drain.FromBackend}, Draining: draining, Started: answer.Started, Sent: answer.Sent, RequestID: answer.RequestID,
+		SignalKey: drain.SignalKey{Key: response.Key, Source: drain.FromBackend}, Draining: draining, Started: response.Started, Sent: response.Sent, RequestID: response.RequestID,
 	})
 }
 
-// noteUnreadable counts a value that cannot be read, and logs the first of each back end's header.
-func (r *Reader) noteUnreadable(key backend.Key, header string, err error) {
+// recordUnreadable counts an invalid value, and logs the first one for each back end and header.
+func (r *Reader) recordUnreadable(key backend.Key, header string, err error) {
 	r.unreadable.Inc(1)
 	if r.warned.First(badValue{Key: key, header: header}) {
-		r.log.Warn("signal not understood, what is known stays", "service", key.Service, "backend", key.Backend, "error", err)
+		r.log.Warn("invalid signal; keeping the previous state", "service", key.Service, "backend", key.Backend, "error", err)
 	}
 }
--- a/signals/reader_test.go
+++ b/signals/reader_test.go
@@ -15,113 +15,113 @@
 	"github.com/tuliphall/tuliphall/signals"
 )
 
-// heard is what a reader handed on.
-type heard struct {
+// recorder records what a reader passes on.
+type recorder struct {
 	signals []drain.Signal
 	limits  []backendlimit.Response
 	pauses  []time.Duration
 }
 
-func (h *heard) RecordPause(_ backend.Key, lasts time.Duration, _ int64, _ string) {
-	h.pauses = append(h.pauses, lasts)
+func (h *recorder) RecordPause(_ backend.Key, duration time.Duration, _ int64, _ string) {
+	h.pauses = append(h.pauses, duration)
 }
 
-func (h *heard) Observe(signal drain.Signal) { h.signals = append(h.signals, signal) }
+func (h *recorder) Observe(signal drain.Signal) { h.signals = append(h.signals, signal) }
 
-type heardLimits struct{ *heard }
+type limitRecorder struct{ *recorder }
 
-func (h heardLimits) Observe(_ http.Header, answer backendlimit.Response) {
-	h.limits = append(h.limits, answer)
+func (h limitRecorder) Observe(_ http.Header, response backendlimit.Response) {
+	h.limits = append(h.limits, response)
 }
 
-func newReader(dialect backend.Dialect) (*signals.Reader, *heard, tally.TestScope) {
-	got, scope := new(heard), tally.NewTestScope("", nil)
+func newReader(dialect backend.Dialect) (*signals.Reader, *recorder, tally.TestScope) {
+	recorded, scope := new(recorder), tally.NewTestScope("", nil)
 	return signals.NewReader(signals.Options{
-		Dialect: dialect, Limits: heardLimits{got}, Drains: got, Pauses: got, Log: slog.New(slog.DiscardHandler), Metrics: scope,
-	}), got, scope
+		Dialect: dialect, Limits: limitRecorder{recorded}, Drains: recorded, Pauses: recorded, Log: slog.New(slog.DiscardHandler), Metrics: scope,
+	}), recorded, scope
 }
 
 var sent = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func answered(request string, status int, header ...string) signals.Response {
-	answer := signals.Response{Key: backend.Key{Service: "board", Backend: "i-1"}, Started: 5, Sent: sent, RequestID: request, Status: status, Header: make(http.Header)}
+func newResponse(request string, status int, header ...string) signals.Response {
+	response := signals.Response{Key: backend.Key{Service: "board", Backend: "i-1"}, Started: 5, Sent: sent, RequestID: request, Status: status, Header: make(http.Header)}
 	for index := 0; index < len(header); index += 2 {
-		answer.Header.Add(header[index], header[index+1])
+		response.Header.Add(header[index], header[index+1])
 	}
-	return answer
+	return response
 }
 
-// TestDrainingIsReadOfEveryAnswer guards against a back end whose word that it leaves is passed over, whatever
-// else the answer says.
+// TestDrainingIsReadOfEveryAnswer guards against the drain signal of a back end being ignored because of the
+// status or the other headers of the response.
 func TestDrainingIsReadOfEveryAnswer(t *testing.T) {
-	said := drain.Signal{SignalKey: drain.SignalKey{Key: backend.Key{Service: "board", Backend: "i-1"}, Source: drain.FromBackend}, Draining: true, Started: 5, Sent: sent, RequestID: "r"}
-	back, probed := said, said
+	leaving := drain.Signal{SignalKey: drain.SignalKey{Key: backend.Key{Service: "board", Backend: "i-1"}, Source: drain.FromBackend}, Draining: true, Started: 5, Sent: sent, RequestID: "r"}
+	back, probed := leaving, leaving
 	back.Draining, probed.RequestID = false, ""
 	for name, one := range map[string]struct {
-		answer signals.Response
-		want   []drain.Signal
+		response signals.Response
+		want     []drain.Signal
 	}{
-		"an answer":                 {answer: answered("r", 200, backend.HeaderDraining, "true"), want: []drain.Signal{said}},
-		"a failure":                 {answer: answered("r", 500, backend.HeaderDraining, "true"), want: []drain.Signal{said}},
-		"a refusal":                 {answer: answered("r", 503, backend.HeaderDraining, "true"), want: []drain.Signal{said}},
-		"an answer to a probe":      {answer: answered("", 503, backend.HeaderDraining, "true"), want: []drain.Signal{probed}},
-		"twice":                     {answer: answered("r", 200, backend.HeaderDraining, "false", backend.HeaderDraining, "true"), want: []drain.Signal{said}},
-		"back":                      {answer: answered("r", 200, backend.HeaderDraining, "false"), want: []drain.Signal{back}},
-		"nothing":                   {answer: answered("r", 200)},
-		"not readable":              {answer: answered("r", 200, backend.HeaderDraining, "soon")},
-		"not its own answer":        {answer: answered("r", http.StatusMisdirectedRequest, backend.HeaderDraining, "true")},
-		"unreadable beside a value": {answer: answered("r", 200, backend.HeaderDraining, "soon", backend.HeaderDraining, "true"), want: []drain.Signal{said}},
+		"an answer":                 {response: newResponse("r", 200, backend.HeaderDraining, "true"), want: []drain.Signal{leaving}},
+		"a failure":                 {response: newResponse("r", 500, backend.HeaderDraining, "true"), want: []drain.Signal{leaving}},
+		"a refusal":                 {response: newResponse("r", 503, backend.HeaderDraining, "true"), want: []drain.Signal{leaving}},
+		"an answer to a probe":      {response: newResponse("", 503, backend.HeaderDraining, "true"), want: []drain.Signal{probed}},
+		"twice":                     {response: newResponse("r", 200, backend.HeaderDraining, "false", backend.HeaderDraining, "true"), want: []drain.Signal{leaving}},
+		"back":                      {response: newResponse("r", 200, backend.HeaderDraining, "false"), want: []drain.Signal{back}},
+		"nothing":                   {response: newResponse("r", 200)},
+		"not readable":              {response: newResponse("r", 200, backend.HeaderDraining, "soon")},
+		"not its own answer":        {response: newResponse("r", http.StatusMisdirectedRequest, backend.HeaderDraining, "true")},
+		"unreadable beside a value": {response: newResponse("r", 200, backend.HeaderDraining, "soon", backend.HeaderDraining, "true"), want: []drain.Signal{leaving}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			reader, got, _ := newReader(backend.DefaultDialect())
-			reader.Observe(one.answer)
-			require.Equal(t, one.want, got.signals)
+			reader, recorded, _ := newReader(backend.DefaultDialect())
+			reader.Observe(one.response)
+			require.Equal(t, one.want, recorded.signals)
 		})
 	}
 }
 
-// TestAnotherBackendAtTheAddress takes an answer of another back end for the end of the one that was meant, and
-// nothing else of it for its word.
+// TestAnotherBackendAtTheAddress checks that a response of another back end counts as the end of the intended one,
+// and that none of its signals is attributed to that one.
 func TestAnotherBackendAtTheAddress(t *testing.T) {
 	dialect := backend.DefaultDialect()
 	dialect.Instance = "Expected"
-	reader, got, _ := newReader(dialect)
-	reader.Observe(answered("r", http.StatusMisdirectedRequest, backend.HeaderRequestLimit, "3"))
-	require.Len(t, got.signals, 1)
-	require.True(t, got.signals[0].Draining)
-	require.Empty(t, got.limits)
+	reader, recorded, _ := newReader(dialect)
+	reader.Observe(newResponse("r", http.StatusMisdirectedRequest, backend.HeaderRequestLimit, "3"))
+	require.Len(t, recorded.signals, 1)
+	require.True(t, recorded.signals[0].Draining)
+	require.Empty(t, recorded.limits)
 }
 
-// TestUnreadableSignalsAreCounted counts each, and keeps what is known.
+// TestUnreadableSignalsAreCounted checks that each invalid signal is counted and does not change the state.
 func TestUnreadableSignalsAreCounted(t *testing.T) {
-	reader, got, scope := newReader(backend.DefaultDialect())
+	reader, recorded, scope := newReader(backend.DefaultDialect())
 	for range 3 {
-		reader.Observe(answered("r", 200, backend.HeaderDraining, "soon"))
+		reader.Observe(newResponse("r", 200, backend.HeaderDraining, "soon"))
 	}
-	require.Empty(t, got.signals)
+	require.Empty(t, recorded.signals)
 	require.EqualValues(t, 3, scope.Snapshot().Counters()["backend_signals_unreadable+"].Value())
 }
 
-// TestPausesAreReadOfRefusals guards against a back end that asks for a pause in vain, and against one left alone for
-// what an answer tells its caller.
+// TestPausesAreReadOfRefusals guards against a back end's request for a pause being ignored, and against a back end
+// being paused because of a Retry-After header that is meant for the caller.
 func TestPausesAreReadOfRefusals(t *testing.T) {
 	for name, one := range map[string]struct {
-		answer signals.Response
-		want   []time.Duration
+		response signals.Response
+		want     []time.Duration
 	}{
-		"a refusal":              {answer: answered("r", 503, "Retry-After", "4"), want: []time.Duration{4 * time.Second}},
-		"an answer to a probe":   {answer: answered("", 503, "Retry-After", "4"), want: []time.Duration{4 * time.Second}},
-		"no time":                {answer: answered("r", 503)},
-		"at once":                {answer: answered("r", 503, "Retry-After", "0")},
-		"not readable":           {answer: answered("r", 503, "Retry-After", "soon")},
-		"too many requests":      {answer: answered("r", 429, "Retry-After", "4")},
-		"a success":              {answer: answered("r", 200, "Retry-After", "4")},
-		"another back end's own": {answer: answered("r", 421, "Retry-After", "4")},
+		"a refusal":              {response: newResponse("r", 503, "Retry-After", "4"), want: []time.Duration{4 * time.Second}},
+		"an answer to a probe":   {response: newResponse("", 503, "Retry-After", "4"), want: []time.Duration{4 * time.Second}},
+		"no time":                {response: newResponse("r", 503)},
+		"at once":                {response: newResponse("r", 503, "Retry-After", "0")},
+		"not readable":           {response: newResponse("r", 503, "Retry-After", "soon")},
+		"too many requests":      {response: newResponse("r", 429, "Retry-After", "4")},
+		"a success":              {response: newResponse("r", 200, "Retry-After", "4")},
+		"another back end's own": {response: newResponse("r", 421, "Retry-After", "4")},
 	} {
 		t.Run(name, func(t *testing.T) {
-			reader, got, _ := newReader(backend.DefaultDialect())
-			reader.Observe(one.answer)
-			require.Equal(t, one.want, got.pauses)
+			reader, recorded, _ := newReader(backend.DefaultDialect())
+			reader.Observe(one.response)
+			require.Equal(t, one.want, recorded.pauses)
 		})
 	}
 }
--- a/signals/unread.go
+++ b/signals/unread.go
@@ -11,37 +11,37 @@
 	"github.com/tuliphall/tuliphall/logging"
 )
 
-// maxUnread bounds the names of headers that are logged: back ends choose them.
-const maxUnread = 64
+// maxLoggedNames limits the header names that are logged, because back ends choose them.
+const maxLoggedNames = 64
 
-// unread notes what back ends say of themselves that nothing here reads, so that it is not dropped in
-// silence. It is safe for concurrent use.
-type unread struct {
+// unreadHeaders counts and logs the signals that nothing in the daemon reads, so that they are not
+// ignored silently. It is safe for concurrent use.
+type unreadHeaders struct {
 	log     *slog.Logger
 	counter tally.Counter
 	names   *logging.Once[string]
-	prefix  string          // of headers by which back ends speak of themselves; empty: there is none
-	known   map[string]bool // headers that are read, or need not be
+	prefix  string          // of the headers of signals; empty: there is none
+	known   map[string]bool // headers that are read, or are for callers only
 }
 
-func newUnread(dialect *backend.Dialect, log *slog.Logger, scope tally.Scope) *unread {
-	return &unread{prefix: dialect.SelfPrefix, known: namesOf(dialect), log: log, counter: scope.Counter("backend_headers_unread"), names: logging.NewOnce[string](maxUnread)}
+func newUnreadHeaders(dialect *backend.Dialect, log *slog.Logger, scope tally.Scope) *unreadHeaders {
+	return &unreadHeaders{prefix: dialect.SelfPrefix, known: knownHeaders(dialect), log: log, counter: scope.Counter("backend_headers_unread"), names: logging.NewOnce[string](maxLoggedNames)}
 }
 
-// look counts the headers of an answer by which a back end speaks of itself and which nothing reads, and logs each
-// name once. ours says that the answer is not passed on, so that all that it says is for this daemon.
-func (u *unread) look(header http.Header, ours bool, service, backend string) {
+// observe counts the headers of a response that are signals and that nothing reads, and logs each name once. forDaemon
+// tells that the response is not relayed to a caller, so that all of its headers are meant for this daemon.
+func (u *unreadHeaders) observe(header http.Header, forDaemon bool, service, backend string) {
 	for name := range header {
-		ofItself := ours && !ordinary[name] || u.prefix != "" && strings.HasPrefix(name, u.prefix)
-		if ofItself && !u.known[name] {
-			u.note(name, service, backend)
+		isSignal := forDaemon && !standardHeaders[name] || u.prefix != "" && strings.HasPrefix(name, u.prefix)
+		if isSignal && !u.known[name] {
+			u.record(name, service, backend)
 		}
 	}
 }
 
-func (u *unread) note(name, service, backend string) {
+func (u *unreadHeaders) record(name, service, backend string) {
 	u.counter.Inc(1)
 	if u.names.First(name) {
-		u.log.Warn("back end says what nothing reads", "header", name, "service", service, "backend", backend)
+		u.log.Warn("back end sent a signal that nothing reads", "header", name, "service", service, "backend", backend)
 	}
 }
