--- a/drain/keeper.go
+++ b/drain/keeper.go
@@ -14,125 +14,126 @@
 	"github.com/tuliphall/tuliphall/wait"
 )
 
-// forgetInterval is how often what is not needed any more is dropped.
-const forgetInterval = 5 * time.Second
+// pruneInterval is how often obsolete records are removed.
+const pruneInterval = 5 * time.Second
 
-// Options are a Keeper's collaborators. No function may block.
+// Options configure a Tracker. No function may block.
 type Options struct {
-	// Declared says whether a back end is declared.
+	// Declared reports whether a back end is declared.
 	Declared func(backend.Key) bool
-	// Apply puts what is known of a back end in force where places are given out.
+	// Apply applies the current state of a back end to the granting of permits.
 	Apply func(backend.Key)
-	// Broadcast tells the other daemons of news that this one has heard.
+	// Broadcast sends a record of a signal that this daemon has observed to its peers.
 	Broadcast func(Record)
 	Log       *slog.Logger
 	Metrics   tally.Scope
 }
 
-// Tracker is a daemon's table of leaving back ends. It is safe for concurrent use; but for Run, no method blocks.
+// Tracker tracks the draining back ends known to a daemon. It is safe for concurrent use. No method except Run blocks.
 type Tracker struct {
 	options Options
 	log     *slog.Logger
 	gauge   tally.Gauge
-	// draining is how many signals say that a back end is leaving. Requests need not look further while it is 0.
+	// draining is the number of signals that say that a back end is draining. While it is 0, lookups for requests do not
+	// lock the mutex.
 	draining atomic.Int64
 
 	mutex sync.Mutex
 	table *Table
 }
 
-// NewTracker returns a keeper that has heard nothing.
+// NewTracker returns a tracker without records.
 func NewTracker(options Options) *Tracker {
 	return &Tracker{options: options, log: logging.Part(options.Log, "drains"), table: NewTable(), gauge: options.Metrics.Gauge("backends_leaving")}
 }
 
-// Observe takes in what this daemon hears. The request path calls it.
-func (k *Tracker) Observe(signal Signal) {
-	if !signal.Draining && k.draining.Load() == 0 {
+// Observe takes in a signal that this daemon observes. It is called on the request path.
+func (t *Tracker) Observe(signal Signal) {
+	if !signal.Draining && t.draining.Load() == 0 {
 		return
 	}
-	k.mutex.Lock()
-	news := k.table.Observe(time.Now(), signal)
-	record, _ := k.table.Record(signal.SignalKey)
-	k.count()
-	k.mutex.Unlock()
-	if !news {
+	t.mutex.Lock()
+	changed := t.table.Observe(time.Now(), signal)
+	record, _ := t.table.Record(signal.SignalKey)
+	t.publish()
+	t.mutex.Unlock()
+	if !changed {
 		return
 	}
-	k.options.Apply(signal.Key)
-	k.logChange(record, signal.Source.String(), signal.RequestID)
-	k.options.Broadcast(record)
+	t.options.Apply(signal.Key)
+	t.logChange(record, signal.Source.String(), signal.RequestID)
+	t.options.Broadcast(record)
 }
 
 // Merge implements peer.Records.
-func (k *Tracker) Merge(told []Record) []Record {
-	var news []Record
-	for _, record := range told {
-		k.mutex.Lock()
-		isNews := k.table.Merge(time.Now(), record)
-		k.count()
-		k.mutex.Unlock()
-		if isNews {
-			k.options.Apply(record.Key)
-			k.logChange(record, "daemon", "")
-			news = append(news, record)
+func (t *Tracker) Merge(records []Record) []Record {
+	var changes []Record
+	for _, record := range records {
+		t.mutex.Lock()
+		changed := t.table.Merge(time.Now(), record)
+		t.publish()
+		t.mutex.Unlock()
+		if changed {
+			t.options.Apply(record.Key)
+			t.logChange(record, "daemon", "")
+			changes = append(changes, record)
 		}
 	}
-	return news
+	return changes
 }
 
-// count publishes how many signals say that a back end is leaving. The caller holds the mutex.
-func (k *Tracker) count() {
-	k.draining.Store(int64(k.table.DrainingCount()))
-	k.gauge.Update(float64(k.table.DrainingCount()))
+// publish updates the draining count and the gauge. The caller holds the mutex.
+func (t *Tracker) publish() {
+	t.draining.Store(int64(t.table.DrainingCount()))
+	t.gauge.Update(float64(t.table.DrainingCount()))
 }
 
-// logChange logs what is known from now on. request is the id of the request whose answer said it; empty: none did.
-func (k *Tracker) logChange(record Record, heardFrom, request string) {
+// logChange logs a change of state. requestID is the id of the request whose response had the signal; empty: none.
+func (t *Tracker) logChange(record Record, heardFrom, requestID string) {
 	message := "back end is leaving"
 	if !record.Draining {
 		message = "back end is back"
 	}
-	k.log.Info(message, "service", record.Service, "backend", record.Backend, "started", record.Started, "source", record.Source.String(),
-		"heard_from", heardFrom, "by_request", request)
+	t.log.Info(message, "service", record.Service, "backend", record.Backend, "started", record.Started, "source", record.Source.String(),
+		"heard_from", heardFrom, "by_request", requestID)
 }
 
-// Leaving returns from which source the run of a back end that started at a time is leaving, and false where nobody
-// says so. 0: whichever run. The request path calls it.
-func (k *Tracker) Leaving(key backend.Key, started int64) (Notice, bool) {
-	if k.draining.Load() == 0 {
+// Leaving returns the notice by which the run of a back end that started at the given time is draining, and false if
+// there is none. A start time of 0 means any run. It is called on the request path.
+func (t *Tracker) Leaving(key backend.Key, started int64) (Notice, bool) {
+	if t.draining.Load() == 0 {
 		return Notice{}, false
 	}
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	return k.table.Leaving(key, started)
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return t.table.Leaving(key, started)
 }
 
-// DrainingCount returns how many signals say that a back end is leaving.
-func (k *Tracker) DrainingCount() int {
-	return int(k.draining.Load())
+// DrainingCount returns the number of signals that say that a back end is draining.
+func (t *Tracker) DrainingCount() int {
+	return int(t.draining.Load())
 }
 
 // Record implements peer.Records.
-func (k *Tracker) Record(key SignalKey) (Record, bool) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	return k.table.Record(key)
+func (t *Tracker) Record(key SignalKey) (Record, bool) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return t.table.Record(key)
 }
 
 // Records implements peer.Records.
-func (k *Tracker) Records(most int) []Record {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	return k.table.Records(most)
+func (t *Tracker) Records(most int) []Record {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return t.table.Records(most)
 }
 
-// Run drops what is not needed any more until ctx ends.
-func (k *Tracker) Run(ctx context.Context) {
-	for wait.Sleep(ctx, forgetInterval) {
-		k.mutex.Lock()
-		k.table.Prune(time.Now(), k.options.Declared)
-		k.count()
-		k.mutex.Unlock()
+// Run removes obsolete records until ctx is canceled.
+func (t *Tracker) Run(ctx context.Context) {
+	for wait.Sleep(ctx, pruneInterval) {
+		t.mutex.Lock()
+		t.table.Prune(time.Now(), t.options.Declared)
+		t.publish()
+		t.mutex.Unlock()
 	}
 }
--- a/drain/table.go
+++ b/drain/table.go
@@ -8,30 +8,30 @@
 )
 
 const (
-	// endedMemory is for how long it is remembered that a signal was taken back: until older news of the signal
-	// is not passed on any more.
-	endedMemory = time.Minute
-	// undeclaredMemory is for how long signals on back ends are kept that are not declared: their entries may
-	// lapse and come back while a directory is away.
-	undeclaredMemory = 10 * time.Minute
-	// maxRecords bounds the signals of other daemons that are kept; one takes about 250 bytes. What this daemon
-	// hears itself is always kept.
+	// withdrawnRetention is how long the withdrawal of a signal is kept: until gossip no longer spreads older
+	// records of the signal.
+	withdrawnRetention = time.Minute
+	// undeclaredRetention is how long the signals of undeclared back ends are kept: directory entries may expire
+	// and reappear while a directory is unavailable.
+	undeclaredRetention = 10 * time.Minute
+	// maxRecords is the maximum number of signals up to which those of peers are accepted; one takes about 250
+	// bytes. Signals that this daemon observes itself are always kept.
 	maxRecords = 1 << 14
 )
 
-// Source says who says that a back end is leaving.
+// Source is the origin of a signal that a back end is draining.
 type Source int
 
-// The sources, besides an operator's declaration. A back end is drained while any of them says so.
+// The sources, besides an operator's declaration. A back end is draining while any of them says so.
 const (
-	// FromBackend: the back end says so with its answers.
+	// FromBackend is the back end itself, in its responses.
 	FromBackend Source = iota
-	// FromMachineList: the platform says so of its machine.
+	// FromMachineList is the platform's machine list.
 	FromMachineList
-	sources
+	sourceCount
 )
 
-// String names the source for logs and operators.
+// String returns the name of the source for logs and command output.
 func (s Source) String() string {
 	if s == FromMachineList {
 		return "machine list"
@@ -39,188 +39,189 @@
 	return "back end"
 }
 
-// SignalKey names the signal of one source on one back end.
+// SignalKey identifies the signal of one source about one back end.
 type SignalKey struct {
 	backend.Key
 	Source Source
 }
 
-// Record is what is known of a signal.
+// Record is the state of a signal as daemons exchange it.
 type Record struct {
 	SignalKey
 	Draining bool
-	// Started tells which run of the back end, in Unix milliseconds; 0: it does not say, which is another run than
-	// any that does.
+	// Started is the start time of the back end's run, in Unix milliseconds. 0: not stated; such a run differs from
+	// all runs with a start time.
 	Started int64
-	// At orders signals under the same key: the wall clock of the daemon that heard it, or later than what that
-	// one knew before.
+	// At orders records of the same key: the wall clock time of the daemon that observed the signal, but later
+	// than that of the record that the daemon had before.
 	At time.Time
 }
 
-// Signal is what this daemon itself hears.
+// Signal is a signal that this daemon observes itself.
 type Signal struct {
 	SignalKey
 	Draining bool
-	Started  int64     // of the run that says it; 0: not known
-	Sent     time.Time // when the request was sent whose answer says it
-	// RequestID is the id of that request; empty: there is none.
+	Started  int64     // start of the back end's run; 0: not known
+	Sent     time.Time // when the request was sent whose response has the signal
+	// RequestID is the id of that request; empty: it has none.
 	RequestID string
 }
 
-// Notice says since when and from whom this daemon knows that a back end is leaving.
+// Notice is a record together with when and how this daemon got it.
 type Notice struct {
 	Record
 	Since time.Time
-	// ReportedByPeer: another daemon told it; otherwise this one heard it.
+	// ReportedByPeer tells that the record came from a peer; otherwise this daemon observed the signal.
 	ReportedByPeer bool
 
-	declared time.Time // when the back end was last seen declared; zero: not since it is known
+	declared time.Time // when the back end was last seen declared; zero: not since the record was set
 }
 
-// Table holds the newest signal under each key. It is not safe for concurrent use.
+// Table holds the newest record of each key. It is not safe for concurrent use.
 type Table struct {
 	entries  map[SignalKey]*Notice
-	draining int // entries that say that a back end is leaving
+	draining int // number of entries that say that a back end is draining
 }
 
-// NewTable returns a table without signals.
+// NewTable returns an empty table.
 func NewTable() *Table {
 	return &Table{entries: make(map[SignalKey]*Notice)}
 }
 
-// Observe takes in what this daemon hears, and says whether it is news.
+// Observe takes in a signal that this daemon observes, and reports whether it changes the state.
 func (t *Table) Observe(now time.Time, signal Signal) bool {
-	known := t.current(signal.SignalKey, signal.Started)
+	current := t.current(signal.SignalKey, signal.Started)
 	switch {
-	case known != nil && isEarlier(signal.Started, known.Started):
+	case current != nil && isEarlier(signal.Started, current.Started):
 		return false
-	case known == nil && !signal.Draining, known != nil && known.Draining == signal.Draining:
+	case current == nil && !signal.Draining, current != nil && current.Draining == signal.Draining:
 		return false
-	case known != nil && !signal.Draining && !signal.Sent.After(known.Since):
-		return false // it may have been said before
+	case current != nil && !signal.Draining && !signal.Sent.After(current.Since):
+		return false // the response may be older than the known signal
 	}
-	record := Record{SignalKey: signal.SignalKey, Draining: signal.Draining, Started: signal.Started, At: after(now, known)}
-	if known != nil {
-		record.Started = known.Started
+	record := Record{SignalKey: signal.SignalKey, Draining: signal.Draining, Started: signal.Started, At: laterThan(now, current)}
+	if current != nil {
+		record.Started = current.Started
 	}
 	t.set(now, record, false)
 	return true
 }
 
-// Merge takes in what another daemon tells, and says whether it is news.
+// Merge takes in a record from a peer, and reports whether it changes the state.
 func (t *Table) Merge(now time.Time, record Record) bool {
-	known := t.current(record.SignalKey, record.Started)
+	current := t.current(record.SignalKey, record.Started)
 	switch {
-	case known == nil:
+	case current == nil:
 		if len(t.entries) >= maxRecords {
 			return false
 		}
 		t.set(now, record, true)
 		return record.Draining
-	case isEarlier(record.Started, known.Started), !record.At.After(known.At):
+	case isEarlier(record.Started, current.Started), !record.At.After(current.At):
 		return false
-	case known.Draining == record.Draining:
-		known.At = record.At
+	case current.Draining == record.Draining:
+		current.At = record.At
 		return false
 	}
-	record.Started = known.Started
+	record.Started = current.Started
 	t.set(now, record, true)
 	return true
 }
 
-// isEarlier says whether a run that says when it started did so before another one.
-func isEarlier(started, than int64) bool {
-	return started != 0 && started < than
+// isEarlier reports whether a run with a known start time started before another one.
+func isEarlier(started, other int64) bool {
+	return started != 0 && started < other
 }
 
-// after returns a time for a signal that replaces a known one.
-func after(now time.Time, known *Notice) time.Time {
+// laterThan returns the wall clock time for a record that replaces the current one, advanced past the
+// current record's time if the clock has not passed it.
+func laterThan(now time.Time, current *Notice) time.Time {
 	at := now.Round(0) // the wall clock alone
-	if known != nil && !at.After(known.At) {
-		at = known.At.Add(time.Millisecond)
+	if current != nil && !at.After(current.At) {
+		at = current.At.Add(time.Millisecond)
 	}
 	return at
 }
 
-// current returns what is known under a key, unless it is of an earlier run than the named one.
+// current returns the entry of a key. An entry of an earlier run than the given one is removed.
 func (t *Table) current(key SignalKey, started int64) *Notice {
-	known := t.entries[key]
-	if known != nil && known.Started < started {
-		t.drop(known)
+	current := t.entries[key]
+	if current != nil && current.Started < started {
+		t.remove(current)
 		return nil
 	}
-	return known
+	return current
 }
 
-func (t *Table) set(now time.Time, record Record, told bool) {
-	if known := t.entries[record.SignalKey]; known != nil {
-		t.drop(known)
+func (t *Table) set(now time.Time, record Record, reportedByPeer bool) {
+	if current := t.entries[record.SignalKey]; current != nil {
+		t.remove(current)
 	}
-	t.entries[record.SignalKey] = &Notice{Record: record, Since: now, ReportedByPeer: told}
+	t.entries[record.SignalKey] = &Notice{Record: record, Since: now, ReportedByPeer: reportedByPeer}
 	if record.Draining {
 		t.draining++
 	}
 }
 
-func (t *Table) drop(known *Notice) {
-	if known.Draining {
+func (t *Table) remove(notice *Notice) {
+	if notice.Draining {
 		t.draining--
 	}
-	delete(t.entries, known.SignalKey)
+	delete(t.entries, notice.SignalKey)
 }
 
-// Leaving returns from which source the run of a back end that started at a time is leaving, and false where nobody
-// says so. 0: whichever run.
+// Leaving returns the notice by which the run of a back end that started at the given time is draining, and false if
+// there is none. A start time of 0 means any run.
 func (t *Table) Leaving(key backend.Key, started int64) (Notice, bool) {
-	for source := range sources {
-		known := t.entries[SignalKey{Key: key, Source: source}]
-		if known != nil && known.Draining && (started == 0 || known.Started == started) {
-			return *known, true
+	for source := range sourceCount {
+		notice := t.entries[SignalKey{Key: key, Source: source}]
+		if notice != nil && notice.Draining && (started == 0 || notice.Started == started) {
+			return *notice, true
 		}
 	}
 	return Notice{}, false
 }
 
-// DrainingCount returns how many signals say that a back end is leaving.
+// DrainingCount returns the number of signals that say that a back end is draining.
 func (t *Table) DrainingCount() int {
 	return t.draining
 }
 
-// Record returns what is known under a key.
+// Record returns the record of a key.
 func (t *Table) Record(key SignalKey) (Record, bool) {
-	if known := t.entries[key]; known != nil {
-		return known.Record, true
+	if notice := t.entries[key]; notice != nil {
+		return notice.Record, true
 	}
 	return Record{}, false
 }
 
-// Records returns the signals that back ends are leaving, at most so many.
+// Records returns at most the given number of records that say that a back end is draining.
 func (t *Table) Records(most int) []Record {
 	var records []Record
-	for _, known := range t.entries {
+	for _, notice := range t.entries {
 		if len(records) == most {
 			break
 		}
-		if known.Draining {
-			records = append(records, known.Record)
+		if notice.Draining {
+			records = append(records, notice.Record)
 		}
 	}
 	return records
 }
 
-// Prune drops what was taken back long ago, and signals on back ends that have not been declared for long.
-// declared must not call the table.
+// Prune removes signals that were withdrawn more than withdrawnRetention ago, and signals of back ends that have
+// not been declared for undeclaredRetention. declared must not call the table.
 func (t *Table) Prune(now time.Time, declared func(backend.Key) bool) {
-	for key, known := range t.entries {
+	for key, notice := range t.entries {
 		switch {
-		case !known.Draining:
-			if now.Sub(known.Since) > endedMemory {
-				t.drop(known)
+		case !notice.Draining:
+			if now.Sub(notice.Since) > withdrawnRetention {
+				t.remove(notice)
 			}
 		case declared(key.Key):
-			known.declared = now
-		case now.Sub(clock.Later(known.Since, known.declared)) > undeclaredMemory:
-			t.drop(known)
+			notice.declared = now
+		case now.Sub(clock.Later(notice.Since, notice.declared)) > undeclaredRetention:
+			t.remove(notice)
 		}
 	}
 }
--- a/drain/table_test.go
+++ b/drain/table_test.go
@@ -21,31 +21,31 @@
 	return start.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// says is what the run of a back end that started at a time says with an answer to a request of a time.
-func says(draining bool, started int64, sent float64) drain.Signal {
+// observed returns a signal of the run that started at the given time, in the response to a request of the given time.
+func observed(draining bool, started int64, sent float64) drain.Signal {
 	return drain.Signal{SignalKey: signal, Draining: draining, Started: started, Sent: at(sent)}
 }
 
-// told is the same as another daemon tells it.
-func told(draining bool, started int64, when float64) drain.Record {
+// received returns the record of a signal as a peer sends it.
+func received(draining bool, started int64, when float64) drain.Record {
 	return drain.Record{SignalKey: signal, Draining: draining, Started: started, At: at(when)}
 }
 
-func leaves(table *drain.Table, started int64) bool {
+func isDraining(table *drain.Table, started int64) bool {
 	_, leaving := table.Leaving(key, started)
 	return leaving
 }
 
-// TestOwnWordIsOverruledByNothingOlder guards against a back end that said it leaves getting requests again by
-// what was said before, or of another run.
+// TestOwnWordIsOverruledByNothingOlder guards against a draining back end getting requests again because of an older
+// signal, a signal of another run or source, or its absence from a directory.
 func TestOwnWordIsOverruledByNothingOlder(t *testing.T) {
 	for name, later := range map[string]func(table *drain.Table){
-		"an answer to a request sent before":            func(table *drain.Table) { table.Observe(at(11), says(false, 1, 9)) },
-		"an answer of the earlier run":                  func(table *drain.Table) { table.Observe(at(11), says(false, -1, 10.5)) },
-		"another daemon's older signal":                 func(table *drain.Table) { table.Merge(at(11), told(false, 1, 9)) },
-		"another daemon's signal on an earlier run":     func(table *drain.Table) { table.Merge(at(11), told(false, -1, 11)) },
-		"the machine list, which does not say so":       func(table *drain.Table) { hearList(table, false) },
-		"the machine list, which said so, and does not": func(table *drain.Table) { hearList(table, true); hearList(table, false) },
+		"an answer to a request sent before":            func(table *drain.Table) { table.Observe(at(11), observed(false, 1, 9)) },
+		"an answer of the earlier run":                  func(table *drain.Table) { table.Observe(at(11), observed(false, -1, 10.5)) },
+		"another daemon's older signal":                 func(table *drain.Table) { table.Merge(at(11), received(false, 1, 9)) },
+		"another daemon's signal on an earlier run":     func(table *drain.Table) { table.Merge(at(11), received(false, -1, 11)) },
+		"the machine list, which does not say so":       func(table *drain.Table) { observeList(table, false) },
+		"the machine list, which said so, and does not": func(table *drain.Table) { observeList(table, true); observeList(table, false) },
 		"a directory without it, for a while": func(table *drain.Table) {
 			table.Prune(at(12), func(backend.Key) bool { return false })
 		},
@@ -58,54 +58,56 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			table := drain.NewTable()
-			require.True(t, table.Observe(at(10), says(true, 1, 9.9)))
-			require.False(t, table.Observe(at(10.1), says(true, 1, 10)), "it is known")
+			require.True(t, table.Observe(at(10), observed(true, 1, 9.9)))
+			require.False(t, table.Observe(at(10.1), observed(true, 1, 10)), "the signal is already known")
 			later(table)
-			require.True(t, leaves(table, 1))
+			require.True(t, isDraining(table, 1))
 		})
 	}
 }
 
-func hearList(table *drain.Table, draining bool) {
+func observeList(table *drain.Table, draining bool) {
 	list := drain.SignalKey{Key: key, Source: drain.FromMachineList}
 	table.Observe(at(11), drain.Signal{SignalKey: list, Draining: draining, Started: 1, Sent: at(11)})
 }
 
-// TestRunsAreToldApart lets a run that started later take requests, and keeps the earlier one's signal from it.
+// TestRunsAreToldApart guards against a restarted back end being affected by the drain signal of its earlier run.
 func TestRunsAreToldApart(t *testing.T) {
 	table := drain.NewTable()
-	table.Observe(at(10), says(true, 1, 9))
-	require.True(t, leaves(table, 1))
-	require.False(t, leaves(table, 2))
-	require.False(t, table.Observe(at(11), says(false, 2, 10.5)), "nothing was known of it")
-	require.False(t, leaves(table, 2))
-	require.True(t, table.Observe(at(12), says(true, 2, 11)))
-	require.True(t, leaves(table, 2))
-	require.False(t, table.Merge(at(13), told(false, 1, 13)), "an earlier run's")
-	require.True(t, leaves(table, 2))
-	require.True(t, leaves(table, 0), "a run that is not told apart")
+	table.Observe(at(10), observed(true, 1, 9))
+	require.True(t, isDraining(table, 1))
+	require.False(t, isDraining(table, 2))
+	require.False(t, table.Observe(at(11), observed(false, 2, 10.5)), "there is no signal to withdraw")
+	require.False(t, isDraining(table, 2))
+	require.True(t, table.Observe(at(12), observed(true, 2, 11)))
+	require.True(t, isDraining(table, 2))
+	require.False(t, table.Merge(at(13), received(false, 1, 13)), "a record of an earlier run")
+	require.True(t, isDraining(table, 2))
+	require.True(t, isDraining(table, 0), "any run")
 }
 
-// TestBackAgain lets a back end take requests that says it is back, to whom it told that it leaves and to others.
+// TestBackAgain guards against a back end staying excluded after it has withdrawn its signal, at the daemon that
+// observed the signal and at its peers, also if the wall clock is set back.
 func TestBackAgain(t *testing.T) {
 	table, other := drain.NewTable(), drain.NewTable()
-	table.Observe(at(10), says(true, 1, 9))
+	table.Observe(at(10), observed(true, 1, 9))
 	record, _ := table.Record(signal)
 	require.True(t, other.Merge(at(10), record))
-	require.True(t, leaves(other, 1))
-	require.True(t, table.Observe(at(5), says(false, 1, 10.5)), "the wall clock went back")
+	require.True(t, isDraining(other, 1))
+	require.True(t, table.Observe(at(5), observed(false, 1, 10.5)), "the wall clock was set back")
 	record, _ = table.Record(signal)
 	require.True(t, other.Merge(at(10.6), record))
-	require.False(t, leaves(table, 1))
-	require.False(t, leaves(other, 1))
-	require.False(t, other.Merge(at(11), told(true, 1, 9)), "older news still on its way")
+	require.False(t, isDraining(table, 1))
+	require.False(t, isDraining(other, 1))
+	require.False(t, other.Merge(at(11), received(true, 1, 9)), "an older record that arrives late")
 	require.Zero(t, other.DrainingCount())
 }
 
-// TestForgets drops signals on back ends that are gone for good, and nothing sooner.
+// TestForgets guards against records accumulating for back ends that no longer exist, and against removing them while
+// the back ends may reappear in the directory.
 func TestForgets(t *testing.T) {
 	table := drain.NewTable()
-	table.Observe(at(10), says(true, 1, 9))
+	table.Observe(at(10), observed(true, 1, 9))
 	none := func(backend.Key) bool { return false }
 	table.Prune(at(600), none)
 	require.Equal(t, 1, table.DrainingCount())
@@ -114,8 +116,8 @@
 	require.Empty(t, table.Records(10))
 }
 
-// TestTablesAgree lets daemons with clocks that differ hear and tell signals in any order, and expects that all know
-// the same in the end.
+// TestTablesAgree guards against daemons disagreeing permanently: daemons with different clocks observe and exchange
+// signals in random order, and all reach the same state in the end.
 func TestTablesAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const daemons = 4
@@ -124,30 +126,30 @@
 			tables[number] = drain.NewTable()
 			skew[number] = rapid.Float64Range(-5, 5).Draw(t, "skew")
 		}
-		var news []drain.Record
+		var changes []drain.Record
 		now := 10.0
 		for range rapid.IntRange(1, 20).Draw(t, "events") {
 			now += rapid.Float64Range(0.01, 2).Draw(t, "pause")
 			number := rapid.IntRange(0, daemons-1).Draw(t, "daemon")
 			local := at(now + skew[number])
-			if len(news) > 0 && rapid.Bool().Draw(t, "tells") {
-				tables[number].Merge(local, news[rapid.IntRange(0, len(news)-1).Draw(t, "news")])
+			if len(changes) > 0 && rapid.Bool().Draw(t, "tells") {
+				tables[number].Merge(local, changes[rapid.IntRange(0, len(changes)-1).Draw(t, "news")])
 				continue
 			}
 			started := rapid.Int64Range(1, 2).Draw(t, "run")
 			if tables[number].Observe(local, drain.Signal{SignalKey: signal, Draining: true, Started: started, Sent: local}) {
 				record, _ := tables[number].Record(signal)
-				news = append(news, record)
+				changes = append(changes, record)
 			}
 		}
 		for _, table := range tables {
-			for _, record := range news {
+			for _, record := range changes {
 				table.Merge(at(now), record)
 			}
 		}
 		for _, table := range tables[1:] {
 			for started := range int64(3) {
-				require.Equal(t, leaves(tables[0], started), leaves(table, started))
+				require.Equal(t, isDraining(tables[0], started), isDraining(table, started))
 			}
 		}
 	})
