--- a/service/acquire.go
+++ b/service/acquire.go
@@ -14,7 +14,7 @@
 	"github.com/tuliphall/tuliphall/routing"
 )
 
-// ErrOverBudget: the retry budget of the service does not allow the attempt.
+// ErrOverBudget is returned if the retry budget of the service does not allow an attempt.
 const ErrOverBudget = errors.ConstError("retry budget empty")
 
 // Grantor is the role in which a daemon grants permits of a service. It determines the daemon's
@@ -24,8 +24,8 @@
 	burstShare float64
 	// independentDaemons is the known number of daemons that grant permits at the same time.
 	independentDaemons int
-	// limitShare is the daemon's share of the request limits of back ends, as far as they are
-	// divided among the daemons that it can reach.
+	// limitShare is the fraction that the daemon uses of the request limits of back ends, after these
+	// have been reduced to the share of the daemons that it can reach.
 	limitShare float64
 	// role determines the daemon's share of the tenants' rates.
 	role ratelimit.Role
@@ -50,14 +50,13 @@
 	return Grantor{burstShare: dispatcherBurstShare, independentDaemons: 1, limitShare: dispatcherLimitShare, role: ratelimit.Dispatcher}
 }
 
-// AsFallback returns the role of a daemon, one of the given number, that decides by itself because
-// the dispatcher is unreachable.
+// AsFallback returns the role of one of the given number of daemons that decides by itself because the
+// dispatcher is unreachable.
 func AsFallback(daemons int) Grantor {
 	return Grantor{burstShare: (1 - dispatcherBurstShare) / float64(max(daemons, 1)), independentDaemons: daemons, limitShare: (1 - dispatcherLimitShare) / float64(max(daemons, 1)), role: ratelimit.Fallback}
 }
 
-// AsIndependent returns the role of a daemon, one of the given number, that each grant permits by
-// themselves.
+// AsIndependent returns the role of one of the given number of daemons that each decide by themselves.
 func AsIndependent(daemons int) Grantor {
 	return Grantor{burstShare: 1 / float64(max(daemons, 1)), independentDaemons: daemons, limitShare: 1 / float64(max(daemons, 1)), role: ratelimit.Independent}
 }
--- a/service/service.go
+++ b/service/service.go
@@ -199,7 +199,7 @@
 	}
 }
 
-// probeConnections bounds the connections to one back end for probes.
+// probeConnections is the maximum number of connections to one back end for probes.
 const probeConnections = 2
 
 // maxInFlight returns the maximum number of requests in flight at a back end; 0: no maximum.
@@ -320,7 +320,7 @@
 	return true
 }
 
-// Refresh puts a snapshot in force that has the same age as the current one.
+// Refresh puts a snapshot in force that is as new as the current one.
 func (r *Registry) Refresh(snapshot *config.Snapshot) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
