--- a/frontend/place.go
+++ b/frontend/place.go
@@ -56,8 +56,8 @@
 	return class
 }
 
-// maxUnusablePermits is how many permits that this daemon must not use are accepted from the dispatcher before the daemon
-// decides by itself.
+// maxUnusablePermits is the number of permits that this daemon must not use after which it decides by itself instead of
+// asking the dispatcher.
 const maxUnusablePermits = 2
 
 // acquirePermit acquires a permit that this daemon may use for an attempt. The daemon that granted a permit may not know
@@ -126,7 +126,7 @@
 	return a.acquireLocally(ctx, service.AsDispatcher(), kind, request)
 }
 
-// maxFurtherDispatchers is how many more dispatchers are asked after one that did not decide.
+// maxFurtherDispatchers is how many more dispatchers are asked after one that is unreachable or stale.
 const maxFurtherDispatchers = 1
 
 // acquireLocally acquires a permit from this daemon's own state of the back ends.
--- a/service/service.go
+++ b/service/service.go
@@ -42,7 +42,7 @@
 	mutex      sync.Mutex
 	budget     retry.Budget
 	lastEarned time.Time // when a first attempt last added to the budget
-	// evacuated holds the zones that are evacuated now, restored when other zones last ceased to be.
+	// evacuated holds the zones that are evacuated; restored holds when evacuated zones were last restored.
 	evacuated map[string]bool
 	restored  map[string]time.Time
 }
