--- a/admin/api.go
+++ b/admin/api.go
@@ -83,10 +83,10 @@
 	Quarantined int `json:"quarantined,omitempty"`
 	// Limited is how many back ends ask for fewer requests, as the asked daemon has heard.
 	Limited int `json:"limited,omitempty"`
-	// Leaving is how many back ends are leaving as they say themselves or the machine list does, and Paused how many have asked
+	// Draining is how many back ends are leaving as they say themselves or the machine list does, and Paused how many have asked
 	// the asked daemon for a pause.
-	Leaving int `json:"leaving,omitempty"`
-	Paused  int `json:"paused,omitempty"`
+	Draining int `json:"leaving,omitempty"`
+	Paused   int `json:"paused,omitempty"`
 }
 
 // ServiceStatus is what a daemon knows of one service.
--- a/admin/quarantine.go
+++ b/admin/quarantine.go
@@ -18,38 +18,38 @@
 type CrashingRequest struct {
 	Fingerprint string `json:"fingerprint"`
 	Service     string `json:"service"`
-	Request     string `json:"request"` // method, host, target and caller
-	Endings     int    `json:"endings"` // of back ends
-	// Held says that it is held back, and Ordered that an operator has ordered so.
-	Held    bool      `json:"held"`
-	Ordered bool      `json:"ordered"`
-	Until   time.Time `json:"until,omitzero"` // where it is held back
+	Description string `json:"request"` // method, host, target and caller
+	Crashes     int    `json:"endings"` // of back ends
+	// Quarantined says that it is held back, and Ordered that an operator has ordered so.
+	Quarantined bool      `json:"held"`
+	Manual      bool      `json:"ordered"`
+	Until       time.Time `json:"until,omitzero"` // where it is held back
 }
 
-// QuarantineOrder holds requests back, or lets them through again. It is in force at the asked
+// QuarantineUpdate holds requests back, or lets them through again. It is in force at the asked
 // daemon at once, and everywhere within seconds.
-type QuarantineOrder struct {
+type QuarantineUpdate struct {
 	Fingerprints []string `json:"fingerprints"`
 	Release      bool     `json:"release"`
 }
 
-// QuarantineBackend is what the server asks of the daemon's quarantine. No method blocks.
-type QuarantineBackend interface {
+// QuarantineManager is what the server asks of the daemon's quarantine. No method blocks.
+type QuarantineManager interface {
 	CrashingRequests() []CrashingRequest
 	// Quarantine carries out an order for one request; the error is errors.NotFound where
 	// nothing is noted of one that is to be let through.
 	Quarantine(fingerprint quarantine.Fingerprint, release bool) error
 }
 
-// Quarantine returns the requests under which back ends ended.
-func (c *Client) Quarantine(ctx context.Context) ([]CrashingRequest, error) {
+// CrashingRequests returns the requests under which back ends ended.
+func (c *Client) CrashingRequests(ctx context.Context) ([]CrashingRequest, error) {
 	var requests []CrashingRequest
 	err := c.call(ctx, http.MethodGet, PathQuarantine, nil, &requests)
 	return requests, err
 }
 
-// OrderQuarantine gives an order, and returns what is noted then.
-func (c *Client) OrderQuarantine(ctx context.Context, order QuarantineOrder) ([]CrashingRequest, error) {
+// UpdateQuarantine gives an order, and returns what is noted then.
+func (c *Client) UpdateQuarantine(ctx context.Context, order QuarantineUpdate) ([]CrashingRequest, error) {
 	var requests []CrashingRequest
 	err := c.call(ctx, http.MethodPost, PathQuarantine, order, &requests)
 	return requests, err
@@ -60,7 +60,7 @@
 }
 
 func (s *server) orderQuarantine(w http.ResponseWriter, r *http.Request) {
-	var order QuarantineOrder
+	var order QuarantineUpdate
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&order); err != nil {
--- a/admin/server.go
+++ b/admin/server.go
@@ -15,17 +15,17 @@
 // maxRequestBytes bounds a request's body.
 const maxRequestBytes = 4 << 20
 
-// Backend is what the server asks of the daemon. Methods may block on the
+// Daemon is what the server asks of the daemon. Methods may block on the
 // platform or on peers until ctx ends.
-type Backend interface {
+type Daemon interface {
 	Ready() error
 	Apply(ctx context.Context, edit config.Edit) (config.Document, error)
 	Plan(ctx context.Context, edit config.Edit) (config.Document, error)
 	Document() config.Document
 	Status(ctx context.Context) Status
 	Services() []ServiceStatus
-	QuarantineBackend
-	TenantBackend
+	QuarantineManager
+	TenantReporter
 }
 
 // MetricsHandler serves PathMetrics alone.
@@ -36,7 +36,7 @@
 }
 
 // NewHandler returns the interface of a daemon. metrics serves PathMetrics.
-func NewHandler(backend Backend, metrics http.Handler) http.Handler {
+func NewHandler(backend Daemon, metrics http.Handler) http.Handler {
 	s := &server{backend: backend}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+PathHealth, s.health)
@@ -55,7 +55,7 @@
 }
 
 type server struct {
-	backend Backend
+	backend Daemon
 }
 
 func (s *server) health(w http.ResponseWriter, _ *http.Request) {
--- a/admin/tenants.go
+++ b/admin/tenants.go
@@ -10,8 +10,8 @@
 // PathTenants tells what tenants use of their rates.
 const PathTenants = "/v1/tenants"
 
-// TenantBackend is what the server asks of the daemon's tenants.
-type TenantBackend interface {
+// TenantReporter is what the server asks of the daemon's tenants.
+type TenantReporter interface {
 	// Tenants returns what tenants with a rate use, over all daemons. It blocks until the
 	// daemons that count have answered, or were given up on.
 	Tenants(ctx context.Context) []ratelimit.Usage
--- a/backend/backend.go
+++ b/backend/backend.go
@@ -28,7 +28,7 @@
 type Options struct {
 	Network        network.Network // nil: TCP
 	Address        string          // IP:port
-	Connections    int             // most connections at once; 0: no bound
+	MaxConnections int             // most connections at once; 0: no bound
 	ConnectTimeout time.Duration   // 0: 1 s
 	// IdleTimeout closes unused connections. It stays below what servers
 	// commonly use, so that the server is seldom first. 0: 30 s.
@@ -38,9 +38,9 @@
 	// AllowUnframed passes on answers that only the end of the connection
 	// delimits.
 	AllowUnframed bool
-	// Echo is a header of which each answer must carry the request's value;
+	// EchoHeader is a header of which each answer must carry the request's value;
 	// empty: none.
-	Echo string
+	EchoHeader string
 }
 
 // Defaults of Options.
@@ -63,8 +63,8 @@
 	protocols.SetHTTP1(true)
 	return &Client{options: options, transport: &http.Transport{
 		DialContext:         dialer(options.Network, options.ConnectTimeout),
-		MaxConnsPerHost:     options.Connections,
-		MaxIdleConnsPerHost: max(options.Connections, 64),
+		MaxConnsPerHost:     options.MaxConnections,
+		MaxIdleConnsPerHost: max(options.MaxConnections, 64),
 		IdleConnTimeout:     options.IdleTimeout,
 		DisableCompression:  true,
 		DisableKeepAlives:   options.NoReuse,
@@ -74,8 +74,8 @@
 	}}
 }
 
-// Serves says whether the client was made with these options.
-func (c *Client) Serves(options Options) bool {
+// HasOptions says whether the client was made with these options.
+func (c *Client) HasOptions(options Options) bool {
 	options.provision()
 	return c.options == options
 }
@@ -285,8 +285,8 @@
 	if err := exchange.unambiguous(); err != nil {
 		return err
 	}
-	if c.options.Echo != "" && response.Header.Get(c.options.Echo) != response.Request.Header.Get(c.options.Echo) {
-		return errors.Errorf("the answer belongs to request %q", response.Header.Get(c.options.Echo))
+	if c.options.EchoHeader != "" && response.Header.Get(c.options.EchoHeader) != response.Request.Header.Get(c.options.EchoHeader) {
+		return errors.Errorf("the answer belongs to request %q", response.Header.Get(c.options.EchoHeader))
 	}
 	if response.ContentLength >= 0 || c.options.AllowUnframed || response.StatusCode == http.StatusSwitchingProtocols {
 		return nil
--- a/backend/dialect.go
+++ b/backend/dialect.go
@@ -37,8 +37,8 @@
 	// SelfPrefix begins the headers of answers by which a back end speaks of itself. Those that are
 	// neither read nor among PassedOn are told to operators. Empty: none are looked for.
 	SelfPrefix string
-	// PassedOn are headers with that prefix that are for callers only.
-	PassedOn []string
+	// CallerOnlyHeaders are headers with that prefix that are for callers only.
+	CallerOnlyHeaders []string
 	// EchoesRequestID: every answer carries the id of its request. An answer
 	// without it, or with another one, is refused.
 	EchoesRequestID bool
--- a/backend/draining.go
+++ b/backend/draining.go
@@ -7,31 +7,31 @@
 
 // What it may say.
 const (
-	// DrainingUnsaid: nothing.
-	DrainingUnsaid Draining = iota
-	// Leaving: it is.
-	Leaving
-	// NotLeaving: it is not, or not any more.
-	NotLeaving
+	// DrainingUnspecified: nothing.
+	DrainingUnspecified Draining = iota
+	// DrainingTrue: it is.
+	DrainingTrue
+	// DrainingFalse: it is not, or not any more.
+	DrainingFalse
 )
 
 // ParseDraining reads the values of HeaderDraining: "true" or "false". Of several the first true one counts.
 // The error says why none of them could be read.
 func ParseDraining(values []string) (Draining, error) {
-	said := DrainingUnsaid
+	said := DrainingUnspecified
 	var unread error
 	for _, value := range values {
 		switch value {
 		case "true":
-			return Leaving, nil
+			return DrainingTrue, nil
 		case "false":
-			said = NotLeaving
+			said = DrainingFalse
 		default:
 			unread = errors.NotValidf("header %s: value %q: allowed: true or false; it", HeaderDraining, value)
 		}
 	}
-	if said != DrainingUnsaid {
+	if said != DrainingUnspecified {
 		return said, nil
 	}
-	return DrainingUnsaid, unread
+	return DrainingUnspecified, unread
 }
--- a/backend/liveness.go
+++ b/backend/liveness.go
@@ -13,20 +13,20 @@
 const (
 	// Alive: it accepts connections.
 	Alive Liveness = "alive"
-	// Ended: its machine answers that nothing listens there.
-	Ended Liveness = "ended"
-	// Unreached: nothing was heard. The machine may be dark, or the way to it cut.
-	Unreached Liveness = "unreached"
+	// Exited: its machine answers that nothing listens there.
+	Exited Liveness = "ended"
+	// Unreachable: nothing was heard. The machine may be dark, or the way to it cut.
+	Unreachable Liveness = "unreached"
 )
 
-// IsRefused says whether an error is a connection that was refused: nothing listens there.
-func IsRefused(err error) bool {
+// IsConnectionRefused says whether an error is a connection that was refused: nothing listens there.
+func IsConnectionRefused(err error) bool {
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// Liveness opens one connection to the server and closes it. It blocks until that has
+// CheckLiveness opens one connection to the server and closes it. It blocks until that has
 // succeeded or failed, or ctx ends.
-func (c *Client) Liveness(ctx context.Context) Liveness {
+func (c *Client) CheckLiveness(ctx context.Context) Liveness {
 	ctx, cancel := context.WithTimeout(ctx, c.options.ConnectTimeout)
 	defer cancel()
 	conn, err := c.options.Network.Dial(ctx, c.options.Address)
@@ -34,8 +34,8 @@
 	case err == nil:
 		conn.Close()
 		return Alive
-	case IsRefused(err):
-		return Ended
+	case IsConnectionRefused(err):
+		return Exited
 	}
-	return Unreached
+	return Unreachable
 }
--- a/backend/reset_test.go
+++ b/backend/reset_test.go
@@ -98,7 +98,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			client := backend.NewClient(backend.Options{Network: network.TCP{}, Address: serveEach(t, serve), Connections: 1})
+			client := backend.NewClient(backend.Options{Network: network.TCP{}, Address: serveEach(t, serve), MaxConnections: 1})
 			defer client.Close()
 			_, err := submit(t, client, strings.Repeat("x", bodyLength))
 			var failed *backend.Failure
@@ -114,7 +114,7 @@
 	require.NoError(t, err)
 	address := listener.Addr().String()
 	listener.Close()
-	client := backend.NewClient(backend.Options{Network: network.TCP{}, Address: address, Connections: 1})
+	client := backend.NewClient(backend.Options{Network: network.TCP{}, Address: address, MaxConnections: 1})
 	defer client.Close()
 	_, err = submit(t, client, "x")
 	var failed *backend.Failure
@@ -147,7 +147,7 @@
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		}
 	})
-	client := backend.NewClient(backend.Options{Network: network.TCP{}, Address: address, Connections: kept + 1})
+	client := backend.NewClient(backend.Options{Network: network.TCP{}, Address: address, MaxConnections: kept + 1})
 	defer client.Close()
 	var sending sync.WaitGroup
 	for range kept {
--- a/backend/short_test.go
+++ b/backend/short_test.go
@@ -46,7 +46,7 @@
 }
 
 func get(t *testing.T, address string) (*http.Response, error) {
-	client := backend.NewClient(backend.Options{Network: network.TCP{}, Address: address, Connections: 1})
+	client := backend.NewClient(backend.Options{Network: network.TCP{}, Address: address, MaxConnections: 1})
 	t.Cleanup(client.Close)
 	return client.Do(t.Context(), &http.Request{Method: http.MethodGet, URL: &url.URL{Path: "/"}, Header: make(http.Header)})
 }
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -12,15 +12,15 @@
 // not block.
 type Clock func() time.Time
 
-// Steady is Go's steady clock, which may stand still while the machine sleeps.
-func Steady() time.Time {
+// Monotonic is Go's steady clock, which may stand still while the machine sleeps.
+func Monotonic() time.Time {
 	return time.Now()
 }
 
-// Slept says whether more than a time has passed between two readings of the steady clock by the
+// WallElapsedExceeds says whether more than a time has passed between two readings of the steady clock by the
 // time of day, which goes on while the machine sleeps. A step of the time of day looks the same:
 // it is for what may be given up without need. It takes 2 ns, where Boot takes a system call.
-func Slept(earlier, later time.Time, more time.Duration) bool {
+func WallElapsedExceeds(earlier, later time.Time, more time.Duration) bool {
 	return later.Round(0).Sub(earlier.Round(0)) > more
 }
 
@@ -32,10 +32,10 @@
 	return b
 }
 
-// OrSteady returns the clock, and Steady where there is none.
-func OrSteady(chosen Clock) Clock {
+// OrMonotonic returns the clock, and Steady where there is none.
+func OrMonotonic(chosen Clock) Clock {
 	if chosen == nil {
-		return Steady
+		return Monotonic
 	}
 	return chosen
 }
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -19,9 +19,9 @@
 }
 
 func TestNoClockIsTheSteadyOne(t *testing.T) {
-	require.NotNil(t, clock.OrSteady(nil))
+	require.NotNil(t, clock.OrMonotonic(nil))
 	fixed := time.Unix(7, 0)
-	require.Equal(t, fixed, clock.OrSteady(func() time.Time { return fixed })())
+	require.Equal(t, fixed, clock.OrMonotonic(func() time.Time { return fixed })())
 }
 
 func BenchmarkBoot(b *testing.B) {
@@ -33,7 +33,7 @@
 // TestSlept compares readings whose steady clock stood still while the time of day went on.
 func TestSlept(t *testing.T) {
 	earlier := time.Now()
-	require.False(t, clock.Slept(earlier, earlier.Add(time.Second), 2*time.Second))
-	require.True(t, clock.Slept(earlier, earlier.Round(0).Add(3*time.Second), 2*time.Second))
-	require.False(t, clock.Slept(earlier, earlier.Round(0).Add(-3*time.Second), 2*time.Second))
+	require.False(t, clock.WallElapsedExceeds(earlier, earlier.Add(time.Second), 2*time.Second))
+	require.True(t, clock.WallElapsedExceeds(earlier, earlier.Round(0).Add(3*time.Second), 2*time.Second))
+	require.False(t, clock.WallElapsedExceeds(earlier, earlier.Round(0).Add(-3*time.Second), 2*time.Second))
 }
--- a/command/change.go
+++ b/command/change.go
@@ -34,7 +34,7 @@
 		if err := checkPolicies(path, text, content); err != nil {
 			return config.Content{}, &exit{code: ExitUsage, cause: err}
 		}
-		all = all.With(content)
+		all = all.Concat(content)
 	}
 	return all, nil
 }
@@ -42,7 +42,7 @@
 // checkPolicies checks a file's policies by themselves, so that an error names
 // the line.
 func checkPolicies(path string, text []byte, content config.Content) error {
-	return errors.Trace(config.Locate(path, text, config.Content{Policies: content.Policies}.Validate()))
+	return errors.Trace(config.AnnotateLine(path, text, config.Content{Policies: content.Policies}.Validate()))
 }
 
 type applyCommand struct {
--- a/command/evacuate.go
+++ b/command/evacuate.go
@@ -50,7 +50,7 @@
 // often than not, and would evacuate nothing.
 func checkZone(document config.Document, zone string) error {
 	var zones []string
-	for _, backends := range document.Backends() {
+	for _, backends := range document.BackendsByService() {
 		for _, backend := range backends {
 			if backend.Zone != "" {
 				zones = append(zones, backend.Zone)
--- a/command/quarantine.go
+++ b/command/quarantine.go
@@ -16,7 +16,7 @@
 func (c *quarantinedCommand) Execute([]string) error {
 	ctx, cancel := c.global.context()
 	defer cancel()
-	requests, err := c.global.client().Quarantine(ctx)
+	requests, err := c.global.client().CrashingRequests(ctx)
 	if err != nil {
 		return err
 	}
@@ -36,7 +36,7 @@
 func (c *quarantineCommand) Execute([]string) error {
 	ctx, cancel := c.global.context()
 	defer cancel()
-	requests, err := c.global.client().OrderQuarantine(ctx, admin.QuarantineOrder{Fingerprints: c.Arguments.Fingerprints, Release: c.release})
+	requests, err := c.global.client().UpdateQuarantine(ctx, admin.QuarantineUpdate{Fingerprints: c.Arguments.Fingerprints, Release: c.release})
 	if err != nil {
 		return err
 	}
@@ -47,10 +47,10 @@
 	rows := [][]string{{"FINGERPRINT", "SERVICE", "ENDINGS", "HELD UNTIL", "ORDERED", "REQUEST"}}
 	for _, one := range requests {
 		until := "not held"
-		if one.Held {
+		if one.Quarantined {
 			until = one.Until.UTC().Format(time.RFC3339)
 		}
-		rows = append(rows, []string{one.Fingerprint, one.Service, fmt.Sprint(one.Endings), until, fmt.Sprint(one.Ordered), one.Request})
+		rows = append(rows, []string{one.Fingerprint, one.Service, fmt.Sprint(one.Crashes), until, fmt.Sprint(one.Manual), one.Description})
 	}
 	return g.print(requests, rows)
 }
--- a/command/rollouts.go
+++ b/command/rollouts.go
@@ -32,7 +32,7 @@
 	rows := [][]string{{"SERVICE", "VERSION", "WITHIN", "PHASE", "DECIDE BY", "REASON"}}
 	for _, one := range orders {
 		decideBy := ""
-		if due := one.DecisionTime(); !due.IsZero() {
+		if due := one.DecisionDeadline(); !due.IsZero() {
 			decideBy = due.UTC().Format(time.RFC3339)
 		}
 		phase := string(one.Phase)
--- a/command/show.go
+++ b/command/show.go
@@ -299,8 +299,8 @@
 	if status.Quarantined > 0 {
 		rows = append(rows, nil, []string{fmt.Sprintf("requests held back, as back ends ended under them: %d (tuliphall quarantined)", status.Quarantined)})
 	}
-	if status.Leaving > 0 {
-		rows = append(rows, nil, []string{fmt.Sprintf("back ends that are leaving: %d (tuliphall describe service NAME)", status.Leaving)})
+	if status.Draining > 0 {
+		rows = append(rows, nil, []string{fmt.Sprintf("back ends that are leaving: %d (tuliphall describe service NAME)", status.Draining)})
 	}
 	if status.Paused > 0 {
 		rows = append(rows, nil, []string{fmt.Sprintf("back ends that asked this daemon for a pause: %d (tuliphall describe service NAME)", status.Paused)})
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -149,12 +149,12 @@
 		require.Equal(t, earlier.Content, content)
 		changes, ok := last.ChangesAfter(earlier.Revision)
 		require.True(t, ok)
-		followed, err := earlier.Follow(changes)
+		followed, err := earlier.ApplyChanges(changes)
 		require.NoError(t, err)
 		require.Equal(t, last.Content, followed.Content)
 		require.Equal(t, last.Revision, followed.Revision)
 	}
-	_, err := documents[0].Follow(last.History[2:])
+	_, err := documents[0].ApplyChanges(last.History[2:])
 	require.Error(t, err, "a missing change was not noticed")
 }
 
--- a/config/decode.go
+++ b/config/decode.go
@@ -19,15 +19,15 @@
 // stands for the text in errors.
 func DecodeTOML(name string, text []byte) (Content, error) {
 	var content Content
-	if err := StrictTOML(name, text, &content); err != nil {
+	if err := DecodeStrictTOML(name, text, &content); err != nil {
 		return Content{}, err
 	}
 	return content, nil
 }
 
-// StrictTOML decodes a TOML text into target, refusing unknown keys. Errors
+// DecodeStrictTOML decodes a TOML text into target, refusing unknown keys. Errors
 // name the text, the line and the key.
-func StrictTOML(name string, text []byte, target any) error {
+func DecodeStrictTOML(name string, text []byte, target any) error {
 	if len(text) > MaxSourceBytes {
 		return errors.NotValidf("%s: %d bytes, at most %d allowed", name, len(text), MaxSourceBytes)
 	}
@@ -51,9 +51,9 @@
 	return errors.NotValidf("%s: %s", name, err)
 }
 
-// Locate adds the line of the text to each policy expression error in err, so
+// AnnotateLine adds the line of the text to each policy expression error in err, so
 // that the operator finds the place in the file.
-func Locate(name string, text []byte, err error) error {
+func AnnotateLine(name string, text []byte, err error) error {
 	var wrong *ObjectError
 	if !stderrors.As(err, &wrong) {
 		return errors.Annotate(err, name)
--- a/config/directory_test.go
+++ b/config/directory_test.go
@@ -46,9 +46,9 @@
 		last[one.id] = objectstore.Version(index + 1)
 	}
 	for id, slots := range h.at(revision) {
-		change.Listed = append(change.Listed, listedBackend(id, slots, last[id]))
+		change.Entries = append(change.Entries, listedBackend(id, slots, last[id]))
 	}
-	next, _, err := config.Directory{Since: revision}.Follow(change)
+	next, _, err := config.Directory{Since: revision}.ApplyChange(change)
 	if err != nil {
 		panic(err) // it follows from nothing
 	}
@@ -65,21 +65,21 @@
 	for id, index := range last {
 		at := objectstore.Version(index + 1)
 		if h[index].slots == 0 {
-			change.Departed = append(change.Departed, config.Departed{ID: id, Revision: change.Revision})
+			change.Tombstones = append(change.Tombstones, config.Tombstone{ID: id, Revision: change.Revision})
 			continue
 		}
-		change.Listed = append(change.Listed, listedBackend(id, h[index].slots, at))
+		change.Entries = append(change.Entries, listedBackend(id, h[index].slots, at))
 	}
 	return change
 }
 
-func listedBackend(id string, slots int, revision objectstore.Version) config.Listed {
-	return config.Listed{Service: "prices", Revision: revision, Backend: config.Backend{ID: id, Slots: slots}}
+func listedBackend(id string, slots int, revision objectstore.Version) config.DirectoryEntry {
+	return config.DirectoryEntry{Service: "prices", Revision: revision, Backend: config.Backend{ID: id, Slots: slots}}
 }
 
 func slotsOf(directory config.Directory) map[string]int {
 	slots := make(map[string]int)
-	for _, one := range directory.Listed {
+	for _, one := range directory.Entries {
 		slots[one.ID] = one.Slots
 	}
 	return slots
@@ -100,7 +100,7 @@
 		}
 		var late []answer
 		offer := func(to int, next config.Directory) {
-			newest, _ := config.Document{Directory: held[to]}.Newest(config.Document{Directory: next})
+			newest, _ := config.Document{Directory: held[to]}.MergeNewest(config.Document{Directory: next})
 			require.GreaterOrEqual(t, newest.Directory.Revision, held[to].Revision)
 			held[to] = newest.Directory
 		}
@@ -116,7 +116,7 @@
 			},
 			"watch": func(t *rapid.T) {
 				watcher := daemon.Draw(t, "daemon")
-				next, changed, err := held[watcher].Follow(history.since(held[watcher].Revision))
+				next, changed, err := held[watcher].ApplyChange(history.since(held[watcher].Revision))
 				require.NoError(t, err)
 				require.Equal(t, !maps.Equal(slotsOf(held[watcher]), slotsOf(next)), changed)
 				offer(watcher, next)
@@ -136,7 +136,7 @@
 				index := rapid.IntRange(0, len(late)-1).Draw(t, "which")
 				one := late[index]
 				late = append(late[:index], late[index+1:]...)
-				next, _, err := held[one.to].Follow(one.change)
+				next, _, err := held[one.to].ApplyChange(one.change)
 				require.NoError(t, err)
 				offer(one.to, next)
 			},
@@ -157,25 +157,25 @@
 // missed a departure that is forgotten.
 func TestDirectoryForgetsDepartures(t *testing.T) {
 	directory := config.Directory{Revision: 1, Since: 1}
-	for number := range config.MaxDeparted + 10 {
-		next, _, err := directory.Follow(config.DirectoryChange{
+	for number := range config.MaxTombstones + 10 {
+		next, _, err := directory.ApplyChange(config.DirectoryChange{
 			After: directory.Revision, Revision: directory.Revision + 1,
-			Departed: []config.Departed{{ID: fmt.Sprint(number), Revision: directory.Revision + 1}},
+			Tombstones: []config.Tombstone{{ID: fmt.Sprint(number), Revision: directory.Revision + 1}},
 		})
 		require.NoError(t, err)
 		directory = next
 	}
-	require.Len(t, directory.Departed, config.MaxDeparted)
+	require.Len(t, directory.Tombstones, config.MaxTombstones)
 	_, known := directory.ChangesAfter(5)
 	require.False(t, known)
 	change, known := directory.ChangesAfter(11)
 	require.True(t, known)
-	require.Len(t, change.Departed, config.MaxDeparted)
+	require.Len(t, change.Tombstones, config.MaxTombstones)
 }
 
 // TestDirectoryGap does not follow a change that begins later than the directory.
 func TestDirectoryGap(t *testing.T) {
-	_, _, err := config.Directory{Revision: 3}.Follow(config.DirectoryChange{After: 4, Revision: 5})
+	_, _, err := config.Directory{Revision: 3}.ApplyChange(config.DirectoryChange{After: 4, Revision: 5})
 	require.ErrorContains(t, err, "after revision 3")
 }
 
@@ -187,12 +187,12 @@
 	history = append(history, listEvent{id: "b1", slots: 2})
 	asker := history.read()
 	history = append(history, listEvent{id: "b1", slots: 1})
-	teller, changed, err := teller.Follow(history.since(teller.Revision))
+	teller, changed, err := teller.ApplyChange(history.since(teller.Revision))
 	require.NoError(t, err)
 	require.False(t, changed)
 	change, known := teller.ChangesAfter(asker.Revision)
 	require.True(t, known)
-	asker, _, err = asker.Follow(change)
+	asker, _, err = asker.ApplyChange(change)
 	require.NoError(t, err)
 	require.Equal(t, history.at(3), slotsOf(asker))
 }
--- a/config/document.go
+++ b/config/document.go
@@ -43,10 +43,10 @@
 // (oldest first).
 type Document struct {
 	Revision Revision `json:"revision"`
-	// Stored is the version at which the store has it; 0: it was not read from there.
-	Stored  objectstore.Version `json:"stored,omitempty"`
-	Content Content             `json:"content"`
-	History []Change            `json:"history,omitempty"`
+	// StoreVersion is the version at which the store has it; 0: it was not read from there.
+	StoreVersion objectstore.Version `json:"stored,omitempty"`
+	Content      Content             `json:"content"`
+	History      []Change            `json:"history,omitempty"`
 	// Directory, Evacuations and Rollouts are not part of the revision, nor of the history.
 	Directory   Directory   `json:"directory,omitzero"`
 	Evacuations Evacuations `json:"evacuations,omitzero"`
@@ -240,9 +240,9 @@
 	return history[first:]
 }
 
-// Follow applies changes that directly follow the document's revision, oldest
+// ApplyChanges applies changes that directly follow the document's revision, oldest
 // first. It fails when one is missing, and leaves the document as it was.
-func (d Document) Follow(changes []Change) (Document, error) {
+func (d Document) ApplyChanges(changes []Change) (Document, error) {
 	current, err := d.Content.objects()
 	if err != nil {
 		return Document{}, err
@@ -353,7 +353,7 @@
 	for index := range added {
 		added[index].Revision = d.Revision + Revision(index) + 1
 	}
-	return d.Follow(added)
+	return d.ApplyChanges(added)
 }
 
 // FindChange returns the change with the id, and false when the history has none.
--- a/config/editor.go
+++ b/config/editor.go
@@ -81,7 +81,7 @@
 		return Document{}, 0, errors.Annotate(err, "reading the configuration")
 	}
 	document, err := DecodeDocument(object.Value)
-	document.Stored = object.Version
+	document.StoreVersion = object.Version
 	return document, object.Version, err
 }
 
@@ -146,12 +146,12 @@
 
 // write writes the document, unless the head object has another version.
 func (e *Editor) write(ctx context.Context, document Document, version objectstore.Version) (Document, error) {
-	document.Stored = 0
+	document.StoreVersion = 0
 	data, err := document.Encode()
 	if err != nil {
 		return Document{}, err
 	}
-	document.Stored, err = e.store.Put(ctx, HeadKey, data, version)
+	document.StoreVersion, err = e.store.Put(ctx, HeadKey, data, version)
 	return document, errors.Annotate(err, "writing the configuration")
 }
 
--- a/config/evacuation.go
+++ b/config/evacuation.go
@@ -14,8 +14,8 @@
 	Zones    []string            `json:"zones,omitempty"` // sorted
 }
 
-// Evacuated returns the zones whose back ends get no new requests, whoever said so, sorted.
-func (d Document) Evacuated() []string {
+// EvacuatedZones returns the zones whose back ends get no new requests, whoever said so, sorted.
+func (d Document) EvacuatedZones() []string {
 	zones := slices.Clone(d.Evacuations.Zones)
 	for _, zone := range d.Content.Zones {
 		if zone.Evacuated {
--- a/config/evacuation_test.go
+++ b/config/evacuation_test.go
@@ -21,11 +21,11 @@
 		},
 		Evacuations: config.Evacuations{Revision: 7, Zones: []string{"a", "d"}},
 	}
-	require.Equal(t, []string{"a", "c", "d"}, document.Evacuated())
+	require.Equal(t, []string{"a", "c", "d"}, document.EvacuatedZones())
 	snapshot, err := config.NewSnapshot(document)
 	require.NoError(t, err)
-	require.True(t, snapshot.Targets[0].Evacuated["c"])
-	require.False(t, snapshot.Targets[0].Evacuated["b"])
+	require.True(t, snapshot.Targets[0].EvacuatedZones["c"])
+	require.False(t, snapshot.Targets[0].EvacuatedZones["b"])
 }
 
 // TestPartsNeverGoBack tells a daemon documents in any order: no part of what it has in
@@ -39,20 +39,20 @@
 		var highest config.Position
 		for range rapid.IntRange(1, 20).Draw(t, "documents") {
 			told := config.Document{
-				Revision: config.Revision(rapid.IntRange(0, 6).Draw(t, "revision")), Stored: version("stored"),
+				Revision: config.Revision(rapid.IntRange(0, 6).Draw(t, "revision")), StoreVersion: version("stored"),
 				Directory:   config.Directory{Revision: version("directory")},
 				Evacuations: config.Evacuations{Revision: version("evacuations")},
 			}
 			switch {
 			case told.Revision > highest.Revision:
-				highest.Revision, highest.Stored = told.Revision, told.Stored
+				highest.Revision, highest.StoreVersion = told.Revision, told.StoreVersion
 			case told.Revision == highest.Revision:
-				highest.Stored = max(highest.Stored, told.Stored)
+				highest.StoreVersion = max(highest.StoreVersion, told.StoreVersion)
 			}
 			highest.Directory = max(highest.Directory, told.Directory.Revision)
 			highest.Evacuations = max(highest.Evacuations, told.Evacuations.Revision)
 			before := inForce.Position()
-			next, newer := inForce.Newest(told)
+			next, newer := inForce.MergeNewest(told)
 			require.Equal(t, newer, next.Position() != before)
 			inForce = next
 			require.Equal(t, highest, inForce.Position())
--- a/config/objects.go
+++ b/config/objects.go
@@ -158,8 +158,8 @@
 	Rollouts   []Rollout   `toml:"rollout" json:"rollouts,omitempty"`
 }
 
-// With returns the objects of both contents, those that both have twice.
-func (c Content) With(other Content) Content {
+// Concat returns the objects of both contents, those that both have twice.
+func (c Content) Concat(other Content) Content {
 	return Content{
 		Services: slices.Concat(c.Services, other.Services), Routes: slices.Concat(c.Routes, other.Routes),
 		Placements: slices.Concat(c.Placements, other.Placements), Policies: slices.Concat(c.Policies, other.Policies),
--- a/config/retention.go
+++ b/config/retention.go
@@ -22,7 +22,7 @@
 // goes before what the older copy says, until it is written again or enough time has passed. The zero value keeps nothing. It
 // is not safe for concurrent use.
 type Retention struct {
-	backends retained[Listed]
+	backends retained[DirectoryEntry]
 	zones    retained[string]
 	orders   retained[Rollout]
 }
@@ -113,9 +113,9 @@
 
 // The kinds.
 var (
-	backendKind = kind[Listed]{
-		name:   func(one Listed) string { return one.ID },
-		same:   func(a, b Listed) bool { return a.Backend == b.Backend && a.Service == b.Service },
+	backendKind = kind[DirectoryEntry]{
+		name:   func(one DirectoryEntry) string { return one.ID },
+		same:   func(a, b DirectoryEntry) bool { return a.Backend == b.Backend && a.Service == b.Service },
 		choose: chooseBackend,
 	}
 	zoneKind = kind[string]{
@@ -133,13 +133,13 @@
 	}
 )
 
-// Note takes in that the store tells a document while another one is in force. It says whether the
+// Observe takes in that the store tells a document while another one is in force. It says whether the
 // store came back older in between.
-func (r *Retention) Note(now time.Time, inForce, told Document) bool {
+func (r *Retention) Observe(now time.Time, inForce, told Document) bool {
 	noted := false
 	if eraRose(inForce.Directory.Revision, told.Directory.Revision) {
-		r.backends = newRetained(now, inForce.Directory.Listed, told.Directory.Listed, backendKind, retainMissing)
-		r.backends.drop(func(one difference[Listed]) bool {
+		r.backends = newRetained(now, inForce.Directory.Entries, told.Directory.Entries, backendKind, retainMissing)
+		r.backends.drop(func(one difference[DirectoryEntry]) bool {
 			return one.known == nil && !inForce.Directory.knowsGone(*one.copied)
 		})
 		noted = true
@@ -170,14 +170,14 @@
 }
 
 // knowsGone says whether an entry is of a run of a back end that has left the directory.
-func (d Directory) knowsGone(entry Listed) bool {
-	return slices.ContainsFunc(d.Departed, func(one Departed) bool { return one.ID == entry.ID && entry.Started <= one.Started })
+func (d Directory) knowsGone(entry DirectoryEntry) bool {
+	return slices.ContainsFunc(d.Tombstones, func(one Tombstone) bool { return one.ID == entry.ID && entry.Started <= one.Started })
 }
 
 // Apply returns what is to be in force of what the store tells.
 func (r *Retention) Apply(now time.Time, told Document) Document {
-	if set, without := r.backends.overrule(now, told.Directory.Listed, backendKind); len(set)+len(without) > 0 {
-		told.Directory.Listed, _ = merged(told.Directory.Listed, sortedByID(set), without)
+	if set, without := r.backends.overrule(now, told.Directory.Entries, backendKind); len(set)+len(without) > 0 {
+		told.Directory.Entries, _ = merged(told.Directory.Entries, sortedByID(set), without)
 	}
 	if set, without := r.zones.overrule(now, told.Evacuations.Zones, zoneKind); len(set)+len(without) > 0 {
 		told.Evacuations.Zones = joined(told.Evacuations.Zones, set, without, zoneKind.name)
@@ -188,8 +188,8 @@
 	return told
 }
 
-// Lapses returns when something is next no longer kept; zero: nothing is kept.
-func (r *Retention) Lapses(now time.Time) time.Time {
+// NextExpiry returns when something is next no longer kept; zero: nothing is kept.
+func (r *Retention) NextExpiry(now time.Time) time.Time {
 	var next time.Time
 	for _, one := range []time.Time{r.backends.lapses(now), r.zones.lapses(now), r.orders.lapses(now)} {
 		if next.IsZero() || !one.IsZero() && one.Before(next) {
@@ -199,14 +199,14 @@
 	return next
 }
 
-// Kept returns how many differences there are to what the store said first.
-func (r *Retention) Kept() (backends, zones, orders int) {
+// Counts returns how many differences there are to what the store said first.
+func (r *Retention) Counts() (backends, zones, orders int) {
 	return len(r.backends.differences), len(r.zones.differences), len(r.orders.differences)
 }
 
 // chooseBackend keeps what was known last of a back end, unless the entry is of a later run, or was written later: in what both
 // histories share, revisions still order entries.
-func chooseBackend(one difference[Listed]) *Listed {
+func chooseBackend(one difference[DirectoryEntry]) *DirectoryEntry {
 	if one.known == nil || one.copied == nil {
 		return one.known
 	}
--- a/config/retention_test.go
+++ b/config/retention_test.go
@@ -15,7 +15,7 @@
 func directoryAt(version objectstore.Version, count int) config.Directory {
 	directory := config.Directory{Revision: version}
 	for number := range count {
-		directory.Listed = append(directory.Listed, config.Listed{
+		directory.Entries = append(directory.Entries, config.DirectoryEntry{
 			Backend: config.Backend{ID: fmt.Sprintf("b-%05d", number), Slots: 3}, Service: "s", Revision: objectstore.NewVersion(version.Era(), 7),
 		})
 	}
@@ -29,13 +29,13 @@
 	known := config.Document{Directory: directoryAt(objectstore.NewVersion(0, 50), 1000)}
 	copied := config.Document{Directory: directoryAt(objectstore.NewVersion(1, 40), 1000)}
 	var retention config.Retention
-	require.True(t, retention.Note(now, known, copied))
-	backends, _, _ := retention.Kept()
+	require.True(t, retention.Observe(now, known, copied))
+	backends, _, _ := retention.Counts()
 	require.Zero(t, backends)
-	require.True(t, retention.Lapses(now).IsZero())
+	require.True(t, retention.NextExpiry(now).IsZero())
 	require.Equal(t, copied, retention.Apply(now, copied))
-	require.False(t, retention.Note(now, config.Document{}, copied))
-	require.False(t, retention.Note(now, copied, config.Document{Directory: directoryAt(objectstore.NewVersion(1, 41), 3)}))
+	require.False(t, retention.Observe(now, config.Document{}, copied))
+	require.False(t, retention.Observe(now, copied, config.Document{Directory: directoryAt(objectstore.NewVersion(1, 41), 3)}))
 }
 
 // TestKeptUntilWrittenAgain follows one back end that has joined and one that leaves through a return of the store.
@@ -43,13 +43,13 @@
 	now := time.Unix(1_700_000_000, 0)
 	copied := directoryAt(objectstore.NewVersion(1, 40), 2)
 	known := directoryAt(objectstore.NewVersion(0, 50), 3)
-	known.Listed[1].Drained, known.Listed[1].Revision = true, 49
+	known.Entries[1].Drained, known.Entries[1].Revision = true, 49
 	inForce := func(retention *config.Retention, at time.Time, told config.Directory) (count int, drained bool) {
-		applied := retention.Apply(at, config.Document{Directory: told}).Directory.Listed
+		applied := retention.Apply(at, config.Document{Directory: told}).Directory.Entries
 		return len(applied), applied[1].Drained
 	}
 	var retention config.Retention
-	require.True(t, retention.Note(now, config.Document{Directory: known}, config.Document{Directory: copied}))
+	require.True(t, retention.Observe(now, config.Document{Directory: known}, config.Document{Directory: copied}))
 	for _, one := range []struct {
 		after   time.Duration
 		count   int
@@ -60,7 +60,7 @@
 		require.Equal(t, one.drained, drained, one.after)
 	}
 	written := directoryAt(objectstore.NewVersion(1, 42), 3)
-	written.Listed[1].Revision = objectstore.NewVersion(1, 42)
+	written.Entries[1].Revision = objectstore.NewVersion(1, 42)
 	count, drained := inForce(&retention, now.Add(time.Second), written)
 	require.Equal(t, 3, count)
 	require.False(t, drained, "written again as ready: that counts")
--- a/config/rollout.go
+++ b/config/rollout.go
@@ -57,8 +57,8 @@
 	return !p.Decided() && slices.Index(rolloutOrder, p) < slices.Index(rolloutOrder, other)
 }
 
-// DecisionTime returns until when the rollout is to be decided; zero: nobody has reckoned it yet.
-func (r Rollout) DecisionTime() time.Time {
+// DecisionDeadline returns until when the rollout is to be decided; zero: nobody has reckoned it yet.
+func (r Rollout) DecisionDeadline() time.Time {
 	if r.DecideBy == 0 {
 		return time.Time{}
 	}
@@ -89,8 +89,8 @@
 	return orders
 }
 
-// MaxRolloutTime is the longest time within which a rollout is to be decided.
-const MaxRolloutTime = Duration(24 * time.Hour)
+// MaxRolloutDuration is the longest time within which a rollout is to be decided.
+const MaxRolloutDuration = Duration(24 * time.Hour)
 
 func (v *validator) rollouts(declared []Rollout, services map[string]Service) {
 	named := make(map[string]bool, len(declared))
@@ -101,6 +101,6 @@
 		v.check(!named[one.Service], object, "service", one.Service, "one rollout for each service")
 		named[one.Service] = true
 		v.check(one.Version != "", object, "version", one.Version, "the version of some back ends")
-		v.check(one.Within >= Duration(time.Second) && one.Within <= MaxRolloutTime, object, "within", time.Duration(one.Within), "1s to 24h, with a unit")
+		v.check(one.Within >= Duration(time.Second) && one.Within <= MaxRolloutDuration, object, "within", time.Duration(one.Within), "1s to 24h, with a unit")
 	}
 }
--- a/config/route.go
+++ b/config/route.go
@@ -45,29 +45,29 @@
 
 // Bounds on routes.
 const (
-	MaxRoutes   = 20000
-	MaxAttempts = 10
-	MaxShare    = 1_000_000
+	MaxRoutes      = 20000
+	MaxAttempts    = 10
+	MaxShareWeight = 1_000_000
 )
 
-// Division is one service's part of a running route.
-type Division struct {
+// WeightedTarget is one service's part of a running route.
+type WeightedTarget struct {
 	Target *Target
 	Weight int
 }
 
-// RunningRoute is a route as a daemon serves it. It is immutable, but for the turns.
-type RunningRoute struct {
+// CompiledRoute is a route as a daemon serves it. It is immutable, but for the turns.
+type CompiledRoute struct {
 	Route
-	Policy    *policy.Program
-	Divisions []Division // of weight above 0; at least one
-	total     int
-	turns     atomic.Uint64 // requests that were divided
+	Policy  *policy.Program
+	Targets []WeightedTarget // of weight above 0; at least one
+	total   int
+	turns   atomic.Uint64 // requests that were divided
 }
 
 // Deadline returns how long a request of the route may take when its caller says
 // nothing.
-func (r *RunningRoute) Deadline(target *Target) time.Duration {
+func (r *CompiledRoute) Deadline(target *Target) time.Duration {
 	if r.Timeout > 0 {
 		return time.Duration(r.Timeout)
 	}
@@ -78,29 +78,29 @@
 // bunch.
 const goldenRatio = 0.6180339887498949
 
-// Choose returns the service of the next request. Requests are divided evenly, not at
+// NextTarget returns the service of the next request. Requests are divided evenly, not at
 // random, so that each service's part is right within few of them. phase, from 0 to below
 // 1, is the daemon's own, so that daemons do not take the same turn together.
-func (r *RunningRoute) Choose(phase float64) *Target {
-	if len(r.Divisions) == 1 {
-		return r.Divisions[0].Target
+func (r *CompiledRoute) NextTarget(phase float64) *Target {
+	if len(r.Targets) == 1 {
+		return r.Targets[0].Target
 	}
 	_, turn := math.Modf(phase + goldenRatio*float64(r.turns.Add(1)%turnCycle))
 	point := int(turn * float64(r.total))
-	for _, division := range r.Divisions {
+	for _, division := range r.Targets {
 		if point -= division.Weight; point < 0 {
 			return division.Target
 		}
 	}
-	return r.Divisions[len(r.Divisions)-1].Target
+	return r.Targets[len(r.Targets)-1].Target
 }
 
 // turnCycle keeps the product within what a float64 holds exactly enough.
 const turnCycle = 1 << 30
 
 // running compiles the route. The names were checked before.
-func (r Route) running(targets map[string]*Target, programs map[string]*policy.Program) *RunningRoute {
-	made := &RunningRoute{Route: r}
+func (r Route) running(targets map[string]*Target, programs map[string]*policy.Program) *CompiledRoute {
+	made := &CompiledRoute{Route: r}
 	if made.PathPrefix == "" {
 		made.PathPrefix = "/"
 	}
@@ -109,11 +109,11 @@
 	}
 	for _, share := range r.Shares {
 		if share.Weight > 0 {
-			made.Divisions = append(made.Divisions, Division{Target: targets[share.Service], Weight: share.Weight})
+			made.Targets = append(made.Targets, WeightedTarget{Target: targets[share.Service], Weight: share.Weight})
 			made.total += share.Weight
 		}
 	}
-	made.Policy = made.Divisions[0].Target.Policy
+	made.Policy = made.Targets[0].Target.Policy
 	if r.Policy != "" {
 		made.Policy = programs[r.Policy]
 	}
@@ -139,14 +139,14 @@
 
 // routeTable finds routes by host. It is immutable.
 type routeTable struct {
-	byHost  map[string][]*RunningRoute // longest prefix first
-	anyHost []*RunningRoute
+	byHost  map[string][]*CompiledRoute // longest prefix first
+	anyHost []*CompiledRoute
 }
 
-func newRouteTable(routes []*RunningRoute) routeTable {
+func newRouteTable(routes []*CompiledRoute) routeTable {
 	// The longest prefix comes first, so that the first match is the best.
 	sort.SliceStable(routes, func(i, j int) bool { return len(routes[i].PathPrefix) > len(routes[j].PathPrefix) })
-	table := routeTable{byHost: make(map[string][]*RunningRoute)}
+	table := routeTable{byHost: make(map[string][]*CompiledRoute)}
 	for _, route := range routes {
 		if len(route.Hosts) == 0 {
 			table.anyHost = append(table.anyHost, route)
@@ -161,7 +161,7 @@
 
 // match returns the route with the longest prefix; among equals, the one that
 // names the host.
-func (t routeTable) match(host, path string) (*RunningRoute, bool) {
+func (t routeTable) match(host, path string) (*CompiledRoute, bool) {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
 	}
@@ -173,7 +173,7 @@
 	return named, found
 }
 
-func firstMatch(routes []*RunningRoute, path string) (*RunningRoute, bool) {
+func firstMatch(routes []*CompiledRoute, path string) (*CompiledRoute, bool) {
 	for _, route := range routes {
 		if strings.HasPrefix(path, route.PathPrefix) {
 			return route, true
--- a/config/route_test.go
+++ b/config/route_test.go
@@ -64,7 +64,7 @@
 		content.Routes[0].Shares = append(content.Routes[0].Shares, config.Share{Service: name, Weight: weight})
 		total += weight
 	}
-	var routes []*config.RunningRoute
+	var routes []*config.CompiledRoute
 	for range phases { // each daemon has its own
 		snapshot, err := config.NewSnapshot(config.Document{Revision: 1, Content: content})
 		if err != nil {
@@ -86,7 +86,7 @@
 		chosen := make(map[string]int)
 		for turn := range span {
 			daemon := turn % len(routes)
-			chosen[routes[daemon].Choose(phases[daemon]).Service.Name]++
+			chosen[routes[daemon].NextTarget(phases[daemon]).Service.Name]++
 		}
 		for number, weight := range weights {
 			part := float64(chosen[fmt.Sprintf("s%d", number)]) / span
--- a/config/snapshot.go
+++ b/config/snapshot.go
@@ -13,13 +13,13 @@
 	Service  Service
 	Backends []Backend
 	Policy   *policy.Program
-	// Evacuated are the zones whose back ends get no new requests. It must not be changed.
-	Evacuated map[string]bool
+	// EvacuatedZones are the zones whose back ends get no new requests. It must not be changed.
+	EvacuatedZones map[string]bool
 	// Rollout is that of the service; nil: none was ordered.
 	Rollout *Rollout
-	// HoldsVersions: a version that was not seen before gets nothing for a moment, as the
+	// HoldNewVersions: a version that was not seen before gets nothing for a moment, as the
 	// order for its rollout may be on its way.
-	HoldsVersions bool
+	HoldNewVersions bool
 }
 
 // Deadline returns the service's deadline.
@@ -46,18 +46,18 @@
 	if err != nil {
 		return nil, err
 	}
-	placements := document.Backends()
+	placements := document.BackendsByService()
 	evacuated := make(map[string]bool)
-	for _, zone := range document.Evacuated() {
+	for _, zone := range document.EvacuatedZones() {
 		evacuated[zone] = true
 	}
 	snapshot := &Snapshot{Revision: document.Revision, Document: document}
 	rollouts := document.RolloutsByService()
 	// Routes hold services without their back ends, so that an earlier list is not kept by them.
 	routed := make(map[string]*Target, len(document.Content.Services))
-	var routes []*RunningRoute
+	var routes []*CompiledRoute
 	for _, service := range document.Content.Services {
-		target := &Target{Service: service.withDefaults(), Policy: noPolicy, Evacuated: evacuated, HoldsVersions: document.Rollouts.Revision > 0}
+		target := &Target{Service: service.withDefaults(), Policy: noPolicy, EvacuatedZones: evacuated, HoldNewVersions: document.Rollouts.Revision > 0}
 		if rollout, ordered := rollouts[service.Name]; ordered {
 			target.Rollout = &rollout
 		}
@@ -122,9 +122,9 @@
 	return others.Behind(mine) && !mine.Behind(others)
 }
 
-// Backends gives the back ends of each service, those of the directory after the declared
+// BackendsByService gives the back ends of each service, those of the directory after the declared
 // ones.
-func (d Document) Backends() map[string][]Backend {
+func (d Document) BackendsByService() map[string][]Backend {
 	services := make(map[string]bool, len(d.Content.Services))
 	for _, service := range d.Content.Services {
 		services[service.Name] = true
@@ -140,7 +140,7 @@
 			placements[placement.Service] = slices.Clip(placement.Backends)
 		}
 	}
-	for _, one := range d.Directory.Listed {
+	for _, one := range d.Directory.Entries {
 		if services[one.Service] {
 			placements[one.Service] = append(placements[one.Service], one.Backend)
 		}
@@ -171,7 +171,7 @@
 
 // Match returns the route for a request's host (with or without port) and path,
 // and false when there is none.
-func (s *Snapshot) Match(host, path string) (*RunningRoute, bool) {
+func (s *Snapshot) Match(host, path string) (*CompiledRoute, bool) {
 	return s.routes.match(host, path)
 }
 
--- a/config/tenant.go
+++ b/config/tenant.go
@@ -83,19 +83,19 @@
 	return len(s.tenants.byName) > 0
 }
 
-// HasRates says whether any tenant's requests are counted.
-func (s *Snapshot) HasRates() bool {
+// HasRateLimits says whether any tenant's requests are counted.
+func (s *Snapshot) HasRateLimits() bool {
 	return s.tenants.rates
 }
 
-// TenantOf returns the tenant that has a key.
-func (s *Snapshot) TenantOf(key KeyHash) (*Tenant, bool) {
+// TenantByKey returns the tenant that has a key.
+func (s *Snapshot) TenantByKey(key KeyHash) (*Tenant, bool) {
 	tenant, known := s.tenants.byKey[key]
 	return tenant, known
 }
 
-// TenantNamed returns a tenant by its name.
-func (s *Snapshot) TenantNamed(name string) (*Tenant, bool) {
+// TenantByName returns a tenant by its name.
+func (s *Snapshot) TenantByName(name string) (*Tenant, bool) {
 	tenant, known := s.tenants.byName[name]
 	return tenant, known
 }
@@ -103,7 +103,7 @@
 // Bounds on tenants.
 const (
 	MaxTenants      = 10000
-	MaxKeysOfTenant = 64
+	MaxTenantKeys   = 64
 	MaxTenantRate   = 1_000_000.0
 	MaxTenantWeight = 1_000_000
 )
@@ -117,7 +117,7 @@
 		v.check(namePattern.MatchString(tenant.Name), object, "name", tenant.Name, nameAllowed)
 		v.check(!names[tenant.Name], object, "name", tenant.Name, "a name used once")
 		names[tenant.Name] = true
-		checkRange(v, object, "keys", len(tenant.Keys), 0, MaxKeysOfTenant)
+		checkRange(v, object, "keys", len(tenant.Keys), 0, MaxTenantKeys)
 		checkRange(v, object, "rate", tenant.Rate, 0, MaxTenantRate)
 		checkRange(v, object, "burst", tenant.Burst, 0, MaxTenantRate)
 		checkRange(v, object, "weight", tenant.Weight, 0, MaxTenantWeight)
--- a/config/tenant_test.go
+++ b/config/tenant_test.go
@@ -29,7 +29,7 @@
 		{config.Tenant{Name: "north", Rate: -1}, "setting rate"},
 		{config.Tenant{Name: "north", Burst: -1}, "setting burst"},
 		{config.Tenant{Name: "north", Weight: -1}, "setting weight"},
-		{config.Tenant{Name: "north", Keys: make([]config.KeyHash, config.MaxKeysOfTenant+1)}, "setting keys"},
+		{config.Tenant{Name: "north", Keys: make([]config.KeyHash, config.MaxTenantKeys+1)}, "setting keys"},
 	} {
 		require.ErrorContains(t, config.Content{Tenants: []config.Tenant{one.tenant}}.Validate(), one.names)
 	}
@@ -66,7 +66,7 @@
 		list := fields.Field(index)
 		list.Set(reflect.MakeSlice(list.Type(), 1, 1))
 	}
-	joined := reflect.ValueOf(one.With(one))
+	joined := reflect.ValueOf(one.Concat(one))
 	for index := range joined.NumField() {
 		require.Equal(t, 2, joined.Field(index).Len(), joined.Type().Field(index).Name)
 	}
--- a/config/validate.go
+++ b/config/validate.go
@@ -172,7 +172,7 @@
 	for _, share := range route.Shares {
 		_, known := services[share.Service]
 		v.check(known, object, "share.service", share.Service, "the name of a declared service")
-		checkRange(v, object, "share.weight", share.Weight, 0, MaxShare)
+		checkRange(v, object, "share.weight", share.Weight, 0, MaxShareWeight)
 		total += share.Weight
 	}
 	v.check(total > 0, object, "share", total, "shares with a weight above 0")
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -60,8 +60,8 @@
 	// Dialect is how callers and back ends spell headers; nil: the project's.
 	Dialect *backend.Dialect
 	// Rollouts records how far rollouts are; nil: in the head object of the store.
-	Rollouts rollout.Recorder
-	LogTo    io.Writer
+	Rollouts  rollout.Recorder
+	LogOutput io.Writer
 	// Now is the clock of promises to others; nil: clock.Steady. It must count the time that
 	// the machine sleeps.
 	Now clock.Clock
@@ -134,7 +134,7 @@
 		d.network = network.TCP{}
 	}
 	d.meter = network.NewMeter(d.network)
-	d.startLogging(options.LogTo)
+	d.startLogging(options.LogOutput)
 	d.connectPlatform(options)
 	listeners, err := d.listen()
 	if err != nil {
@@ -164,7 +164,7 @@
 	d.store, d.machines = options.Store, options.Machines
 	if d.store == nil {
 		d.client = objectstore.NewClient(d.meter.For("store"), d.settings.Platform.Address, d.settings.Name)
-		d.client.LogTo(logging.Part(d.logger, "store"))
+		d.client.SetLogger(logging.Part(d.logger, "store"))
 		d.store, d.machines = d.client, d.client
 	}
 	d.recorder = options.Rollouts
@@ -174,7 +174,7 @@
 	if options.Sources != nil {
 		d.sources = options.Sources(d.logger)
 	} else {
-		d.sources = []dissemination.Source{dissemination.NewHead(d.store, time.Duration(d.settings.Platform.Timeout))}
+		d.sources = []dissemination.Source{dissemination.NewHeadSource(d.store, time.Duration(d.settings.Platform.Timeout))}
 		d.headLost = make(chan struct{}, 1)
 	}
 	d.dialect = backend.DefaultDialect()
@@ -257,7 +257,7 @@
 		Sources: d.sources, Services: d.services, Timeout: time.Duration(d.settings.Platform.Timeout),
 		Watchers: max(d.settings.Platform.Watchers, 0), MaxBackoff: time.Duration(d.settings.Platform.MaxBackoff),
 		WatchInterval: time.Duration(d.settings.Platform.WatchInterval), WatchGap: time.Duration(d.settings.Platform.WatchGap), Log: d.logger, Random: rand.New(rand.NewPCG(seed, 1)), Seeds: d.otherSeeds,
-		FirstStart: d.settings.Platform.FirstStart, HearEra: d.store.HearEra, Lost: d.lostHead,
+		FirstStart: d.settings.Platform.FirstStart, ObserveEra: d.store.ObserveEra, OnLostChanges: d.lostHead,
 	})
 	d.node = peer.NewNode(peer.Options{
 		Self: membership.Member{
@@ -267,7 +267,7 @@
 		},
 		Meter: d.meter, Random: rand.New(rand.NewPCG(seed, 2)), Log: d.logger,
 		Configuration: d.follower, Slots: slots.NewServer(d.services, d.rates), Seeds: d.seeds,
-		Quarantine: d.quarantine, Limits: d.limits, Drains: d.drains, OnNoAnswer: d.follower.Doubt,
+		Quarantine: d.quarantine, Limits: d.limits, Drains: d.drains, OnNoAnswer: d.follower.RecordNoAnswer,
 	})
 	d.follower.SetPeers(d.node)
 	d.operations = operation.NewClaimer(operation.Options{
--- a/daemon/drains.go
+++ b/daemon/drains.go
@@ -14,5 +14,5 @@
 
 // tellDrain tells the other daemons that a back end is leaving, or is back.
 func (d *Daemon) tellDrain(record drain.Record) {
-	d.node.TellDrain(record)
+	d.node.BroadcastDrain(record)
 }
--- a/daemon/duties.go
+++ b/daemon/duties.go
@@ -60,7 +60,7 @@
 			return
 		case <-ticker.C:
 		}
-		if !d.node.Holds(machineDuty, 1) {
+		if !d.node.IsChosen(machineDuty, 1) {
 			continue
 		}
 		d.readMachines(ctx)
@@ -97,7 +97,7 @@
 
 // Daemons implements frontend.Peers.
 func (d *Daemon) Daemons() int {
-	return d.KnownMembers()
+	return d.AliveCount()
 }
 
 // Suspect implements frontend.Peers.
@@ -144,7 +144,7 @@
 // evacuated returns the zones whose back ends get no new requests from this daemon.
 func (d *Daemon) evacuated() []string {
 	if snapshot := d.services.Snapshot(); snapshot != nil {
-		return snapshot.Document.Evacuated()
+		return snapshot.Document.EvacuatedZones()
 	}
 	return nil
 }
@@ -153,9 +153,9 @@
 // force; the platform is not asked.
 func (d *Daemon) Status(ctx context.Context) admin.Status {
 	status := admin.Status{
-		Daemon: d.settings.Name, Version: Version, Head: d.follower.Head(), Stored: d.follower.Position().Stored.String(), Era: d.store.Era(), Uptime: time.Since(d.started), Watching: d.follower.Watching(),
+		Daemon: d.settings.Name, Version: Version, Head: d.follower.HighestRevision(), Stored: d.follower.Position().StoreVersion.String(), Era: d.store.Era(), Uptime: time.Since(d.started), Watching: d.follower.Watching(),
 		Evacuated: d.evacuated(), Quarantined: d.quarantine.QuarantinedCount(), Limited: d.limits.LimitedCount(),
-		Leaving: d.drains.DrainingCount(), Paused: d.pauses.PauseCount(),
+		Draining: d.drains.DrainingCount(), Paused: d.pauses.PauseCount(),
 	}
 	var waiting sync.WaitGroup
 	members := d.node.Members()
@@ -211,9 +211,9 @@
 	return rows
 }
 
-// KnownMembers returns how many daemons this one takes for alive, itself
+// AliveCount returns how many daemons this one takes for alive, itself
 // included.
-func (d *Daemon) KnownMembers() int {
+func (d *Daemon) AliveCount() int {
 	return len(d.node.View().Serving)
 }
 
@@ -222,8 +222,8 @@
 	return d.settings.Region
 }
 
-// Knows says whether this daemon takes another one for alive.
-func (d *Daemon) Knows(name string) bool {
+// IsAlive says whether this daemon takes another one for alive.
+func (d *Daemon) IsAlive(name string) bool {
 	for _, member := range d.node.View().Serving {
 		if member.Name == name {
 			return true
--- a/daemon/head.go
+++ b/daemon/head.go
@@ -32,7 +32,7 @@
 			d.log.Warn("configuration that the store has lost not written again", "error", err)
 			continue
 		}
-		d.log.Warn("configuration that the store has lost is written again", "revision", uint64(document.Revision), "stored", document.Stored.String())
+		d.log.Warn("configuration that the store has lost is written again", "revision", uint64(document.Revision), "stored", document.StoreVersion.String())
 		if err := d.follower.Offer(document, "restored"); err != nil {
 			d.log.Error("restored configuration not usable", "error", err)
 		}
--- a/daemon/limits.go
+++ b/daemon/limits.go
@@ -23,7 +23,7 @@
 
 // tellLimit tells the other daemons of a back end's limit.
 func (d *Daemon) tellLimit(record backendlimit.Record) {
-	d.node.TellLimit(record)
+	d.node.BroadcastLimit(record)
 }
 
 // partsInterval is how often the parts of limits are reckoned anew, which takes a walk over all
@@ -49,8 +49,8 @@
 	defer l.mutex.Unlock()
 	if now := time.Now(); now.Sub(l.reckoned) >= partsInterval {
 		l.reckoned = now
-		alive, all := l.daemon.node.Alive(lostFor)
-		l.parts = l.parts.Next(now, alive, all, l.daemon.node.RegionSize(), l.daemon.node.LastHeard())
+		alive, all := l.daemon.node.FleetSize(lostFor)
+		l.parts = l.parts.Next(now, alive, all, l.daemon.node.RegionSize(), l.daemon.node.LastContact())
 	}
 	return l.parts
 }
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -15,7 +15,7 @@
 
 // tellCrashingRequest tells others what was noted of a request under which back ends ended.
 func (d *Daemon) tellCrashingRequest(record quarantine.Record) {
-	d.node.TellCrashingRequest(record)
+	d.node.BroadcastCrashingRequest(record)
 }
 
 // CrashingRequests implements admin.QuarantineBackend.
@@ -23,8 +23,8 @@
 	rows := []admin.CrashingRequest{}
 	for _, noted := range d.quarantine.Entries() {
 		rows = append(rows, admin.CrashingRequest{
-			Fingerprint: noted.Fingerprint.String(), Service: noted.Service, Request: noted.Description, Endings: len(noted.Crashes),
-			Held: noted.Quarantined, Ordered: noted.ManualAt > 0, Until: noted.Until,
+			Fingerprint: noted.Fingerprint.String(), Service: noted.Service, Description: noted.Description, Crashes: len(noted.Crashes),
+			Quarantined: noted.Quarantined, Manual: noted.ManualAt > 0, Until: noted.Until,
 		})
 	}
 	return rows
--- a/daemon/reload.go
+++ b/daemon/reload.go
@@ -17,8 +17,8 @@
 	d.log.Info("reloaded", "applied", changes.Applicable, "need_restart", changes.NeedRestart)
 }
 
-// ReloadFailed logs that new settings could not be used; those in force stay.
-func (d *Daemon) ReloadFailed(err error) {
+// LogReloadError logs that new settings could not be used; those in force stay.
+func (d *Daemon) LogReloadError(err error) {
 	d.log.Error("settings not reloaded", "error", err)
 }
 
--- a/daemon/tenants.go
+++ b/daemon/tenants.go
@@ -21,7 +21,7 @@
 	if snapshot == nil {
 		return ratelimit.Limit{}, false
 	}
-	tenant, known := snapshot.TenantNamed(name)
+	tenant, known := snapshot.TenantByName(name)
 	if !known || tenant.Rate == 0 {
 		return ratelimit.Limit{}, false
 	}
@@ -52,7 +52,7 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	view, snapshot := f.daemon.node.View(), f.daemon.services.Snapshot()
-	if snapshot == nil || !snapshot.HasRates() {
+	if snapshot == nil || !snapshot.HasRateLimits() {
 		return nil, false
 	}
 	if view == f.view && snapshot == f.snapshot {
@@ -75,7 +75,7 @@
 
 // Alive implements ratelimit.Fleet.
 func (f *rateFleet) Alive() (alive, all int) {
-	return f.daemon.node.Alive(lostFor)
+	return f.daemon.node.FleetSize(lostFor)
 }
 
 // Exchange implements ratelimit.Fleet.
--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -83,7 +83,7 @@
 // Decision is the outcome of an offered request: exactly one of Place, Ticket and Refused is
 // set.
 type Decision struct {
-	Place   *Permit
+	Permit  *Permit
 	Ticket  *admission.Ticket // the request waits
 	Refused resultcode.Code
 	// Displaced is the payload of a waiting request that is refused with QueueFull to make
@@ -122,7 +122,7 @@
 	}
 	if first := c.Queue.Peek(); first == nil || first.Weight < request.Weight || restricted(first) {
 		if picked, ok := c.pick(now, request); ok {
-			return Decision{Place: c.newPermit(now, now, request, picked)}
+			return Decision{Permit: c.newPermit(now, now, request, picked)}
 		}
 	}
 	if request.NoWait {
@@ -247,8 +247,8 @@
 	return 0
 }
 
-// Report records a load report of a back end.
-func (c *Core) Report(now time.Time, state *routing.BackendState, report routing.Report) {
+// RecordReport records a load report of a back end.
+func (c *Core) RecordReport(now time.Time, state *routing.BackendState, report routing.Report) {
 	c.Group.RecordReport(state, report, c.Queue.Len() > 0, now)
 }
 
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -90,9 +90,9 @@
 	return record
 }
 
-// ProbeTarget returns the back end whose health probe would yield the most information, and
+// HealthProbeTarget returns the back end whose health probe would yield the most information, and
 // false if none is worth probing.
-func (d *Dispatcher) ProbeTarget(silence time.Duration) (string, bool) {
+func (d *Dispatcher) HealthProbeTarget(silence time.Duration) (string, bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.leaveStandby(time.Now())
@@ -106,10 +106,10 @@
 	d.core.Group.RecordHealthProbeStart(time.Now(), id)
 }
 
-// StaleTarget returns a back end whose load report should be refreshed by a load probe, and
+// LoadProbeTarget returns a back end whose load report should be refreshed by a load probe, and
 // false if there is none; see routing.Group. The caller must then call RecordLoadProbe or
 // RecordLoadProbeFailure.
-func (d *Dispatcher) StaleTarget(freshness, interval time.Duration) (string, bool) {
+func (d *Dispatcher) LoadProbeTarget(freshness, interval time.Duration) (string, bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.leaveStandby(time.Now())
@@ -201,8 +201,8 @@
 	if refusal != nil {
 		return nil, refusal
 	}
-	if decision.Place != nil {
-		return &Grant{Permit: decision.Place, dispatcher: d}, nil
+	if decision.Permit != nil {
+		return &Grant{Permit: decision.Permit, dispatcher: d}, nil
 	}
 	return d.await(ctx, request, decision.Ticket, results)
 }
@@ -310,7 +310,7 @@
 	d := g.dispatcher
 	d.changeHealth(g.Backend, func(now time.Time) {
 		if report != nil {
-			d.core.Report(now, g.Backend, *report)
+			d.core.RecordReport(now, g.Backend, *report)
 		}
 		d.core.Done(now, g.Permit, outcome, latency)
 	})
--- a/dispatch/follow_test.go
+++ b/dispatch/follow_test.go
@@ -20,8 +20,8 @@
 func mustOffer(t *testing.T, core *Core, now time.Time, request Request) *Permit {
 	t.Helper()
 	decision := core.Offer(now, request, nil)
-	require.NotNil(t, decision.Place)
-	return decision.Place
+	require.NotNil(t, decision.Permit)
+	return decision.Permit
 }
 
 // reportUndisturbed records many load reports of a back end that is not disturbed.
--- a/dispatch/work_test.go
+++ b/dispatch/work_test.go
@@ -43,14 +43,14 @@
 func TestUnservableIsRefusedAtOnce(t *testing.T) {
 	core := newTrainedCore(2)
 	require.Equal(t, resultcode.DeadlineTooShort, core.Offer(epoch, readRequest(930*time.Millisecond), nil).Refused)
-	require.NotNil(t, core.Offer(epoch, readRequest(900*time.Millisecond), nil).Place, "100 ms are left, the fastest answers take 80 ms")
+	require.NotNil(t, core.Offer(epoch, readRequest(900*time.Millisecond), nil).Permit, "100 ms are left, the fastest answers take 80 ms")
 }
 
 // TestLateTakesFreePlacesOnly checks that a request which is already late gets a free permit but
 // does not wait for one.
 func TestLateTakesFreePlacesOnly(t *testing.T) {
 	core := newTrainedCore(1)
-	require.NotNil(t, core.Offer(epoch, readRequest(500*time.Millisecond), nil).Place)
+	require.NotNil(t, core.Offer(epoch, readRequest(500*time.Millisecond), nil).Permit)
 	decision := core.Offer(epoch, readRequest(500*time.Millisecond), nil)
 	require.Equal(t, resultcode.DeadlineTooShort, decision.Refused)
 	require.NotNil(t, core.Offer(epoch, readRequest(0), nil).Ticket, "a request that can be in time waits")
@@ -62,7 +62,7 @@
 	core := newTrainedCore(1)
 	hedge := readRequest(0)
 	hedge.NoWait = true
-	require.NotNil(t, core.Offer(epoch, hedge, nil).Place)
+	require.NotNil(t, core.Offer(epoch, hedge, nil).Permit)
 	require.Equal(t, resultcode.WaitExpired, core.Offer(epoch, hedge, nil).Refused)
 	require.Zero(t, core.Queue.Len())
 }
@@ -103,7 +103,7 @@
 	core.latencies.record("", time.Hour)
 	unclassified := readRequest(0)
 	unclassified.Class, unclassified.Deadline = "", epoch.Add(time.Millisecond)
-	require.NotNil(t, core.Offer(epoch, unclassified, nil).Place)
+	require.NotNil(t, core.Offer(epoch, unclassified, nil).Permit)
 }
 
 // TestClassesAreForgottenNotPiledUp checks that the number of classes kept is bounded.
--- a/dissemination/announce.go
+++ b/dissemination/announce.go
@@ -32,11 +32,11 @@
 			return
 		case <-f.toAnnounce:
 			if !f.announceToOwn(ctx) && f.standIn.active.Load() {
-				f.peers.PassOn(ctx)
+				f.peers.Relay(ctx)
 			}
 		case <-f.toPassOn:
 			f.announceToOwn(ctx)
-			f.peers.PassOn(ctx)
+			f.peers.Relay(ctx)
 		}
 		wait.Sleep(ctx, announceInterval)
 	}
@@ -50,6 +50,6 @@
 	if !f.placed() {
 		return false
 	}
-	f.peers.Announce(ctx, WatchDuty, f.options.Watchers)
+	f.peers.Announce(ctx, WatcherKey, f.options.Watchers)
 	return true
 }
--- a/dissemination/follower.go
+++ b/dissemination/follower.go
@@ -55,19 +55,19 @@
 	startPeersTimeout = 300 * time.Millisecond
 	// fromPeers is the source of what other daemons told at the start.
 	fromPeers = "peers"
-	// WatchDuty is the key by which watchers are chosen.
-	WatchDuty = "watch/configuration"
+	// WatcherKey is the key by which watchers are chosen.
+	WatcherKey = "watch/configuration"
 )
 
 // Peers is what a Follower asks of the other daemons.
 type Peers interface {
-	// Place returns this daemon's place, from 0, among those that are chosen for
+	// Rank returns this daemon's place, from 0, among those that are chosen for
 	// a duty, and their number; chosen is false when it is none of them. With a
 	// count of 0 all are chosen.
-	Place(duty string, count int) (place, of int, chosen bool)
-	// HearsOfNews says whether any of the members that would tell this one of news
+	Rank(duty string, count int) (place, of int, chosen bool)
+	// HasAnnouncer says whether any of the members that would tell this one of news
 	// answers, of the count that are chosen for a duty. It may block for a moment.
-	HearsOfNews(ctx context.Context, duty string, count int) bool
+	HasAnnouncer(ctx context.Context, duty string, count int) bool
 	// RegionSize returns how many daemons of the region are alive.
 	RegionSize() int
 	// FetchDocument returns the document of the daemon at an address.
@@ -75,9 +75,9 @@
 	// Announce tells members of the region what is in force here, as one of the count
 	// daemons that are chosen for a duty. It may block.
 	Announce(ctx context.Context, duty string, count int)
-	// PassOn tells a few members what is in force here, as others tell it, too. It may
+	// Relay tells a few members what is in force here, as others tell it, too. It may
 	// block.
-	PassOn(ctx context.Context)
+	Relay(ctx context.Context)
 }
 
 // Options are a Follower's collaborators.
@@ -102,10 +102,10 @@
 	Seeds func(ctx context.Context) []string
 	// FirstStart says that nothing can have been declared yet when the daemon starts.
 	FirstStart bool
-	// Lost is called when a document lacks changes that are in force, and HearEra with the era of the store that a document
+	// OnLostChanges is called when a document lacks changes that are in force, and HearEra with the era of the store that a document
 	// is of; nil: neither is. They must not block.
-	Lost    func()
-	HearEra func(era uint64)
+	OnLostChanges func()
+	ObserveEra    func(era uint64)
 }
 
 // Follower keeps a daemon at the newest configuration. It is safe for
@@ -181,8 +181,8 @@
 	return config.Document{}
 }
 
-// Head returns the highest revision heard of.
-func (f *Follower) Head() config.Revision {
+// HighestRevision returns the highest revision heard of.
+func (f *Follower) HighestRevision() config.Revision {
 	return max(config.Revision(f.head.Load()), f.Revision())
 }
 
@@ -203,9 +203,9 @@
 	position config.Position
 }
 
-// Behind implements peer.Configuration. While the store is being read at the start,
+// RecordNewerPeer implements peer.Configuration. While the store is being read at the start,
 // what others have is not asked for: heartbeats tell it again.
-func (f *Follower) Behind(member membership.Member, position config.Position) {
+func (f *Follower) RecordNewerPeer(member membership.Member, position config.Position) {
 	if f.Reading() {
 		return
 	}
@@ -223,7 +223,7 @@
 	defer f.mutex.Unlock()
 	present := f.document.Load()
 	if present != nil {
-		newest, newer := present.Newest(document)
+		newest, newer := present.MergeNewest(document)
 		if !newest.Includes(*present) || source == fromPlatform && !document.Includes(*present) {
 			f.noteLost(*present, document, source)
 			return nil
@@ -251,10 +251,10 @@
 
 // noteLost logs a document that lacks changes which are in force, as the store came back older, and lets these be written again.
 func (f *Follower) noteLost(present, offered config.Document, source string) {
-	f.log.Warn("document passed over that lacks changes in force", "revision", uint64(present.Revision), "stored", present.Stored.String(),
-		"offered_revision", uint64(offered.Revision), "offered_stored", offered.Stored.String(), "source", source)
-	if f.options.Lost != nil {
-		f.options.Lost()
+	f.log.Warn("document passed over that lacks changes in force", "revision", uint64(present.Revision), "stored", present.StoreVersion.String(),
+		"offered_revision", uint64(offered.Revision), "offered_stored", offered.StoreVersion.String(), "source", source)
+	if f.options.OnLostChanges != nil {
+		f.options.OnLostChanges()
 	}
 }
 
@@ -270,8 +270,8 @@
 // again is usual: several daemons tell of it.
 func (f *Follower) notePassedOver(present, offered config.Position, source string) {
 	if present.Revision > offered.Revision && offered.Revision > 0 || present.Directory > offered.Directory && offered.Directory > 0 {
-		f.log.Info("older document passed over", "revision", uint64(present.Revision), "stored", present.Stored.String(), "directory", present.Directory.String(),
-			"offered_revision", uint64(offered.Revision), "offered_stored", offered.Stored.String(), "offered_directory", offered.Directory.String(), "source", source)
+		f.log.Info("older document passed over", "revision", uint64(present.Revision), "stored", present.StoreVersion.String(), "directory", present.Directory.String(),
+			"offered_revision", uint64(offered.Revision), "offered_stored", offered.StoreVersion.String(), "offered_directory", offered.Directory.String(), "source", source)
 	}
 }
 
--- a/dissemination/follower_test.go
+++ b/dissemination/follower_test.go
@@ -31,15 +31,15 @@
 	othersChosen bool
 }
 
-func (l *lonely) Place(string, int) (int, int, bool) { return 0, 1, !l.othersChosen }
-func (l *lonely) HearsOfNews(context.Context, string, int) bool {
+func (l *lonely) Rank(string, int) (int, int, bool) { return 0, 1, !l.othersChosen }
+func (l *lonely) HasAnnouncer(context.Context, string, int) bool {
 	return l.othersChosen
 }
 func (l *lonely) RegionSize() int { return 1 }
 func (l *lonely) Announce(context.Context, string, int) {
 	l.announced.Add(1)
 }
-func (l *lonely) PassOn(context.Context) {
+func (l *lonely) Relay(context.Context) {
 	l.announced.Add(1)
 	l.passedOn.Add(1)
 }
@@ -60,8 +60,8 @@
 	return config.Document{}, errors.NotFoundf("declaration")
 }
 
-func (s *scriptedSource) Essential() bool { return true }
-func (s *scriptedSource) Relaxed() bool   { return false }
+func (s *scriptedSource) Required() bool { return true }
+func (s *scriptedSource) Relaxed() bool  { return false }
 
 func (s *scriptedSource) Name() string {
 	return "script"
@@ -166,11 +166,11 @@
 		follower := startFollower(t, &slowSource{}, peers, 0)
 		time.Sleep(100 * time.Millisecond)
 		require.True(t, follower.Reading())
-		follower.Behind(membership.Member{Name: "edge-2"}, config.Position{Revision: 5})
+		follower.RecordNewerPeer(membership.Member{Name: "edge-2"}, config.Position{Revision: 5})
 		time.Sleep(time.Second)
 		require.False(t, follower.Reading())
 		require.EqualValues(t, 0, peers.asked.Load())
-		follower.Behind(membership.Member{Name: "edge-2"}, config.Position{Revision: 6})
+		follower.RecordNewerPeer(membership.Member{Name: "edge-2"}, config.Position{Revision: 6})
 		synctest.Wait()
 		require.EqualValues(t, 1, peers.asked.Load())
 	})
--- a/dissemination/log.go
+++ b/dissemination/log.go
@@ -20,11 +20,11 @@
 	}
 	attributes := []slog.Attr{
 		slog.Uint64("revision", uint64(now.Revision)), slog.Uint64("before", uint64(before.Revision)),
-		slog.String("stored", now.Stored.String()), slog.String("stored_before", before.Stored.String()),
+		slog.String("stored", now.StoreVersion.String()), slog.String("stored_before", before.StoreVersion.String()),
 		slog.Int("routes", len(now.Content.Routes)), slog.Int("services", len(now.Content.Services)),
 		slog.String("directory", now.Directory.Revision.String()), slog.String("directory_before", before.Directory.Revision.String()),
-		slog.Int("backends", len(now.Directory.Listed)),
-		slog.String("evacuated", strings.Join(now.Evacuated(), " ")), slog.String("evacuated_before", strings.Join(before.Evacuated(), " ")),
+		slog.Int("backends", len(now.Directory.Entries)),
+		slog.String("evacuated", strings.Join(now.EvacuatedZones(), " ")), slog.String("evacuated_before", strings.Join(before.EvacuatedZones(), " ")),
 	}
 	if len(now.Rollouts.Orders) > 0 || len(now.Content.Rollouts) > 0 {
 		attributes = append(attributes, slog.String("rollouts", describeRollouts(now)))
@@ -50,14 +50,14 @@
 		return nil
 	}
 	var changed, gone []string
-	for _, one := range change.Listed {
+	for _, one := range change.Entries {
 		state := "ready"
 		if one.Drained {
 			state = "draining"
 		}
 		changed = append(changed, one.ID+"="+state)
 	}
-	for _, one := range change.Departed {
+	for _, one := range change.Tombstones {
 		gone = append(gone, one.ID)
 	}
 	attributes := []slog.Attr{slog.Int("backends_changed", len(changed)), slog.Int("backends_gone", len(gone))}
--- a/dissemination/retention.go
+++ b/dissemination/retention.go
@@ -9,14 +9,14 @@
 
 // noteEra takes in the era of the store that a document is of. The caller holds the mutex.
 func (f *Follower) noteEra(document config.Document) {
-	if f.options.HearEra != nil {
-		f.options.HearEra(document.Position().Era())
+	if f.options.ObserveEra != nil {
+		f.options.ObserveEra(document.Position().Era())
 	}
 	present := f.options.Services.Snapshot()
-	if present == nil || !f.retention.Note(time.Now(), present.Document, document) {
+	if present == nil || !f.retention.Observe(time.Now(), present.Document, document) {
 		return
 	}
-	backends, zones, rollouts := f.retention.Kept()
+	backends, zones, rollouts := f.retention.Counts()
 	f.log.Warn("the store came back older, what was known last is kept for a while", "era", document.Position().Era(), "era_before", present.Document.Position().Era(),
 		"backends", backends, "zones", zones, "rollouts", rollouts)
 	select {
@@ -43,7 +43,7 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	now := time.Now()
-	lapses := f.retention.Lapses(now)
+	lapses := f.retention.NextExpiry(now)
 	if lapses.IsZero() {
 		f.retention = config.Retention{}
 		return nil
@@ -61,5 +61,5 @@
 		return
 	}
 	f.options.Services.Refresh(snapshot)
-	f.log.Info("lost changes are kept no longer, what the store says is in force", "backends", len(snapshot.Document.Directory.Listed))
+	f.log.Info("lost changes are kept no longer, what the store says is in force", "backends", len(snapshot.Document.Directory.Entries))
 }
--- a/dissemination/source.go
+++ b/dissemination/source.go
@@ -15,9 +15,9 @@
 type Source interface {
 	// Name says in logs what it is.
 	Name() string
-	// Essential says whether requests can be served only once it has been read. Others are
+	// Required says whether requests can be served only once it has been read. Others are
 	// not read at the start.
-	Essential() bool
+	Required() bool
 	// Relaxed says whether its watches are renewed half as often as others.
 	Relaxed() bool
 	// Read returns the newest there is; its other parts are empty. The error is
@@ -60,43 +60,43 @@
 	return f.options.WatchGap
 }
 
-// Head is the source for documents that operators write with the project's own
+// HeadSource is the source for documents that operators write with the project's own
 // command.
-type Head struct {
+type HeadSource struct {
 	store   objectstore.Store
 	timeout time.Duration
 	version objectstore.Version // last seen
 }
 
-// NewHead returns a source on the head object of a store. timeout bounds one call
+// NewHeadSource returns a source on the head object of a store. timeout bounds one call
 // besides its wait.
-func NewHead(store objectstore.Store, timeout time.Duration) *Head {
-	return &Head{store: store, timeout: timeout}
+func NewHeadSource(store objectstore.Store, timeout time.Duration) *HeadSource {
+	return &HeadSource{store: store, timeout: timeout}
 }
 
 // Name implements Source.
-func (h *Head) Name() string {
+func (h *HeadSource) Name() string {
 	return "head object"
 }
 
-// Essential implements Source.
-func (h *Head) Essential() bool {
+// Required implements Source.
+func (h *HeadSource) Required() bool {
 	return true
 }
 
 // Relaxed implements Source.
-func (h *Head) Relaxed() bool {
+func (h *HeadSource) Relaxed() bool {
 	return false
 }
 
 // Read implements Source.
-func (h *Head) Read(ctx context.Context) (config.Document, error) {
+func (h *HeadSource) Read(ctx context.Context) (config.Document, error) {
 	document, _, err := config.Load(ctx, h.store)
 	return document, err
 }
 
 // Watch implements Source.
-func (h *Head) Watch(ctx context.Context, present config.Document, wait time.Duration) (config.Document, error) {
+func (h *HeadSource) Watch(ctx context.Context, present config.Document, wait time.Duration) (config.Document, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+h.timeout)
 	defer cancel()
 	object, err := h.store.Watch(ctx, config.HeadKey, h.version, wait)
@@ -114,6 +114,6 @@
 	if err != nil {
 		return config.Document{}, err
 	}
-	h.version, document.Stored = object.Version, object.Version
+	h.version, document.StoreVersion = object.Version, object.Version
 	return document, nil
 }
--- a/dissemination/standin.go
+++ b/dissemination/standin.go
@@ -35,9 +35,9 @@
 	return standIn{doubts: make(chan struct{}, 1), changed: make(chan struct{}, sources)}
 }
 
-// Doubt notes that a member has not answered, which may be one that watches the store.
+// RecordNoAnswer notes that a member has not answered, which may be one that watches the store.
 // It does not block.
-func (f *Follower) Doubt() {
+func (f *Follower) RecordNoAnswer() {
 	select {
 	case f.standIn.doubts <- struct{}{}:
 	default: // it is looked into
@@ -76,7 +76,7 @@
 // of times in a row. It watches the store from the first no to the next yes.
 func (f *Follower) check(ctx context.Context, times int) {
 	for heard := 0; ctx.Err() == nil && !f.placed(); wait.Sleep(ctx, standInInterval) {
-		if !f.peers.HearsOfNews(ctx, WatchDuty, f.options.Watchers) {
+		if !f.peers.HasAnnouncer(ctx, WatcherKey, f.options.Watchers) {
 			heard = 0
 			f.startStandingIn()
 			continue
@@ -128,7 +128,7 @@
 
 // placed says whether this daemon is one of those that are chosen to watch the store.
 func (f *Follower) placed() bool {
-	_, _, placed := f.peers.Place(WatchDuty, f.options.Watchers)
+	_, _, placed := f.peers.Rank(WatcherKey, f.options.Watchers)
 	return placed
 }
 
@@ -145,7 +145,7 @@
 // turn returns the daemon's place among those that watch, and their number, which say how
 // long its watch lasts.
 func (f *Follower) turn() (place, of int) {
-	place, of, placed := f.peers.Place(WatchDuty, f.options.Watchers)
+	place, of, placed := f.peers.Rank(WatcherKey, f.options.Watchers)
 	if !placed {
 		return standInTurns - 1, standInTurns
 	}
--- a/dissemination/start.go
+++ b/dissemination/start.go
@@ -43,14 +43,14 @@
 	defer cancel()
 	var read config.Document
 	for _, source := range f.options.Sources {
-		if !source.Essential() {
+		if !source.Required() {
 			continue
 		}
 		document, err := source.Read(limited)
 		if err != nil {
 			return err
 		}
-		read, _ = read.Newest(document)
+		read, _ = read.MergeNewest(document)
 	}
 	if read.Position().Era() == 0 {
 		return f.Offer(read, fromPlatform) // the store has never come back older
@@ -115,7 +115,7 @@
 		if err != nil {
 			continue
 		}
-		newest, _ = newest.Newest(document)
+		newest, _ = newest.MergeNewest(document)
 		if answered++; answered >= most {
 			break
 		}
--- a/drain/keeper.go
+++ b/drain/keeper.go
@@ -98,15 +98,15 @@
 		"heard_from", heardFrom, "by_request", requestID)
 }
 
-// Leaving returns the notice by which the run of a back end that started at the given time is draining, and false if
+// Draining returns the notice by which the run of a back end that started at the given time is draining, and false if
 // there is none. A start time of 0 means any run. It is called on the request path.
-func (t *Tracker) Leaving(key backend.Key, started int64) (Notice, bool) {
+func (t *Tracker) Draining(key backend.Key, started int64) (Notice, bool) {
 	if t.draining.Load() == 0 {
 		return Notice{}, false
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.table.Leaving(key, started)
+	return t.table.Draining(key, started)
 }
 
 // DrainingCount returns the number of signals that say that a back end is draining.
--- a/drain/table.go
+++ b/drain/table.go
@@ -170,9 +170,9 @@
 	delete(t.entries, notice.SignalKey)
 }
 
-// Leaving returns the notice by which the run of a back end that started at the given time is draining, and false if
+// Draining returns the notice by which the run of a back end that started at the given time is draining, and false if
 // there is none. A start time of 0 means any run.
-func (t *Table) Leaving(key backend.Key, started int64) (Notice, bool) {
+func (t *Table) Draining(key backend.Key, started int64) (Notice, bool) {
 	for source := range sourceCount {
 		notice := t.entries[SignalKey{Key: key, Source: source}]
 		if notice != nil && notice.Draining && (started == 0 || notice.Started == started) {
--- a/drain/table_test.go
+++ b/drain/table_test.go
@@ -32,7 +32,7 @@
 }
 
 func isDraining(table *drain.Table, started int64) bool {
-	_, leaving := table.Leaving(key, started)
+	_, leaving := table.Draining(key, started)
 	return leaving
 }
 
--- a/frontend/attempt.go
+++ b/frontend/attempt.go
@@ -76,7 +76,7 @@
 	verdict := retry.Evaluate(retry.Attempt{
 		Code: failure.Code, Number: sent, Unsent: c.unsent, MaxAttempts: c.route.Attempts, Repeatable: c.decision.Retry, UpstreamRetry: c.attempt > 1,
 		Rewindable: c.buffered, Remaining: time.Until(c.deadline), ExpectedDuration: time.Millisecond,
-		UntriedBackends: len(c.service.Target().Backends) - len(c.tried), Endings: a.handler.options.Quarantine.CrashCount(c.fingerprints),
+		UntriedBackends: len(c.service.Target().Backends) - len(c.tried), Crashes: a.handler.options.Quarantine.CrashCount(c.fingerprints),
 	})
 	a.handler.log.Info("attempt failed", "request", c.id, "service", c.service.Name(), "attempt", number,
 		"code", int(failure.Code), "cause", failure.Detail, "retry", string(verdict))
@@ -141,7 +141,7 @@
 		permit.done(routing.Canceled, 0, nil)
 		return nil, refused
 	}
-	if !c.caller.Holds(a.handler.options.Services.Snapshot()) {
+	if !c.caller.StillValid(a.handler.options.Services.Snapshot()) {
 		// The tenant's key was revoked while the request was queued.
 		permit.done(routing.Canceled, 0, nil)
 		return nil, &resultcode.Failure{Code: resultcode.Unauthorized, Detail: identity.ErrUnknownKey.Error()}
@@ -249,7 +249,7 @@
 		outcome = routing.Canceled
 	}
 	switch {
-	case failed.Code == resultcode.ConnectFailed && backend.IsRefused(failed.Cause):
+	case failed.Code == resultcode.ConnectFailed && backend.IsConnectionRefused(failed.Cause):
 		outcome = routing.ConnectionRefused
 	case failed.Code == resultcode.ConnectionBroken && a.crashedDuring(permit):
 		outcome = routing.ProcessExited
--- a/frontend/call.go
+++ b/frontend/call.go
@@ -59,7 +59,7 @@
 type call struct {
 	id       string
 	service  *service.Service
-	route    *config.RunningRoute
+	route    *config.CompiledRoute
 	decision policy.Decision
 	deadline time.Time
 	caller   identity.Caller
@@ -146,7 +146,7 @@
 }
 
 // newCall creates a call from the request's headers, policy and body.
-func (h *Handler) newCall(r *http.Request, id string, route *config.RunningRoute, svc *service.Service, caller identity.Caller) (*call, *resultcode.Failure) {
+func (h *Handler) newCall(r *http.Request, id string, route *config.CompiledRoute, svc *service.Service, caller identity.Caller) (*call, *resultcode.Failure) {
 	parsed, err := parseHeaders(r.Header, h.options.Dialect)
 	if err != nil {
 		return nil, &resultcode.Failure{Code: resultcode.BadRequest, Detail: err.Error()}
@@ -279,12 +279,12 @@
 	if !c.tenantsDeclared {
 		return
 	}
-	header.Del(identity.HeaderKey)
+	header.Del(identity.HeaderAuthorization)
 	if dialect.Tenant == "" {
 		return
 	}
 	header.Del(dialect.Tenant)
-	if name := c.caller.Name(); name != "" {
+	if name := c.caller.TenantName(); name != "" {
 		header.Set(dialect.Tenant, name)
 	}
 }
--- a/frontend/ending.go
+++ b/frontend/ending.go
@@ -72,7 +72,7 @@
 	defer timer.Stop()
 	select {
 	case liveness := <-first:
-		return liveness == backend.Ended
+		return liveness == backend.Exited
 	case <-timer.C:
 		return false
 	}
@@ -81,11 +81,11 @@
 // checkLiveness checks a back end whose connection broke, records the result and sends the result of
 // the first check to first.
 func (a *attempter) checkLiveness(client *backend.Client, permit *grantedPermit, first chan<- backend.Liveness) {
-	liveness := client.Liveness(context.Background())
-	if liveness != backend.Ended {
+	liveness := client.CheckLiveness(context.Background())
+	if liveness != backend.Exited {
 		first <- liveness
 		time.Sleep(livenessRecheckDelay)
-		a.recordBrokenConnection(permit, client.Liveness(context.Background()))
+		a.recordBrokenConnection(permit, client.CheckLiveness(context.Background()))
 		return
 	}
 	a.recordBrokenConnection(permit, liveness)
@@ -98,7 +98,7 @@
 func (a *attempter) recordBrokenConnection(permit *grantedPermit, liveness backend.Liveness) {
 	c := a.call
 	a.handler.metrics.broken[liveness].Inc(1)
-	if liveness == backend.Ended && c.service.IsEligible(permit.backend) {
+	if liveness == backend.Exited && c.service.IsEligible(permit.backend) {
 		a.handler.options.Quarantine.RecordCrash(c.identity(), c.service.Name(), quarantine.RunOf(permit.backend, permit.started))
 	}
 	a.handler.log.Info("connection broke", "request", c.id, "service", c.service.Name(), "backend", permit.backend, "liveness", string(liveness),
--- a/frontend/forward.go
+++ b/frontend/forward.go
@@ -53,7 +53,7 @@
 	}
 	forwarded := c.outgoingRequest(c.request, a.handler.options.Dialect)
 	forwarded.Header.Set(HeaderForwardedBy, a.handler.options.Name)
-	if name := c.caller.Name(); name != "" {
+	if name := c.caller.TenantName(); name != "" {
 		forwarded.Header.Set(HeaderCaller, name)
 	}
 	forwarded.Header.Set(HeaderFingerprint, c.fingerprints.Exact.String())
--- a/frontend/handler.go
+++ b/frontend/handler.go
@@ -199,7 +199,7 @@
 	if failure != nil {
 		return nil, failure
 	}
-	name := route.Choose(h.splitPhase).Service.Name
+	name := route.NextTarget(h.splitPhase).Service.Name
 	svc, ok := h.options.Services.Find(name)
 	if !ok {
 		return nil, &resultcode.Failure{Code: resultcode.NoService, Detail: "service " + name}
@@ -216,9 +216,9 @@
 // identifyCaller returns the caller of a request. A daemon that does not know the tenant of a
 // forwarded request has a stale configuration: it refuses the request, and the daemon that forwarded
 // it serves it.
-func identifyCaller(snapshot *config.Snapshot, r *http.Request, route *config.RunningRoute, forwarded bool) (identity.Caller, *resultcode.Failure) {
+func identifyCaller(snapshot *config.Snapshot, r *http.Request, route *config.CompiledRoute, forwarded bool) (identity.Caller, *resultcode.Failure) {
 	if forwarded {
-		caller, known := identity.Told(snapshot, r.Header.Get(HeaderCaller))
+		caller, known := identity.IdentifyForwarded(snapshot, r.Header.Get(HeaderCaller))
 		if !known {
 			return identity.Caller{}, &resultcode.Failure{Code: resultcode.NotConfigured, Detail: "the tenant is not known yet", RetryAfter: notConfiguredRetryAfter}
 		}
--- a/frontend/metrics.go
+++ b/frontend/metrics.go
@@ -37,7 +37,7 @@
 		inFlight:     scope.Gauge("requests_in_flight"),
 		broken:       make(map[backend.Liveness]tally.Counter),
 	}
-	for _, liveness := range []backend.Liveness{backend.Alive, backend.Ended, backend.Unreached} {
+	for _, liveness := range []backend.Liveness{backend.Alive, backend.Exited, backend.Unreachable} {
 		m.broken[liveness] = scope.Tagged(map[string]string{"backend": string(liveness)}).Counter("connections_broken")
 	}
 	for _, info := range resultcode.Table() {
--- a/frontend/outcome.go
+++ b/frontend/outcome.go
@@ -24,7 +24,7 @@
 func (h *Handler) writeFailure(w http.ResponseWriter, id string, failure *resultcode.Failure) {
 	h.metrics.count(failure.Code)
 	if failure.Code == resultcode.Unauthorized {
-		w.Header().Set("WWW-Authenticate", identity.Challenge)
+		w.Header().Set("WWW-Authenticate", identity.AuthScheme)
 	}
 	failure.Write(w, id, h.options.Dialect.FractionalRetryAfter)
 }
@@ -50,7 +50,7 @@
 func (a *attempter) outcomeAttributes() []slog.Attr {
 	c := a.call
 	return []slog.Attr{
-		slog.String("service", c.service.Name()), slog.String("class", c.decision.Class), slog.String("route", c.route.Name), slog.String("tenant", c.caller.Name()),
+		slog.String("service", c.service.Name()), slog.String("class", c.decision.Class), slog.String("route", c.route.Name), slog.String("tenant", c.caller.TenantName()),
 		slog.Int("sent", len(c.tried)), slog.String("backends", strings.Join(c.tried, " ")), slog.Duration("total", time.Since(c.received)),
 		slog.String("hedge", c.hedge),
 	}
--- a/frontend/place.go
+++ b/frontend/place.go
@@ -41,7 +41,7 @@
 func (c *call) permitRequest(wait time.Duration, zone string) dispatch.Request {
 	return dispatch.Request{
 		Weight: c.decision.Weight, Wait: wait, Deadline: c.deadline, FirstTry: c.firstTry,
-		Class: namedClass(c.decision.Class), Objective: c.decision.Objective, Fingerprints: c.fingerprints, Tenant: c.caller.Name(),
+		Class: namedClass(c.decision.Class), Objective: c.decision.Objective, Fingerprints: c.fingerprints, Tenant: c.caller.TenantName(),
 		Routing: routing.Request{Session: c.decision.Session, Tried: slices.Clone(c.tried), Repeatable: c.decision.Retry, Zone: zone},
 	}
 }
@@ -119,7 +119,7 @@
 		// this daemon uses its own small share of the rate.
 		previous := dispatcher.Name
 		dispatcher, isOther = peers.DispatcherOf(c.service.Name())
-		if !c.caller.Limited() || asked == maxFurtherDispatchers || isOther && dispatcher.Name == previous {
+		if !c.caller.RateLimited() || asked == maxFurtherDispatchers || isOther && dispatcher.Name == previous {
 			return a.acquireLocally(ctx, service.AsFallback(peers.Daemons()), kind, request)
 		}
 	}
--- a/frontend/place_test.go
+++ b/frontend/place_test.go
@@ -100,7 +100,7 @@
 	document := func(forward bool, backends ...config.Backend) *config.Document {
 		directory := config.Directory{Revision: 1}
 		for _, one := range backends {
-			directory.Listed = append(directory.Listed, config.Listed{Service: "prices", Revision: 1, Backend: one})
+			directory.Entries = append(directory.Entries, config.DirectoryEntry{Service: "prices", Revision: 1, Backend: one})
 		}
 		return &config.Document{
 			Revision:  1,
--- a/identity/identity.go
+++ b/identity/identity.go
@@ -14,36 +14,36 @@
 	"github.com/tuliphall/tuliphall/config"
 )
 
-// HeaderKey carries the key of a tenant.
-const HeaderKey = "Authorization"
+// HeaderAuthorization carries the key of a tenant.
+const HeaderAuthorization = "Authorization"
 
-// Challenge is what a caller without a valid key is told to send (RFC 6750).
-const Challenge = "Bearer"
+// AuthScheme is what a caller without a valid key is told to send (RFC 6750).
+const AuthScheme = "Bearer"
 
 // Why a request has no usable key. No error repeats what the caller sent.
 const (
 	// ErrNoKey: the header is missing or empty.
-	ErrNoKey = errors.ConstError("the request carries no key: send the header " + HeaderKey + ": " + Challenge + " KEY")
-	// ErrTwoKeys: the header is there more than once, so that others could read another key.
-	ErrTwoKeys = errors.ConstError("the request carries the header " + HeaderKey + " more than once")
+	ErrNoKey = errors.ConstError("the request carries no key: send the header " + HeaderAuthorization + ": " + AuthScheme + " KEY")
+	// ErrRepeatedKey: the header is there more than once, so that others could read another key.
+	ErrRepeatedKey = errors.ConstError("the request carries the header " + HeaderAuthorization + " more than once")
 	// ErrMalformedKey: the header is not the word Bearer, blanks, and a key.
-	ErrMalformedKey = errors.ConstError("the header " + HeaderKey + " is not " + Challenge + " and a key of 1 to 512 printable characters")
+	ErrMalformedKey = errors.ConstError("the header " + HeaderAuthorization + " is not " + AuthScheme + " and a key of 1 to 512 printable characters")
 	// ErrUnknownKey: no tenant has the key.
 	ErrUnknownKey = errors.ConstError("no tenant has the key")
 )
 
-// KeyOf returns the hash of the key that a request carries. It does not allocate.
-func KeyOf(header http.Header) (config.KeyHash, error) {
-	values := header[HeaderKey]
+// KeyFromHeader returns the hash of the key that a request carries. It does not allocate.
+func KeyFromHeader(header http.Header) (config.KeyHash, error) {
+	values := header[HeaderAuthorization]
 	switch {
 	case len(values) > 1:
-		return config.KeyHash{}, ErrTwoKeys
+		return config.KeyHash{}, ErrRepeatedKey
 	case len(values) == 0 || values[0] == "":
 		return config.KeyHash{}, ErrNoKey
 	}
 	scheme, key, _ := strings.Cut(values[0], " ")
 	key = strings.Trim(key, " ")
-	if !strings.EqualFold(scheme, Challenge) || !usable(key) {
+	if !strings.EqualFold(scheme, AuthScheme) || !usable(key) {
 		return config.KeyHash{}, ErrMalformedKey
 	}
 	return config.HashKey(key), nil
@@ -77,9 +77,9 @@
 	if !snapshot.HasTenants() {
 		return Caller{}, nil
 	}
-	key, err := KeyOf(header)
+	key, err := KeyFromHeader(header)
 	if err == nil {
-		if tenant, known := snapshot.TenantOf(key); known {
+		if tenant, known := snapshot.TenantByKey(key); known {
 			return Caller{Tenant: tenant, key: key}, nil
 		}
 		err = ErrUnknownKey
@@ -90,39 +90,39 @@
 	return Caller{}, err
 }
 
-// Told returns the caller of a request that another daemon has looked at and passes on,
+// IdentifyForwarded returns the caller of a request that another daemon has looked at and passes on,
 // and false where the tenant is not known here. An empty name stands for no tenant.
-func Told(snapshot *config.Snapshot, name string) (Caller, bool) {
+func IdentifyForwarded(snapshot *config.Snapshot, name string) (Caller, bool) {
 	if name == "" {
 		return Caller{told: true}, true
 	}
-	tenant, known := snapshot.TenantNamed(name)
+	tenant, known := snapshot.TenantByName(name)
 	return Caller{Tenant: tenant, told: true}, known
 }
 
-// Name returns the name of the tenant; empty: there is none.
-func (c Caller) Name() string {
+// TenantName returns the name of the tenant; empty: there is none.
+func (c Caller) TenantName() string {
 	if c.Tenant == nil {
 		return ""
 	}
 	return c.Tenant.Name
 }
 
-// Limited says whether the tenant's requests are counted.
-func (c Caller) Limited() bool {
+// RateLimited says whether the tenant's requests are counted.
+func (c Caller) RateLimited() bool {
 	return c.Tenant != nil && c.Tenant.Rate > 0
 }
 
-// Holds says whether the caller would still be identified alike: the key of a request that
+// StillValid says whether the caller would still be identified alike: the key of a request that
 // waits may be withdrawn meanwhile.
-func (c Caller) Holds(snapshot *config.Snapshot) bool {
+func (c Caller) StillValid(snapshot *config.Snapshot) bool {
 	if c.Tenant == nil {
 		return true
 	}
 	if c.told {
-		_, known := snapshot.TenantNamed(c.Tenant.Name)
+		_, known := snapshot.TenantByName(c.Tenant.Name)
 		return known
 	}
-	tenant, known := snapshot.TenantOf(c.key)
+	tenant, known := snapshot.TenantByKey(c.key)
 	return known && tenant.Name == c.Tenant.Name
 }
--- a/identity/identity_test.go
+++ b/identity/identity_test.go
@@ -20,7 +20,7 @@
 }
 
 func header(values ...string) http.Header {
-	return http.Header{identity.HeaderKey: values}
+	return http.Header{identity.HeaderAuthorization: values}
 }
 
 // TestIdentify gives each form of the header its answer.
@@ -48,12 +48,12 @@
 		{header("Bearer s-key\x00"), "", identity.ErrMalformedKey},
 		{header("Basic s-key"), "", identity.ErrMalformedKey},
 		{header("s-key"), "", identity.ErrMalformedKey},
-		{header("Bearer s-key", "Bearer s-key"), "", identity.ErrTwoKeys},
+		{header("Bearer s-key", "Bearer s-key"), "", identity.ErrRepeatedKey},
 		{header(""), "", identity.ErrNoKey},
 		{http.Header{}, "", identity.ErrNoKey},
 	} {
 		caller, err := identity.Identify(snapshot, one.header, false)
-		require.Equal(t, one.tenant, caller.Name(), "%q", one.header)
+		require.Equal(t, one.tenant, caller.TenantName(), "%q", one.header)
 		if one.cause == nil {
 			require.NoError(t, err)
 			continue
@@ -77,15 +77,15 @@
 	for key, holds := range map[string]bool{"old": false, "new": true} {
 		caller, err := identity.Identify(before, header("Bearer "+key), false)
 		require.NoError(t, err)
-		require.True(t, caller.Holds(before))
-		require.Equal(t, holds, caller.Holds(after))
-		require.False(t, caller.Holds(moved), "another tenant has the key")
+		require.True(t, caller.StillValid(before))
+		require.Equal(t, holds, caller.StillValid(after))
+		require.False(t, caller.StillValid(moved), "another tenant has the key")
 	}
-	told, known := identity.Told(before, "north")
+	told, known := identity.IdentifyForwarded(before, "north")
 	require.True(t, known)
-	require.True(t, told.Holds(moved), "the daemon that was asked first looks at the key")
-	require.False(t, told.Holds(snapshotOf(t)))
-	_, known = identity.Told(before, "east")
+	require.True(t, told.StillValid(moved), "the daemon that was asked first looks at the key")
+	require.False(t, told.StillValid(snapshotOf(t)))
+	_, known = identity.IdentifyForwarded(before, "east")
 	require.False(t, known)
 }
 
--- a/lab/account/account.go
+++ b/lab/account/account.go
@@ -57,7 +57,7 @@
 // Day is what an account is made of.
 type Day struct {
 	Report dayreport.Report
-	Sheet  []dayreport.Sheet
+	Sheet  []dayreport.ClassSpec
 	Log    *explain.Log
 	// Began is when the day's seconds begin to count, by the daemons' clocks.
 	Began time.Time
@@ -95,25 +95,25 @@
 func Of(day Day) Account {
 	seen := endingsOf(day)
 	owed := 0.0
-	worths := make(map[string]dayreport.Sheet)
+	worths := make(map[string]dayreport.ClassSpec)
 	for _, sheet := range day.Sheet {
 		worths[sheet.Name] = sheet
 	}
-	for _, kind := range day.Report.Kinds {
-		owed += worths[kind.Name].Worth * float64(kind.Owed())
+	for _, kind := range day.Report.Classes {
+		owed += worths[kind.Name].Value * float64(kind.Counted())
 	}
 	book := ledger{rows: make(map[string]*Row)}
-	for _, kind := range day.Report.Kinds {
+	for _, kind := range day.Report.Classes {
 		sheet := worths[kind.Name]
-		book.unit = sheet.Worth / owed
+		book.unit = sheet.Value / owed
 		book.charge(kind, sheet, seen[sheet.Policy()], day.Report)
 	}
-	made := Account{Reported: 1 - day.Report.Earned, Rows: book.sorted()}
+	made := Account{Reported: 1 - day.Report.GrossScore, Rows: book.sorted()}
 	for _, row := range made.Rows {
 		made.Lost += row.Lost
 	}
-	for _, price := range day.Report.Prices {
-		made.Prices = append(made.Prices, Row{Cause: pricePrefix + price.Name, Lost: price.Part})
+	for _, price := range day.Report.Penalties {
+		made.Prices = append(made.Prices, Row{Cause: pricePrefix + price.Name, Lost: price.Fraction})
 	}
 	slices.SortFunc(made.Prices, func(a, b Row) int { return cmp.Compare(b.Lost, a.Lost) })
 	return made
@@ -123,11 +123,11 @@
 func endingsOf(day Day) map[dayreport.Policy]*ended {
 	seen := make(map[dayreport.Policy]*ended)
 	objective := func(class string) time.Duration {
-		policy, _ := dayreport.PolicyOf(class)
+		policy, _ := dayreport.ParsePolicyName(class)
 		return policy.Objective
 	}
 	for _, one := range day.Log.Endings(objective) {
-		policy, known := dayreport.PolicyOf(one.Outcome.Class)
+		policy, known := dayreport.ParsePolicyName(one.Outcome.Class)
 		if !known {
 			continue // of no kind that is owed anything: no route, or no configuration yet
 		}
@@ -161,7 +161,7 @@
 // charge puts what was lost of a kind under its causes, in proportion to what each request lost: refused and
 // failed ones all, late ones what an answer in time is worth more. All together lose what the report says, as
 // some that came back after a refusal earn a part.
-func (b *ledger) charge(kind dayreport.Kind, sheet dayreport.Sheet, seen *ended, report dayreport.Report) {
+func (b *ledger) charge(kind dayreport.ClassResult, sheet dayreport.ClassSpec, seen *ended, report dayreport.Report) {
 	if seen == nil {
 		seen = &ended{}
 	}
@@ -170,17 +170,17 @@
 		refused *= float64(seen.refused.total) / float64(seen.refused.total+seen.overRate)
 	}
 	late := float64(kind.Late)
-	if sheet.Worth > 0 {
-		late *= 1 - sheet.LateWorth/sheet.Worth
+	if sheet.Value > 0 {
+		late *= 1 - sheet.LateValue/sheet.Value
 	}
 	whole := late + refused + float64(kind.Failed)
 	if whole == 0 {
 		return
 	}
-	b.loss = kind.Lost() / whole
+	b.loss = kind.LostRequests() / whole
 	b.spread(kind.Name, refused, seen.refused)
 	// The report does not say of which kind those were that no daemon took.
-	unreached := float64(kind.Failed) * min(float64(report.Unreached)/float64(max(report.Failed(), 1)), 1)
+	unreached := float64(kind.Failed) * min(float64(report.Unconnected)/float64(max(report.Failed(), 1)), 1)
 	b.add(Unreached, kind.Name, 0, unreached)
 	b.spread(kind.Name, float64(kind.Failed)-unreached, seen.failed)
 	if seen.late.total+seen.inTime == 0 {
--- a/lab/account/account_test.go
+++ b/lab/account/account_test.go
@@ -114,7 +114,7 @@
 	const earned = (80 + 0.1*11) / 99
 	report, err := dayreport.Read(written(t, "report.json", fmt.Sprintf(reportText, earned, earned)))
 	require.NoError(t, err)
-	sheet, err := dayreport.ReadSheet(written(t, "site.toml", site))
+	sheet, err := dayreport.ReadClassSpecs(written(t, "site.toml", site))
 	require.NoError(t, err)
 	log, began := logOf(t)
 	made := account.Of(account.Day{Report: report, Sheet: sheet, Log: log, Began: began})
@@ -152,7 +152,7 @@
 func TestWhatNoLineExplains(t *testing.T) {
 	report, err := dayreport.Read(written(t, "report.json", fmt.Sprintf(reportText, 0.9, 0.9)))
 	require.NoError(t, err)
-	made := account.Of(account.Day{Report: report, Sheet: []dayreport.Sheet{{Name: "reads", Kind: "safe", Objective: 250, Worth: 1}}, Log: explain.NewLog()})
+	made := account.Of(account.Day{Report: report, Sheet: []dayreport.ClassSpec{{Name: "reads", Kind: "safe", Objective: 250, Value: 1}}, Log: explain.NewLog()})
 	require.InDelta(t, 0.095, made.Rows[0].Lost, 0.001)
 	require.Equal(t, account.Unnamed, made.Rows[0].Cause)
 	require.Greater(t, made.Unnamed(), 0.5)
@@ -168,7 +168,7 @@
 		_, err := dayreport.Read(written(t, "report.json", text))
 		require.ErrorContains(t, err, "report", name)
 	}
-	_, err := dayreport.ReadSheet(written(t, "site.toml", "name = 1"))
+	_, err := dayreport.ReadClassSpecs(written(t, "site.toml", "name = 1"))
 	require.ErrorContains(t, err, "no classes")
 }
 
@@ -178,7 +178,7 @@
 	played := make([]account.Played, 12)
 	for index := range played {
 		worth := 0.5 + 0.3*day.Float64() + 0.01*chance.NormFloat64() + differs
-		played[index].Report = dayreport.Report{Net: worth, Earned: worth + 0.1}
+		played[index].Report = dayreport.Report{NetScore: worth, GrossScore: worth + 0.1}
 	}
 	return played
 }
@@ -200,7 +200,7 @@
 
 // TestDayWithoutAPrice counts a price, or a cause, as none on days that do not name it.
 func TestDayWithoutAPrice(t *testing.T) {
-	priced := account.Played{Report: dayreport.Report{Prices: []dayreport.Price{{Name: "calls", Part: 0.02}}}, Causes: []account.Row{{Cause: "late", Lost: 0.1}}}
+	priced := account.Played{Report: dayreport.Report{Penalties: []dayreport.Penalty{{Name: "calls", Fraction: 0.02}}}, Causes: []account.Row{{Cause: "late", Lost: 0.1}}}
 	found, err := account.Compare([]account.Played{{}, {}}, []account.Played{priced, {}})
 	require.NoError(t, err)
 	require.Equal(t, "price: calls", found[len(found)-2].Name)
--- a/lab/account/compare.go
+++ b/lab/account/compare.go
@@ -81,13 +81,13 @@
 		set.names = append(set.names, name)
 		set.values[name] = value
 	}
-	add("worth", report.Net)
-	add("earned over the whole day", report.Earned)
-	for _, kind := range report.Kinds {
-		add("earned by "+kind.Name, kind.Earned)
+	add("worth", report.NetScore)
+	add("earned over the whole day", report.GrossScore)
+	for _, kind := range report.Classes {
+		add("earned by "+kind.Name, kind.ScoreFraction)
 	}
-	for _, price := range report.Prices {
-		add(pricePrefix+price.Name, price.Part)
+	for _, price := range report.Penalties {
+		add(pricePrefix+price.Name, price.Fraction)
 	}
 	for _, row := range day.Causes {
 		add("lost, "+row.Cause, row.Lost)
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -73,7 +73,7 @@
 		return File{}, errors.Annotate(err, "experiment")
 	}
 	var file File
-	if err := config.StrictTOML(path, text, &file); err != nil {
+	if err := config.DecodeStrictTOML(path, text, &file); err != nil {
 		return File{}, err
 	}
 	return file, file.validate(path)
--- a/lab/labcommand/account.go
+++ b/lab/labcommand/account.go
@@ -29,7 +29,7 @@
 
 // Execute implements flags.Commander.
 func (c *accountRun) Execute([]string) error {
-	sheet, err := dayreport.ReadSheet(c.Site)
+	sheet, err := dayreport.ReadClassSpecs(c.Site)
 	if err != nil {
 		return err
 	}
@@ -44,7 +44,7 @@
 }
 
 // accountOf makes the account of a day from its report and logs.
-func accountOf(sheet []dayreport.Sheet, path string, logs []string) (dayreport.Report, account.Account, error) {
+func accountOf(sheet []dayreport.ClassSpec, path string, logs []string) (dayreport.Report, account.Account, error) {
 	report, err := dayreport.Read(path)
 	if err != nil {
 		return dayreport.Report{}, account.Account{}, err
@@ -82,19 +82,19 @@
 func (c *accountRun) print(made account.Account, report dayreport.Report) error {
 	writer := tabwriter.NewWriter(c.out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	header := "lost\tof all\t"
-	for _, kind := range report.Kinds {
+	for _, kind := range report.Classes {
 		header += kind.Name + "\t"
 	}
 	fmt.Fprintln(writer, header+" cause")
 	for _, row := range made.Rows {
 		line := fmt.Sprintf("%.4f\t%.0f%%\t", row.Lost, 100*row.Lost/made.Lost)
-		for _, kind := range report.Kinds {
+		for _, kind := range report.Classes {
 			line += fmt.Sprintf("%.4f\t", row.ByKind[kind.Name])
 		}
 		fmt.Fprintln(writer, line+" "+row.Cause)
 	}
 	for _, row := range made.Prices {
-		fmt.Fprintf(writer, "%.4f\t\t%s %s\n", row.Lost, strings.Repeat("\t", len(report.Kinds)), row.Cause)
+		fmt.Fprintf(writer, "%.4f\t\t%s %s\n", row.Lost, strings.Repeat("\t", len(report.Classes)), row.Cause)
 	}
 	if err := writer.Flush(); err != nil {
 		return errors.Trace(err)
@@ -179,10 +179,10 @@
 	if len(logs) > 0 && (c.Site == "" || len(logs) != len(reports)) {
 		return nil, errors.NotValidf("%d logs of %d reports, site %q: causes take --site and one log a report; that", len(logs), len(reports), c.Site)
 	}
-	var sheet []dayreport.Sheet
+	var sheet []dayreport.ClassSpec
 	if len(logs) > 0 {
 		var err error
-		if sheet, err = dayreport.ReadSheet(c.Site); err != nil {
+		if sheet, err = dayreport.ReadClassSpecs(c.Site); err != nil {
 			return nil, err
 		}
 	}
--- a/lab/labcommand/demo.go
+++ b/lab/labcommand/demo.go
@@ -36,7 +36,7 @@
 		return err
 	}
 	defer stop()
-	options.LogTo = os.Stdout
+	options.LogOutput = os.Stdout
 	running, err := daemon.Start(options)
 	if err != nil {
 		return err
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -227,7 +227,7 @@
 		request.Header.Set(policy.HeaderIdempotencyKey, key)
 	}
 	if kind.Key != "" {
-		request.Header.Set(identity.HeaderKey, identity.Challenge+" "+kind.Key)
+		request.Header.Set(identity.HeaderAuthorization, identity.AuthScheme+" "+kind.Key)
 	}
 	// The transport must not resend what it cannot know to be safe.
 	request.GetBody = nil
--- a/lab/objectstub/fleet_test.go
+++ b/lab/objectstub/fleet_test.go
@@ -152,12 +152,12 @@
 		},
 		Log: settings.Log{Level: "info", Format: "json", Decisions: true},
 	}
-	chosen.Provision()
+	chosen.SetDefaults()
 	require.NoError(f.t, chosen.Validate())
-	connected := platform.Connect(platform.Options{Network: f.net.Network(name), Address: "http://" + store, Connections: 8, ProbesPerBackend: probesPerBackend, Direct: f.direct, Rollouts: f.rollouts})
+	connected := platform.New(platform.Options{Network: f.net.Network(name), Address: "http://" + store, MaxConnections: 8, ProbesPerBackend: probesPerBackend, Direct: f.direct, Rollouts: f.rollouts})
 	dialect := platform.Dialect()
 	running, err := daemon.Start(daemon.Options{
-		Settings: chosen, Network: f.net.Network(name), LogTo: &f.logs,
+		Settings: chosen, Network: f.net.Network(name), LogOutput: &f.logs,
 		Store: connected, Machines: connected, Sources: connected.Sources, Dialect: &dialect, Rollouts: connected,
 	})
 	require.NoError(f.t, err)
--- a/lab/objectstub/mortal_test.go
+++ b/lab/objectstub/mortal_test.go
@@ -278,7 +278,7 @@
 func (f *fleet) holding() int {
 	count := 0
 	for _, one := range f.daemons {
-		held := func(request admin.CrashingRequest) bool { return request.Held }
+		held := func(request admin.CrashingRequest) bool { return request.Quarantined }
 		if slices.ContainsFunc(one.CrashingRequests(), held) {
 			count++
 		}
--- a/lab/objectstub/news_test.go
+++ b/lab/objectstub/news_test.go
@@ -98,7 +98,7 @@
 	heard := 0
 	for _, one := range f.daemons {
 		position := one.Document().Position()
-		if uint64(max(position.Stored, position.Directory)) >= revision {
+		if uint64(max(position.StoreVersion, position.Directory)) >= revision {
 			heard++
 		}
 	}
@@ -245,7 +245,7 @@
 		f.startAnew()
 		begun := time.Now()
 		for _, one := range f.daemons {
-			for one.KnownMembers() < size {
+			for one.AliveCount() < size {
 				require.Less(f.t, time.Since(begun), time.Minute)
 				time.Sleep(time.Millisecond)
 			}
--- a/lab/platformstub/stub.go
+++ b/lab/platformstub/stub.go
@@ -151,8 +151,8 @@
 
 // ComeBackOlder lets the platform lose what was written since a copy of its store was taken. Watches that wait
 // are cut.
-func (s *Stub) ComeBackOlder(from objectstore.Copy) {
-	s.store.ComeBackOlder(from)
+func (s *Stub) ComeBackOlder(from objectstore.Snapshot) {
+	s.store.RollBack(from)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	close(s.broken)
--- a/lab/simulation/attempt.go
+++ b/lab/simulation/attempt.go
@@ -33,7 +33,7 @@
 		report := &routing.Report{InFlight: target.inFlight(), Slowdown: target.slowdown()}
 		r.after(2*r.pattern.wire(), func() {
 			if !sent.over {
-				r.core.Report(r.time(), sent.place.Backend, *report)
+				r.core.RecordReport(r.time(), sent.place.Backend, *report)
 			}
 			r.failed(one, sent)
 		})
@@ -51,7 +51,7 @@
 		}
 		sent.over = true
 		latency := r.time().Sub(sent.place.GrantedAt)
-		r.core.Report(r.time(), sent.place.Backend, report)
+		r.core.RecordReport(r.time(), sent.place.Backend, report)
 		r.core.Done(r.time(), sent.place, routing.Success, latency)
 		r.answered(one)
 		r.serve()
@@ -93,7 +93,7 @@
 		return
 	}
 	verdict := retry.Decide(retry.Attempt{
-		Code: resultcode.BackendRefused, Returned: one.refused > 0, Number: one.attempts, MaxAttempts: one.class.Attempts, Repeatable: one.class.Repeatable, Rewindable: true,
+		Code: resultcode.BackendRefused, CallerRetry: one.refused > 0, Number: one.attempts, MaxAttempts: one.class.Attempts, Repeatable: one.class.Repeatable, Rewindable: true,
 		Remaining: one.deadline.Sub(r.time()), UntriedBackends: len(r.workers) - len(one.tried),
 	}, &r.budget)
 	if verdict == retry.Allowed {
@@ -119,10 +119,10 @@
 		return
 	}
 	decision := r.core.Offer(r.time(), r.request(one, true), one)
-	if decision.Place == nil {
+	if decision.Permit == nil {
 		r.budget.Refund()
 		return
 	}
 	r.outcome.of(one.class).Hedges++
-	r.send(one, decision.Place)
+	r.send(one, decision.Permit)
 }
--- a/lab/simulation/faults.go
+++ b/lab/simulation/faults.go
@@ -49,6 +49,6 @@
 		for _, told := range to.told {
 			sum += told[number]
 		}
-		to.core.Group.SetPeers(one.id, sum, s.time())
+		to.core.Group.SetPeerInFlight(one.id, sum, s.time())
 	}
 }
--- a/lab/simulation/flow.go
+++ b/lab/simulation/flow.go
@@ -68,8 +68,8 @@
 		s.refuse(decision.Displaced.(*request))
 	}
 	switch {
-	case decision.Place != nil:
-		s.send(r, decision.Place)
+	case decision.Permit != nil:
+		s.send(r, decision.Permit)
 	case decision.Ticket == nil:
 		s.refuse(r)
 	default:
@@ -147,7 +147,7 @@
 	now := s.time()
 	r.node.core.Done(now, place, routing.Success, now.Sub(place.GrantedAt))
 	if s.system.Reports {
-		r.node.core.Report(now, place.Backend, routing.Report{InFlight: load})
+		r.node.core.RecordReport(now, place.Backend, routing.Report{InFlight: load})
 	}
 	s.serve(r.node)
 	if s.system.Places {
--- a/lab/simulation/pattern.go
+++ b/lab/simulation/pattern.go
@@ -96,6 +96,6 @@
 		return Pattern{}, errors.Annotate(err, "pattern")
 	}
 	var pattern Pattern
-	err = config.StrictTOML(path, text, &pattern)
+	err = config.DecodeStrictTOML(path, text, &pattern)
 	return pattern, err
 }
--- a/lab/simulation/replay.go
+++ b/lab/simulation/replay.go
@@ -175,8 +175,8 @@
 		r.refuse(decision.Displaced.(*try))
 	}
 	switch {
-	case decision.Place != nil:
-		r.send(one, decision.Place)
+	case decision.Permit != nil:
+		r.send(one, decision.Permit)
 	case decision.Ticket == nil:
 		r.refuse(one)
 	default:
--- a/lab/site/faults_test.go
+++ b/lab/site/faults_test.go
@@ -367,7 +367,7 @@
 					require.Less(t, time.Since(begun), 2*time.Second)
 				}
 				apply("early")
-				copied := running.Platform.Store().Copy()
+				copied := running.Platform.Store().Snapshot()
 				apply("lost-1")
 				apply("lost-2")
 				time.Sleep(2 * time.Second)
--- a/lab/site/site.go
+++ b/lab/site/site.go
@@ -190,7 +190,7 @@
 		Stop:     settings.Stop{Notice: config.Duration(s.options.Notice)},
 		Log:      settings.Log{Level: s.options.LogLevel, Decisions: s.options.Decisions},
 	}
-	made.Provision()
+	made.SetDefaults()
 	if err := made.Validate(); err != nil {
 		return err
 	}
@@ -199,7 +199,7 @@
 	if s.options.LogTo != nil {
 		target = io.MultiWriter(log, s.options.LogTo)
 	}
-	started, err := daemon.Start(daemon.Options{Settings: made, Network: s.options.Network(name), LogTo: target})
+	started, err := daemon.Start(daemon.Options{Settings: made, Network: s.options.Network(name), LogOutput: target})
 	if err != nil {
 		return err
 	}
@@ -312,7 +312,7 @@
 func (s *Site) AllKnown() bool {
 	daemons := s.Daemons()
 	for _, running := range daemons {
-		if running.KnownMembers() < len(daemons) {
+		if running.AliveCount() < len(daemons) {
 			return false
 		}
 	}
@@ -427,8 +427,8 @@
 	var rows []string
 	daemons := s.Daemons()
 	for name, running := range daemons {
-		if running.Document().Revision < revision || running.KnownMembers() < len(daemons) {
-			rows = append(rows, fmt.Sprintf("%s (revision %d, %d members)", name, running.Document().Revision, running.KnownMembers()))
+		if running.Document().Revision < revision || running.AliveCount() < len(daemons) {
+			rows = append(rows, fmt.Sprintf("%s (revision %d, %d members)", name, running.Document().Revision, running.AliveCount()))
 		}
 	}
 	sort.Strings(rows)
--- a/launch/launch.go
+++ b/launch/launch.go
@@ -96,7 +96,7 @@
 	if chosen.LogFormat != "" {
 		built.Settings.Log.Format = chosen.LogFormat
 	}
-	built.LogTo, built.Now = os.Stdout, clock.Boot
+	built.LogOutput, built.Now = os.Stdout, clock.Boot
 	return built, errors.Annotate(built.Settings.Validate(), "flags")
 }
 
@@ -119,8 +119,8 @@
 // ends itself.
 func connect(built *daemon.Options) {
 	chosen := built.Settings.Platform
-	connected := platform.Connect(platform.Options{
-		Address: chosen.Address, Direct: chosen.Direct, Connections: chosen.Connections,
+	connected := platform.New(platform.Options{
+		Address: chosen.Address, Direct: chosen.Direct, MaxConnections: chosen.Connections,
 		RetryRatio: chosen.RetryRatio, RetryBurst: chosen.RetryBurst, ProbesPerBackend: chosen.ProbesPerBackend, Rollouts: chosen.Rollouts,
 	})
 	dialect := platform.Dialect()
@@ -153,7 +153,7 @@
 	for range hangups {
 		built, err := load(chosen)
 		if err != nil {
-			running.ReloadFailed(err)
+			running.LogReloadError(err)
 			continue
 		}
 		running.Reload(built.Settings)
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -131,7 +131,7 @@
 // listens, so that no two running processes share it. The clock must count the time that the machine
 // is suspended, as other daemons may acquire the lease meanwhile.
 func New(store objectstore.Store, name, holder string, now clock.Clock) *Lease {
-	return &Lease{store: store, key: objectstore.Key{Kind: "lease", Name: name}, holder: holder, now: clock.OrSteady(now)}
+	return &Lease{store: store, key: objectstore.Key{Kind: "lease", Name: name}, holder: holder, now: clock.OrMonotonic(now)}
 }
 
 // Valid reports whether this daemon holds the lease now. It does not call the store; call it at the
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -106,17 +106,17 @@
 			synctest.Test(t, func(t *testing.T) {
 				memory := objectstore.NewMemory()
 				held, other := lease.New(&daemonStore{Memory: memory}, "duty", "edge-1", nil), lease.New(&daemonStore{Memory: memory}, "duty", "edge-2", nil)
-				backup := memory.Copy()
+				backup := memory.Snapshot()
 				if test.earlier {
 					require.True(t, acquireOrRenew(t, other))
-					backup = memory.Copy()
+					backup = memory.Snapshot()
 				}
 				require.Equal(t, test.earlier, !acquireOrRenew(t, held))
 				for !acquireOrRenew(t, held) {
 					time.Sleep(time.Second)
 				}
 				require.False(t, acquireOrRenew(t, other))
-				memory.ComeBackOlder(backup)
+				memory.RollBack(backup)
 				rolledBackAt := time.Now()
 				heldAgain := false
 				for tick := 0; time.Since(rolledBackAt) < 3*lease.Lifetime; tick++ {
@@ -142,10 +142,10 @@
 func TestHolderThatHearsOfReturnHasNoRight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := objectstore.NewMemory()
-		backup := store.Copy()
+		backup := store.Snapshot()
 		held := lease.New(store, "duty", "edge-1", nil)
 		require.True(t, acquireOrRenew(t, held))
-		store.ComeBackOlder(backup)
+		store.RollBack(backup)
 		require.False(t, held.Valid())
 		require.LessOrEqual(t, held.Remaining(), time.Duration(0))
 		require.True(t, acquireOrRenew(t, held))
--- a/measure/measure.go
+++ b/measure/measure.go
@@ -143,7 +143,7 @@
 		p.probeLoad(ctx, d, now, name, svc, spec)
 		return
 	}
-	id, due := svc.Dispatcher.ProbeTarget(maxSilence)
+	id, due := svc.Dispatcher.HealthProbeTarget(maxSilence)
 	if !due || !p.holdsLease(ctx, d, now, spec.ProbesPerSecond) {
 		return
 	}
@@ -173,7 +173,7 @@
 	if spec.ProbesPerBackend > 0 {
 		spacing = interval(spec.ProbesPerBackend)
 	}
-	id, due := svc.Dispatcher.StaleTarget(time.Duration(spec.ProbeFreshness), spacing)
+	id, due := svc.Dispatcher.LoadProbeTarget(time.Duration(spec.ProbeFreshness), spacing)
 	if !due {
 		return
 	}
--- a/objectstore/eras.go
+++ b/objectstore/eras.go
@@ -12,9 +12,9 @@
 // may be lost.
 const errEarlierEra = errors.ConstError("answer of an earlier era of the store")
 
-// Eras follows which era a store is in, as its answers and other daemons tell. The zero value is in the first
+// EraTracker follows which era a store is in, as its answers and other daemons tell. The zero value is in the first
 // era. It is safe for concurrent use.
-type Eras struct {
+type EraTracker struct {
 	mutex      sync.Mutex
 	log        *slog.Logger // nil: nothing is logged
 	newest     uint64
@@ -22,23 +22,23 @@
 	unreadable bool // a header that cannot be read was logged
 }
 
-// LogTo sets where a new era is logged.
-func (e *Eras) LogTo(log *slog.Logger) {
+// SetLogger sets where a new era is logged.
+func (e *EraTracker) SetLogger(log *slog.Logger) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.log = log
 }
 
-// Newest returns the highest era told.
-func (e *Eras) Newest() uint64 {
+// Latest returns the highest era told.
+func (e *EraTracker) Latest() uint64 {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.newest
 }
 
-// Of returns the era of an answer with this header, which is the newest one where the header is missing or
+// ObserveHeader returns the era of an answer with this header, which is the newest one where the header is missing or
 // cannot be read. The error is ErrOutcomeUnknown where a later era has begun since.
-func (e *Eras) Of(header string) (uint64, error) {
+func (e *EraTracker) ObserveHeader(header string) (uint64, error) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if header == "" {
@@ -56,8 +56,8 @@
 	return era, nil
 }
 
-// Hear notes an era that another daemon has seen.
-func (e *Eras) Hear(era uint64) {
+// ObserveEra notes an era that another daemon has seen.
+func (e *EraTracker) ObserveEra(era uint64) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if era > e.newest {
@@ -66,7 +66,7 @@
 }
 
 // rise notes an era that is no earlier than the newest one. The caller holds the mutex.
-func (e *Eras) rise(era uint64, source string) {
+func (e *EraTracker) rise(era uint64, source string) {
 	if e.known && era > e.newest && e.log != nil {
 		e.log.Warn("the store came back older: what it acknowledged last may be lost", "era", era, "era_before", e.newest, "source", source)
 	}
@@ -74,7 +74,7 @@
 }
 
 // noteUnreadable logs the first header that cannot be read. The caller holds the mutex.
-func (e *Eras) noteUnreadable(header string) {
+func (e *EraTracker) noteUnreadable(header string) {
 	const quoted = 40
 	if e.unreadable || e.log == nil {
 		return
--- a/objectstore/http.go
+++ b/objectstore/http.go
@@ -35,7 +35,7 @@
 	base   string
 	caller string
 	client *http.Client
-	eras   Eras
+	eras   EraTracker
 }
 
 // NewClient returns a client for the platform at base (a URL). caller names
@@ -58,19 +58,19 @@
 	c.client.CloseIdleConnections()
 }
 
-// LogTo sets where a new era of the store is logged.
-func (c *Client) LogTo(log *slog.Logger) {
-	c.eras.LogTo(log)
+// SetLogger sets where a new era of the store is logged.
+func (c *Client) SetLogger(log *slog.Logger) {
+	c.eras.SetLogger(log)
 }
 
 // Era implements Store.
 func (c *Client) Era() uint64 {
-	return c.eras.Newest()
+	return c.eras.Latest()
 }
 
-// HearEra implements Store.
-func (c *Client) HearEra(era uint64) {
-	c.eras.Hear(era)
+// ObserveEra implements Store.
+func (c *Client) ObserveEra(era uint64) {
+	c.eras.ObserveEra(era)
 }
 
 // Get implements Store.
@@ -184,7 +184,7 @@
 	if err != nil {
 		return nil, nil, noAnswer(ctx, err)
 	}
-	if _, err := c.eras.Of(response.Header.Get(HeaderEra)); err != nil {
+	if _, err := c.eras.ObserveHeader(response.Header.Get(HeaderEra)); err != nil {
 		return nil, nil, err
 	}
 	if err := statusError(response.StatusCode, answer); err != nil {
--- a/objectstore/memory.go
+++ b/objectstore/memory.go
@@ -110,24 +110,24 @@
 	return m.era
 }
 
-// HearEra implements Store: nobody knows of more eras than the store itself.
-func (m *Memory) HearEra(uint64) {}
+// ObserveEra implements Store: nobody knows of more eras than the store itself.
+func (m *Memory) ObserveEra(uint64) {}
 
-// Copy is what a Memory held at a moment.
-type Copy struct {
+// Snapshot is what a Memory held at a moment.
+type Snapshot struct {
 	objects map[Key]Object
 	latest  Version
 }
 
-// Copy returns what the store holds now.
-func (m *Memory) Copy() Copy {
+// Snapshot returns what the store holds now.
+func (m *Memory) Snapshot() Snapshot {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return Copy{objects: maps.Clone(m.objects), latest: m.latest}
+	return Snapshot{objects: maps.Clone(m.objects), latest: m.latest}
 }
 
-// ComeBackOlder loses what was written since the copy was taken, and begins the next era.
-func (m *Memory) ComeBackOlder(from Copy) {
+// RollBack loses what was written since the copy was taken, and begins the next era.
+func (m *Memory) RollBack(from Snapshot) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.era++
--- a/objectstore/objectstore.go
+++ b/objectstore/objectstore.go
@@ -62,8 +62,8 @@
 	// Era returns the highest era that the store is known to have been in; it does not block. Where it rises,
 	// what the store acknowledged last may be lost.
 	Era() uint64
-	// HearEra notes an era that another daemon knows of. It does not block.
-	HearEra(era uint64)
+	// ObserveEra notes an era that another daemon knows of. It does not block.
+	ObserveEra(era uint64)
 }
 
 // MachineState is what the machine list says of a machine.
--- a/operation/claimer.go
+++ b/operation/claimer.go
@@ -70,7 +70,7 @@
 	if options.Retention == 0 {
 		options.Retention = DefaultRetention
 	}
-	options.Now = clock.OrSteady(options.Now)
+	options.Now = clock.OrMonotonic(options.Now)
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &Claimer{
 		options: options, log: logging.Part(options.Log, "operation"),
--- a/operation/rollback_test.go
+++ b/operation/rollback_test.go
@@ -32,17 +32,17 @@
 				store := objectstore.NewMemory()
 				first, other := newClaimer(store), newClaimer(store)
 				defer first.Close(t.Context())
-				backup := store.Copy()
+				backup := store.Snapshot()
 				if test.partOfJournal {
 					require.NotNil(t, claimed(t, first, "early"))
 					require.Nil(t, claimed(t, other, "early"))
-					backup = store.Copy()
+					backup = store.Snapshot()
 				}
 				require.NotNil(t, claimed(t, first, "running"))
 				claimed(t, first, "done").Finish(operation.Result{Status: 201, Body: []byte("done"), Complete: true})
 				time.Sleep(time.Second)
 
-				store.ComeBackOlder(backup)
+				store.RollBack(backup)
 				if test.startsLater {
 					other.Close(t.Context())
 					other = newClaimer(store)
@@ -53,7 +53,7 @@
 						require.Nil(t, claimed(t, other, key), "%s, %s after the rollback", key, time.Since(rolledBackAt))
 					}
 					if since := time.Since(rolledBackAt); test.twice && since > 7*time.Second && since < 8*time.Second {
-						store.ComeBackOlder(backup)
+						store.RollBack(backup)
 					}
 				}
 				_, result, failure := other.Claim(t.Context(), "swaps", "done", 1)
@@ -82,7 +82,7 @@
 		claimer := newClaimer(store)
 		defer claimer.Close(t.Context())
 		require.NotNil(t, claimed(t, claimer, "early"))
-		store.ComeBackOlder(store.Copy())
+		store.RollBack(store.Snapshot())
 		startedAt := time.Now()
 		_, _, failure := claimer.Claim(t.Context(), "swaps", "new", 1)
 		require.Equal(t, resultcode.StoreUnavailable, failure.Code)
--- a/peer/announce.go
+++ b/peer/announce.go
@@ -33,9 +33,9 @@
 	n.announceToAll(ctx, assigned(view.region, view.self, view.holders(duty, count)))
 }
 
-// PassOn is Announce for news that came from another daemon: a few members are told, in
+// Relay is Announce for news that came from another daemon: a few members are told, in
 // random order.
-func (n *Node) PassOn(ctx context.Context) {
+func (n *Node) Relay(ctx context.Context) {
 	n.mutex.Lock()
 	targets := n.state.Sample(passOn, "")
 	n.mutex.Unlock()
@@ -66,7 +66,7 @@
 		}
 		theirs := decodePosition(reply)
 		if n.options.Configuration.Position().Behind(theirs) {
-			n.options.Configuration.Behind(target, theirs)
+			n.options.Configuration.RecordNewerPeer(target, theirs)
 		}
 		if !theirs.Behind(n.options.Configuration.Position()) {
 			return nil
@@ -83,7 +83,7 @@
 func (n *Node) position() *peerpb.Position {
 	position := n.options.Configuration.Position()
 	return &peerpb.Position{
-		Address: n.options.Self.PeerAddress, Revision: uint64(position.Revision), Stored: uint64(position.Stored),
+		Address: n.options.Self.PeerAddress, Revision: uint64(position.Revision), Stored: uint64(position.StoreVersion),
 		Directory: uint64(position.Directory), Evacuations: uint64(position.Evacuations), Rollouts: uint64(position.Rollouts),
 	}
 }
@@ -99,7 +99,7 @@
 
 func decodePosition(encoded positioned) config.Position {
 	return config.Position{
-		Revision: config.Revision(encoded.GetRevision()), Stored: objectstore.Version(encoded.GetStored()),
+		Revision: config.Revision(encoded.GetRevision()), StoreVersion: objectstore.Version(encoded.GetStored()),
 		Directory: objectstore.Version(encoded.GetDirectory()), Evacuations: objectstore.Version(encoded.GetEvacuations()),
 		Rollouts: objectstore.Version(encoded.GetRollouts()),
 	}
@@ -149,7 +149,7 @@
 		// The sender hands it over; should it fail to, it is asked.
 		time.AfterFunc(deliveryGrace, func() {
 			if n.options.Configuration.Position().Behind(theirs) {
-				n.options.Configuration.Behind(membership.Member{Name: told.Address, PeerAddress: told.Address}, theirs)
+				n.options.Configuration.RecordNewerPeer(membership.Member{Name: told.Address, PeerAddress: told.Address}, theirs)
 			}
 		})
 	}
--- a/peer/announce_test.go
+++ b/peer/announce_test.go
@@ -25,11 +25,11 @@
 	return config.Position{Revision: 1, Directory: objectstore.Version(h.directory.Load())}
 }
 
-func (*held) Document() config.Document                 { return config.Document{} }
-func (*held) Reading() bool                             { return false }
-func (*held) Watching() bool                            { return false }
-func (*held) Behind(membership.Member, config.Position) {}
-func (*held) Offer(config.Document, string) error       { return nil }
+func (*held) Document() config.Document                          { return config.Document{} }
+func (*held) Reading() bool                                      { return false }
+func (*held) Watching() bool                                     { return false }
+func (*held) RecordNewerPeer(membership.Member, config.Position) {}
+func (*held) Offer(config.Document, string) error                { return nil }
 
 // TestNewsIsHandedOverOnce is told of the same news by several daemons: one of them
 // hands it over, and another one should that one fail to.
--- a/peer/call.go
+++ b/peer/call.go
@@ -57,7 +57,7 @@
 	var document config.Document
 	err := n.call(ctx, purposeChanges, address, func(ctx context.Context, client peerpb.DRPCPeerClient) error {
 		reply, err := client.Changes(ctx, &peerpb.ChangesRequest{
-			After: uint64(present.Revision), StoredAfter: uint64(present.Stored), DirectoryAfter: uint64(present.Directory.Revision),
+			After: uint64(present.Revision), StoredAfter: uint64(present.StoreVersion), DirectoryAfter: uint64(present.Directory.Revision),
 			EvacuationsAfter: uint64(present.Evacuations.Revision), RolloutsAfter: uint64(present.Rollouts.Revision),
 		})
 		if err != nil {
--- a/peer/changes.go
+++ b/peer/changes.go
@@ -13,7 +13,7 @@
 // changesAfter encodes what is in force here and newer than a position.
 func (n *Node) changesAfter(after config.Position) (*peerpb.ChangesReply, error) {
 	document := n.options.Configuration.Document()
-	reply := &peerpb.ChangesReply{Revision: uint64(document.Revision), Stored: uint64(document.Stored)}
+	reply := &peerpb.ChangesReply{Revision: uint64(document.Revision), Stored: uint64(document.StoreVersion)}
 	if err := n.addDirectory(reply, document.Directory, after.Directory); err != nil {
 		return nil, err
 	}
@@ -37,7 +37,7 @@
 		return nil
 	}
 	changes, reaches := document.ChangesAfter(after.Revision)
-	if !reaches || after.Revision == 0 || after.Revision == document.Revision || after.Stored.Era() != document.Stored.Era() {
+	if !reaches || after.Revision == 0 || after.Revision == document.Revision || after.StoreVersion.Era() != document.StoreVersion.Era() {
 		reply.Document, err = n.encodings.documentOf(document)
 		return err
 	}
@@ -103,7 +103,7 @@
 		if err := decompress(reply.DirectoryChange, &change); err != nil {
 			return config.Directory{}, errors.Annotate(err, "a change of the directory")
 		}
-		next, _, err := present.Follow(change)
+		next, _, err := present.ApplyChange(change)
 		return next, err
 	case len(reply.Directory) > 0:
 		var directory config.Directory
@@ -114,7 +114,7 @@
 }
 
 func followChanges(present config.Document, reply *peerpb.ChangesReply) (config.Document, error) {
-	told := config.Position{Revision: config.Revision(reply.Revision), Stored: objectstore.Version(reply.Stored)}
+	told := config.Position{Revision: config.Revision(reply.Revision), StoreVersion: objectstore.Version(reply.Stored)}
 	if !present.Position().BehindInConfiguration(told) {
 		return present, nil
 	}
@@ -132,7 +132,7 @@
 			return config.Document{}, errors.Annotate(err, "a configuration change")
 		}
 	}
-	next, err := present.Follow(changes)
-	next.Stored = told.Stored
+	next, err := present.ApplyChanges(changes)
+	next.StoreVersion = told.StoreVersion
 	return next, err
 }
--- a/peer/drains.go
+++ b/peer/drains.go
@@ -25,8 +25,8 @@
 
 func drainKey(record drain.Record) drain.SignalKey { return record.SignalKey }
 
-// TellDrain spreads that a back end is leaving, or is back.
-func (n *Node) TellDrain(record drain.Record) {
+// BroadcastDrain spreads that a back end is leaving, or is back.
+func (n *Node) BroadcastDrain(record drain.Record) {
 	tell(n, &n.drains, record, record.Service)
 }
 
--- a/peer/exchange.go
+++ b/peer/exchange.go
@@ -84,7 +84,7 @@
 	n.mutex.Lock()
 	fleet := len(n.view.Load().Serving)
 	request := &peerpb.ExchangeRequest{
-		Sender: encodeMember(n.state.Self()), Revision: uint64(position.Revision), Stored: uint64(position.Stored),
+		Sender: encodeMember(n.state.Self()), Revision: uint64(position.Revision), Stored: uint64(position.StoreVersion),
 		Directory: uint64(position.Directory), Evacuations: uint64(position.Evacuations), Rollouts: uint64(position.Rollouts),
 		Updates: encodeMembers(n.state.Updates()), Drains: encodeDrains(n.drains.next(fleet)), Digest: n.digest(), CrashingRequests: encodeCrashingRequests(n.crashingRequests.next(fleet)), Limits: encodeLimits(n.limits.next(fleet)),
 	}
@@ -132,7 +132,7 @@
 		sync = n.state.SyncDue(now, message.GetDigest()^n.options.Quarantine.Digest())
 	})
 	if !expected && n.options.Configuration.Position().Behind(theirs) {
-		n.options.Configuration.Behind(from, theirs)
+		n.options.Configuration.RecordNewerPeer(from, theirs)
 	}
 	if sync {
 		n.syncs.Go(func() { n.sync(ctx, from) })
--- a/peer/limits.go
+++ b/peer/limits.go
@@ -24,8 +24,8 @@
 
 func limitKey(record backendlimit.Record) backend.Key { return record.Key }
 
-// TellLimit spreads what a back end says of how many requests it takes.
-func (n *Node) TellLimit(record backendlimit.Record) {
+// BroadcastLimit spreads what a back end says of how many requests it takes.
+func (n *Node) BroadcastLimit(record backendlimit.Record) {
 	tell(n, &n.limits, record, record.Service)
 }
 
--- a/peer/node.go
+++ b/peer/node.go
@@ -74,8 +74,8 @@
 	Watching() bool
 	// Reading says whether the daemon has just started and reads the store itself.
 	Reading() bool
-	// Behind notes that a member has a higher position. It must not block.
-	Behind(member membership.Member, position config.Position)
+	// RecordNewerPeer notes that a member has a higher position. It must not block.
+	RecordNewerPeer(member membership.Member, position config.Position)
 	// Offer puts what is newer in a document than in the present one in force.
 	// source names the daemon it came from.
 	Offer(document config.Document, source string) error
--- a/peer/quarantine.go
+++ b/peer/quarantine.go
@@ -33,8 +33,8 @@
 
 func fingerprintOf(record quarantine.Record) quarantine.Fingerprint { return record.Fingerprint }
 
-// TellCrashingRequest spreads what this daemon has noted of a request.
-func (n *Node) TellCrashingRequest(record quarantine.Record) {
+// BroadcastCrashingRequest spreads what this daemon has noted of a request.
+func (n *Node) BroadcastCrashingRequest(record quarantine.Record) {
 	tell(n, &n.crashingRequests, record, record.Service)
 }
 
--- a/peer/server.go
+++ b/peer/server.go
@@ -46,7 +46,7 @@
 	defer n.mutex.Unlock()
 	fleet := len(n.view.Load().Serving)
 	return &peerpb.ExchangeReply{
-		Sender: encodeMember(n.state.Self()), Revision: uint64(position.Revision), Stored: uint64(position.Stored),
+		Sender: encodeMember(n.state.Self()), Revision: uint64(position.Revision), Stored: uint64(position.StoreVersion),
 		Directory: uint64(position.Directory), Evacuations: uint64(position.Evacuations), Rollouts: uint64(position.Rollouts),
 		Updates: encodeMembers(n.state.Updates()), Drains: encodeDrains(n.drains.next(fleet)), Digest: n.digest(), CrashingRequests: encodeCrashingRequests(n.crashingRequests.next(fleet)), Limits: encodeLimits(n.limits.next(fleet)),
 	}, nil
@@ -80,7 +80,7 @@
 // Changes implements peerpb.DRPCPeerServer.
 func (s *server) Changes(_ context.Context, request *peerpb.ChangesRequest) (*peerpb.ChangesReply, error) {
 	after := config.Position{
-		Revision: config.Revision(request.After), Stored: objectstore.Version(request.StoredAfter), Directory: objectstore.Version(request.DirectoryAfter),
+		Revision: config.Revision(request.After), StoreVersion: objectstore.Version(request.StoredAfter), Directory: objectstore.Version(request.DirectoryAfter),
 		Evacuations: objectstore.Version(request.EvacuationsAfter), Rollouts: objectstore.Version(request.RolloutsAfter),
 	}
 	return s.node.changesAfter(after)
--- a/peer/tellers.go
+++ b/peer/tellers.go
@@ -17,10 +17,10 @@
 // are asked at the same time and a wrong no costs a few calls to the store.
 const tellerTimeout = 250 * time.Millisecond
 
-// HearsOfNews says whether any of the members that should tell this one of a change,
+// HasAnnouncer says whether any of the members that should tell this one of a change,
 // of the count that are chosen for the duty of watching the store, answers that it would.
 // It blocks until one has, or all were given up on.
-func (n *Node) HearsOfNews(ctx context.Context, duty string, count int) bool {
+func (n *Node) HasAnnouncer(ctx context.Context, duty string, count int) bool {
 	view := n.View()
 	ctx, cancel := context.WithTimeout(ctx, tellerTimeout)
 	defer cancel()
--- a/peer/view.go
+++ b/peer/view.go
@@ -90,17 +90,17 @@
 	return others, chosen[view.self]
 }
 
-// Alive returns how many daemons are taken for alive, this one included, and how many may be:
+// FleetSize returns how many daemons are taken for alive, this one included, and how many may be:
 // with those that were lost within a time.
-func (n *Node) Alive(within time.Duration) (alive, all int) {
+func (n *Node) FleetSize(within time.Duration) (alive, all int) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	alive = len(n.state.Serving())
 	return alive, alive + n.state.RecentDeaths(time.Now(), within)
 }
 
-// LastHeard returns when any other daemon was heard last; when this one was made, if none was.
-func (n *Node) LastHeard() time.Time {
+// LastContact returns when any other daemon was heard last; when this one was made, if none was.
+func (n *Node) LastContact() time.Time {
 	return *n.heard.Load()
 }
 
@@ -127,16 +127,16 @@
 	return membership.Choose(v.region, duty, count)
 }
 
-// Holds says whether this daemon is among the count daemons of its region that
+// IsChosen says whether this daemon is among the count daemons of its region that
 // are chosen for a duty.
-func (n *Node) Holds(duty string, count int) bool {
-	_, _, chosen := n.Place(duty, count)
+func (n *Node) IsChosen(duty string, count int) bool {
+	_, _, chosen := n.Rank(duty, count)
 	return chosen
 }
 
-// Place returns this daemon's place, from 0, among the count daemons of its region
+// Rank returns this daemon's place, from 0, among the count daemons of its region
 // that are chosen for a duty, and their number. With a count of 0 all are chosen.
-func (n *Node) Place(duty string, count int) (place, of int, chosen bool) {
+func (n *Node) Rank(duty string, count int) (place, of int, chosen bool) {
 	view := n.View()
 	holders := view.holders(duty, count)
 	for place, member := range holders {
--- a/quarantine/save_test.go
+++ b/quarantine/save_test.go
@@ -19,7 +19,7 @@
 func TestHeldRequestsAreSavedAgainWhenStoreComesBackOlder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := objectstore.NewMemory()
-		backup := store.Copy()
+		backup := store.Snapshot()
 		ctx, cancel := context.WithCancel(t.Context())
 		var trackers []*Tracker
 		for range 3 {
@@ -43,7 +43,7 @@
 		time.Sleep(5 * time.Second)
 		saved, err := store.Get(ctx, Key)
 		require.NoError(t, err)
-		store.ComeBackOlder(backup)
+		store.RollBack(backup)
 		time.Sleep(5 * time.Second)
 		restored, err := store.Get(ctx, Key)
 		require.NoError(t, err)
--- a/ratelimit/fleetlimiter.go
+++ b/ratelimit/fleetlimiter.go
@@ -93,7 +93,7 @@
 
 // NewFleetLimiter returns a limiter without any counts.
 func NewFleetLimiter(options Options) *FleetLimiter {
-	now := clock.OrSteady(options.Now)
+	now := clock.OrMonotonic(options.Now)
 	return &FleetLimiter{
 		options: options, now: now, log: logging.Part(options.Log, "ratelimit"), limiter: NewLimiter(options.Name, now(), options.Random), exchanges: make(map[string]*exchange),
 		granted: options.Metrics.Counter("tenant_requests_granted"), exceeded: options.Metrics.Counter("tenant_requests_exceeded"),
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -136,13 +136,13 @@
 	Unsent           int           // attempts that were never sent; not included in Number
 	MaxAttempts      int           // maximum of Number, including the first attempt
 	Repeatable       bool          // the policy allows a repeat
-	Returned         bool          // the caller was refused before and has retried
+	CallerRetry      bool          // the caller was refused before and has retried
 	UpstreamRetry    bool          // the caller's request was itself a retry
 	Rewindable       bool          // the request's body can be sent again
 	Remaining        time.Duration // time until the deadline
 	ExpectedDuration time.Duration // expected time of another attempt
 	UntriedBackends  int           // back ends that have not been tried for this request
-	Endings          int           // back ends that crashed while they ran this request or its repeats
+	Crashes          int           // back ends that crashed while they ran this request or its repeats
 }
 
 // Verdict is the decision whether to send a request again and, if not, the reason.
@@ -158,14 +158,14 @@
 	BodyNotResendable Verdict = "body-cannot-be-resent"
 	NoOtherBackend    Verdict = "no-other-back-end"
 	OverBudget        Verdict = "over-budget"
-	BackendsEnded     Verdict = "back-ends-ended"
+	BackendsCrashed   Verdict = "back-ends-ended"
 )
 
 // Decide decides whether to send a request again. It charges the budget only if the verdict is
 // Allowed.
 func Decide(attempt Attempt, budget *Budget) Verdict {
 	verdict := Evaluate(attempt)
-	if verdict == Allowed && !budget.Spend(Retry, attempt.Returned) {
+	if verdict == Allowed && !budget.Spend(Retry, attempt.CallerRetry) {
 		return OverBudget
 	}
 	return verdict
@@ -188,8 +188,8 @@
 		return NotRepeatable
 	case attempt.Number >= attempt.MaxAttempts || attempt.Unsent > maxUnsent:
 		return TooManyAttempts
-	case attempt.Endings > maxCrashes:
-		return BackendsEnded
+	case attempt.Crashes > maxCrashes:
+		return BackendsCrashed
 	case attempt.UpstreamRetry:
 		return AlreadyRetry
 	case !attempt.Rewindable:
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -171,8 +171,8 @@
 // TestEndedBackEndsEndRetries guards against retries carrying a request that crashes back ends from
 // one to the next: after two crashes it is not sent again.
 func TestEndedBackEndsEndRetries(t *testing.T) {
-	attempt := retry.Attempt{Code: resultcode.ConnectionBroken, Number: 1, MaxAttempts: 3, Repeatable: true, Rewindable: true, Remaining: time.Second, UntriedBackends: 9, Endings: 1}
+	attempt := retry.Attempt{Code: resultcode.ConnectionBroken, Number: 1, MaxAttempts: 3, Repeatable: true, Rewindable: true, Remaining: time.Second, UntriedBackends: 9, Crashes: 1}
 	require.Equal(t, retry.Allowed, retry.Evaluate(attempt))
-	attempt.Endings = 2
-	require.Equal(t, retry.BackendsEnded, retry.Evaluate(attempt))
+	attempt.Crashes = 2
+	require.Equal(t, retry.BackendsCrashed, retry.Evaluate(attempt))
 }
--- a/rollout/controller.go
+++ b/rollout/controller.go
@@ -139,7 +139,7 @@
 		rule.Use = routing.ExcludedVersion
 	case config.RolloutCompleted:
 		rule.Use = routing.OnlyVersion
-		if now.Sub(c.order.DecisionTime()) > oldVersionExpiry {
+		if now.Sub(c.order.DecisionDeadline()) > oldVersionExpiry {
 			rule = routing.VersionRule{}
 		}
 	}
@@ -230,7 +230,7 @@
 	if why, worse := c.judge.Worse(now); worse {
 		return c.enterPhase(now, config.RolloutRolledBack, "worse: "+why)
 	}
-	decideBy := c.order.DecisionTime()
+	decideBy := c.order.DecisionDeadline()
 	if c.order.Phase == config.RolloutMoving {
 		latest := decideBy.Add(time.Duration(decisionReserve / 2 * float64(time.Duration(c.order.Within))))
 		if now.Sub(c.movedAt) >= c.ramp+settleTime && (backends.OldInFlight == 0 || !now.Before(latest)) {
@@ -275,7 +275,7 @@
 func (c *Controller) startMoving(now time.Time) {
 	c.movedAt = now
 	c.judge.SetMoving()
-	c.ramp = min(time.Duration(rampShare*float64(c.moveTime())), max(c.order.DecisionTime().Sub(now)-settleTime, minRamp))
+	c.ramp = min(time.Duration(rampShare*float64(c.moveTime())), max(c.order.DecisionDeadline().Sub(now)-settleTime, minRamp))
 }
 
 // Counts returns how many requests got a permit since this dispatcher started, and how many of them
--- a/rollout/controller_test.go
+++ b/rollout/controller_test.go
@@ -383,7 +383,7 @@
 	backends := Backends{New: 4, NewSlots: 8, OldSlots: 8}
 	t.Run("too few samples", func(t *testing.T) {
 		controller := NewController(now, order)
-		for now := now; now.Before(controller.Order().DecisionTime()); now = now.Add(stepInterval) {
+		for now := now; now.Before(controller.Order().DecisionDeadline()); now = now.Add(stepInterval) {
 			controller.Step(now, backends)
 			require.Equal(t, routing.VersionRule{Version: "v2", Use: controller.Rule(now).Use}, controller.Rule(now))
 		}
@@ -394,7 +394,7 @@
 	t.Run("no back end of the new version appears", func(t *testing.T) {
 		controller := NewController(now, order)
 		controller.judge.compared = minCompared
-		for now := now; now.Before(controller.Order().DecisionTime()); now = now.Add(stepInterval) {
+		for now := now; now.Before(controller.Order().DecisionDeadline()); now = now.Add(stepInterval) {
 			controller.Step(now, Backends{OldSlots: 8})
 		}
 		require.Equal(t, config.RolloutRolledBack, controller.Order().Phase)
--- a/routing/group.go
+++ b/routing/group.go
@@ -448,8 +448,8 @@
 	state.reportedAt = at
 }
 
-// SetPeers sets how many requests other daemons together have in flight at a back end.
-func (g *Group) SetPeers(id string, inFlight int, at time.Time) {
+// SetPeerInFlight sets how many requests other daemons together have in flight at a back end.
+func (g *Group) SetPeerInFlight(id string, inFlight int, at time.Time) {
 	if state, ok := g.byID[id]; ok && at.After(state.peerInFlightAt) {
 		state.peerInFlight, state.peerInFlightAt = inFlight, at
 	}
--- a/service/acquire.go
+++ b/service/acquire.go
@@ -121,7 +121,7 @@
 	s.budget.Burst = declared.RetryBurst * grantor.burstShare
 	if kind == retry.First {
 		now := time.Now()
-		if now.Sub(s.lastEarned) > budgetRetention || clock.Slept(s.lastEarned, now, budgetRetention) {
+		if now.Sub(s.lastEarned) > budgetRetention || clock.WallElapsedExceeds(s.lastEarned, now, budgetRetention) {
 			s.budget.Reset()
 		}
 		s.lastEarned = now
--- a/service/clients.go
+++ b/service/clients.go
@@ -31,7 +31,7 @@
 	defer p.mutex.Unlock()
 	p.prune(now)
 	pooled, known := p.clients[id]
-	if known && pooled.client.Serves(options) {
+	if known && pooled.client.HasOptions(options) {
 		pooled.lastUsed = now
 		return pooled.client
 	}
--- a/service/memory_test.go
+++ b/service/memory_test.go
@@ -43,7 +43,7 @@
 	}
 	document.Directory.Revision = 1
 	for number := range backends {
-		document.Directory.Listed = append(document.Directory.Listed, config.Listed{
+		document.Directory.Entries = append(document.Directory.Entries, config.DirectoryEntry{
 			Service: fmt.Sprintf("work-%d", number%3), Revision: 1,
 			Backend: config.Backend{
 				ID: fmt.Sprintf("i-%08x", number), Address: fmt.Sprintf("10.%d.%d.%d:8080", number>>16, number>>8&255, number&255),
@@ -67,12 +67,12 @@
 	require.True(t, registry.Put(snapshot))
 	heapPerBackend := (heap() - before) / backends
 
-	changed := document.Directory.Listed[7]
+	changed := document.Directory.Entries[7]
 	changed.Drained = true
 	var next *config.Snapshot
 	changeBytes := allocated(func() {
 		later := document
-		later.Directory, _, err = document.Directory.Follow(config.DirectoryChange{After: 1, Revision: 2, Listed: []config.Listed{changed}})
+		later.Directory, _, err = document.Directory.ApplyChange(config.DirectoryChange{After: 1, Revision: 2, Entries: []config.DirectoryEntry{changed}})
 		require.NoError(t, err)
 		next, err = snapshot.Next(later)
 		require.NoError(t, err)
@@ -85,8 +85,8 @@
 	work, known := registry.Find("work-1")
 	require.True(t, known)
 	require.False(t, work.IsEligible(changed.ID), "it is drained")
-	require.True(t, work.IsEligible(document.Directory.Listed[10].ID))
-	client, _ := work.Client(document.Directory.Listed[10].ID)
+	require.True(t, work.IsEligible(document.Directory.Entries[10].ID))
+	client, _ := work.Client(document.Directory.Entries[10].ID)
 	require.NotNil(t, client)
 	grant, err := work.Acquire(context.Background(), service.AsDispatcher(), retry.First, dispatch.Request{Weight: 1, Deadline: time.Now().Add(time.Second)})
 	require.NoError(t, err, "it grants permits on demand")
@@ -100,18 +100,21 @@
 	document := documentOf(9)
 	snapshot, err := config.NewSnapshot(document)
 	require.NoError(t, err)
-	changes := []func(listed []config.Listed) []config.Listed{
-		func(listed []config.Listed) []config.Listed { listed[4].Drained = true; return listed },
-		func(listed []config.Listed) []config.Listed { listed[2].Service = "work-0"; return listed },
-		func(listed []config.Listed) []config.Listed { return listed[:len(listed)-1] },
-		func(listed []config.Listed) []config.Listed { return listed[1:] },
-		func(listed []config.Listed) []config.Listed {
-			return append(listed, config.Listed{Service: "work-2", Backend: config.Backend{ID: "z", Address: "10.0.0.1:80", Slots: 1}})
+	changes := []func(listed []config.DirectoryEntry) []config.DirectoryEntry{
+		func(listed []config.DirectoryEntry) []config.DirectoryEntry { listed[4].Drained = true; return listed },
+		func(listed []config.DirectoryEntry) []config.DirectoryEntry {
+			listed[2].Service = "work-0"
+			return listed
 		},
-		func(listed []config.Listed) []config.Listed { return nil },
+		func(listed []config.DirectoryEntry) []config.DirectoryEntry { return listed[:len(listed)-1] },
+		func(listed []config.DirectoryEntry) []config.DirectoryEntry { return listed[1:] },
+		func(listed []config.DirectoryEntry) []config.DirectoryEntry {
+			return append(listed, config.DirectoryEntry{Service: "work-2", Backend: config.Backend{ID: "z", Address: "10.0.0.1:80", Slots: 1}})
+		},
+		func(listed []config.DirectoryEntry) []config.DirectoryEntry { return nil },
 	}
 	for number, change := range changes {
-		document.Directory.Listed = change(append([]config.Listed(nil), document.Directory.Listed...))
+		document.Directory.Entries = change(append([]config.DirectoryEntry(nil), document.Directory.Entries...))
 		document.Directory.Revision++
 		snapshot, err = snapshot.Next(document)
 		require.NoError(t, err)
--- a/service/service.go
+++ b/service/service.go
@@ -114,7 +114,7 @@
 
 // drainedOrEvacuated reports whether the declaration keeps new requests from a back end.
 func (d *declaration) drainedOrEvacuated(b *config.Backend) bool {
-	return b.Drained || d.target.Evacuated[b.Zone]
+	return b.Drained || d.target.EvacuatedZones[b.Zone]
 }
 
 // Client returns the client of a back end and the start time of its current run as the back end
@@ -139,15 +139,15 @@
 		return nil, 0
 	}
 	options := s.clientOptions(declared.target, b)
-	options.NoReuse, options.Echo = declared.target.Service.ProbeFreshness == 0, ""
-	options.Connections = probeConnections
+	options.NoReuse, options.EchoHeader = declared.target.Service.ProbeFreshness == 0, ""
+	options.MaxConnections = probeConnections
 	return s.probeClients.get(time.Now(), id, options), b.Started
 }
 
 // clientOptions returns the options of the client for requests to a back end.
 func (s *Service) clientOptions(target *config.Target, b *config.Backend) backend.Options {
 	return backend.Options{
-		Network: s.network, Address: b.Address, Connections: b.Connections, AllowUnframed: target.Service.AllowUnframed, Echo: s.echoHeader,
+		Network: s.network, Address: b.Address, MaxConnections: b.Connections, AllowUnframed: target.Service.AllowUnframed, EchoHeader: s.echoHeader,
 		IdleTimeout: time.Duration(target.Service.IdleTimeout), ConnectTimeout: time.Duration(target.Service.ConnectTimeout),
 	}
 }
@@ -163,7 +163,7 @@
 	known := func(id string) bool { return declared.byID[id] != nil }
 	s.requestClients.retain(known)
 	s.probeClients.retain(known)
-	s.Dispatcher.SetRollout(target.Rollout, target.HoldsVersions)
+	s.Dispatcher.SetRollout(target.Rollout, target.HoldNewVersions)
 	s.Dispatcher.Configure(backends, target.Service.QueueLimit)
 }
 
@@ -171,11 +171,11 @@
 func (s *Service) recordRestoredZones(target *config.Target) {
 	now := time.Now()
 	for zone := range s.evacuated {
-		if !target.Evacuated[zone] {
+		if !target.EvacuatedZones[zone] {
 			s.restored[zone] = now
 		}
 	}
-	s.evacuated = target.Evacuated
+	s.evacuated = target.EvacuatedZones
 }
 
 // backendsOf returns a function that builds the routing view of the declared back ends. The function
@@ -192,7 +192,7 @@
 				ID: b.ID, Zone: b.Zone, Version: b.Version, Slots: b.Slots, Window: maxInFlight(target.Service, *b),
 				// A back end may have gone cold while its zone was evacuated.
 				Warm:    b.Warm && now.Sub(restored[b.Zone]) >= warmUp.Duration,
-				Drained: declared.drainedOrEvacuated(b) || s.isDraining(b), Evacuated: target.Evacuated[b.Zone], WarmUp: warmUp, Started: b.Started, OtherRegion: s.inOtherRegion(b.Zone), Limit: s.limitOf(b), PausedUntil: s.pausedUntil(b),
+				Drained: declared.drainedOrEvacuated(b) || s.isDraining(b), Evacuated: target.EvacuatedZones[b.Zone], WarmUp: warmUp, Started: b.Started, OtherRegion: s.inOtherRegion(b.Zone), Limit: s.limitOf(b), PausedUntil: s.pausedUntil(b),
 			})
 		}
 		return backends
@@ -361,7 +361,7 @@
 }
 
 // Match returns the route for a host and path.
-func (r *Registry) Match(host, path string) (*config.RunningRoute, bool) {
+func (r *Registry) Match(host, path string) (*config.CompiledRoute, bool) {
 	current := r.view.Load()
 	if current == nil {
 		return nil, false
--- a/service/signals.go
+++ b/service/signals.go
@@ -14,16 +14,16 @@
 
 // Drains provides the back ends that are draining. It must not block.
 type Drains interface {
-	// Leaving returns the notice by which the run of a back end that started at the given time is draining, and
+	// Draining returns the notice by which the run of a back end that started at the given time is draining, and
 	// false if there is none.
-	Leaving(key backend.Key, started int64) (drain.Notice, bool)
+	Draining(key backend.Key, started int64) (drain.Notice, bool)
 }
 
 // noDrains implements Drains without draining back ends.
 type noDrains struct{}
 
-// Leaving implements Drains.
-func (noDrains) Leaving(backend.Key, int64) (drain.Notice, bool) { return drain.Notice{}, false }
+// Draining implements Drains.
+func (noDrains) Draining(backend.Key, int64) (drain.Notice, bool) { return drain.Notice{}, false }
 
 // Pauses provides the back ends that have asked this daemon for a pause. No method blocks.
 type Pauses interface {
@@ -85,7 +85,7 @@
 	case s.Dispatcher.ExcludesVersion(b.Version):
 		return b, "its version gets no requests"
 	}
-	if notice, draining := s.drains.Leaving(s.keyOf(id), b.Started); draining {
+	if notice, draining := s.drains.Draining(s.keyOf(id), b.Started); draining {
 		return b, "it is leaving, known for " + time.Since(notice.Since).Round(time.Millisecond).String()
 	}
 	return b, ""
@@ -135,7 +135,7 @@
 		if !known {
 			continue
 		}
-		if notice, draining := s.drains.Leaving(s.keyOf(b.ID), b.Started); draining {
+		if notice, draining := s.drains.Draining(s.keyOf(b.ID), b.Started); draining {
 			status.Leaving = &dispatch.LeavingStatus{Source: notice.Source.String(), ReportedByPeer: notice.ReportedByPeer, Since: now.Sub(notice.Since)}
 		}
 		status.PauseLeft = max(s.pausedUntil(b).Sub(now), 0)
@@ -177,7 +177,7 @@
 
 // isDraining reports whether the back end itself or the machine list has signalled that it is draining.
 func (s *Service) isDraining(b *config.Backend) bool {
-	_, draining := s.drains.Leaving(s.keyOf(b.ID), b.Started)
+	_, draining := s.drains.Draining(s.keyOf(b.ID), b.Started)
 	return draining
 }
 
--- a/service/signals_test.go
+++ b/service/signals_test.go
@@ -17,8 +17,8 @@
 // firstRunDraining reports the first run of a back end as draining.
 type firstRunDraining struct{}
 
-// Leaving implements service.Drains.
-func (firstRunDraining) Leaving(_ backend.Key, started int64) (drain.Notice, bool) {
+// Draining implements service.Drains.
+func (firstRunDraining) Draining(_ backend.Key, started int64) (drain.Notice, bool) {
 	return drain.Notice{}, started == 1
 }
 
--- a/settings/changes_test.go
+++ b/settings/changes_test.go
@@ -13,7 +13,7 @@
 
 func TestCompare(t *testing.T) {
 	present := settings.Settings{Name: "edge-1", Peers: []string{"10.0.0.1:7000"}}
-	present.Provision()
+	present.SetDefaults()
 	require.Equal(t, settings.Changes{}, settings.Compare(present, present))
 
 	next := present
@@ -31,7 +31,7 @@
 // taken over, or it is said to need a restart.
 func TestReloadedTakesAllThatIsApplicable(t *testing.T) {
 	var present settings.Settings
-	present.Provision()
+	present.SetDefaults()
 	eachSetting(reflect.TypeFor[settings.Settings](), nil, func(path []int) {
 		next := present
 		field := reflect.ValueOf(&next).Elem().FieldByIndex(path)
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -240,18 +240,18 @@
 // Decode reads settings from a text; name stands for it in errors.
 func Decode(name string, text []byte) (Settings, error) {
 	var settings Settings
-	if err := config.StrictTOML(name, text, &settings); err != nil {
+	if err := config.DecodeStrictTOML(name, text, &settings); err != nil {
 		return Settings{}, err
 	}
-	settings.Provision()
+	settings.SetDefaults()
 	if err := settings.Validate(); err != nil {
 		return Settings{}, errors.Annotate(err, name)
 	}
 	return settings, nil
 }
 
-// Provision fills in the defaults.
-func (s *Settings) Provision() {
+// SetDefaults fills in the defaults.
+func (s *Settings) SetDefaults() {
 	if s.Platform.Timeout == 0 {
 		s.Platform.Timeout = DefaultTimeout
 	}
--- a/signals/list.go
+++ b/signals/list.go
@@ -42,7 +42,7 @@
 // knownHeaders returns the response headers that are signals in a dialect or are for callers only.
 func knownHeaders(dialect *backend.Dialect) map[string]bool {
 	names := make(map[string]bool)
-	for _, name := range dialect.PassedOn {
+	for _, name := range dialect.CallerOnlyHeaders {
 		names[http.CanonicalHeaderKey(name)] = true
 	}
 	for _, signal := range list {
--- a/signals/reader.go
+++ b/signals/reader.go
@@ -126,8 +126,8 @@
 	switch {
 	case err != nil:
 		r.recordUnreadable(response.Key, dialect.Draining, err)
-	case state != backend.DrainingUnsaid:
-		r.reportDrain(response, state == backend.Leaving)
+	case state != backend.DrainingUnspecified:
+		r.reportDrain(response, state == backend.DrainingTrue)
 	}
 }
 
--- a/standalone/standalone.go
+++ b/standalone/standalone.go
@@ -33,15 +33,15 @@
 // Decode reads the file from a text; name stands for it in errors.
 func Decode(name string, text []byte) (daemon.Options, error) {
 	var read file
-	if err := config.StrictTOML(name, text, &read); err != nil {
+	if err := config.DecodeStrictTOML(name, text, &read); err != nil {
 		return daemon.Options{}, err
 	}
-	read.Settings.Provision()
+	read.Settings.SetDefaults()
 	if err := read.Settings.Validate(); err != nil {
 		return daemon.Options{}, errors.Annotate(err, name)
 	}
 	if err := read.Content.Validate(); err != nil {
-		return daemon.Options{}, config.Locate(name, text, err)
+		return daemon.Options{}, config.AnnotateLine(name, text, err)
 	}
 	store := objectstore.NewMemory()
 	document, err := config.Document{}.Advance(read.Content, config.Change{ID: "standalone", Author: "standalone", Summary: name})
