--- a/config/document.go
+++ b/config/document.go
@@ -12,24 +12,24 @@
 	"github.com/tuliphall/tuliphall/objectstore"
 )
 
-// Revision orders documents. 0 means that nothing was ever declared.
+// Revision orders documents. 0 means that nothing has been declared yet.
 type Revision uint64
 
-// Bounds on the history kept in the head object. The oldest changes go first.
+// Bounds on the history kept in the head object. The oldest changes are discarded first.
 const (
 	MaxHistory      = 200
 	MaxHistoryBytes = 512 << 10
 )
 
-// ObjectChange is what one change did to one object.
+// ObjectChange is the effect of a change on one object.
 type ObjectChange struct {
 	Key    ObjectKey       `json:"key"`
-	Before json.RawMessage `json:"before,omitempty"` // none: the object is new
-	After  json.RawMessage `json:"after,omitempty"`  // none: the object is gone
+	Before json.RawMessage `json:"before,omitempty"` // empty: the object is new
+	After  json.RawMessage `json:"after,omitempty"`  // empty: the object was deleted
 }
 
-// Change is one accepted change. ID is chosen by the operator's command, so
-// that a lost answer can be settled by looking for it.
+// Change is one accepted change. The operator's command chooses the ID, so that
+// it can look the change up in the history if the response was lost.
 type Change struct {
 	Revision Revision       `json:"revision"`
 	ID       string         `json:"id"`
@@ -39,42 +39,42 @@
 	Objects  []ObjectChange `json:"objects"`
 }
 
-// Document is everything declared, at one revision, with its recent history
+// Document holds all declared objects at one revision, with the recent history
 // (oldest first).
 type Document struct {
 	Revision Revision `json:"revision"`
-	// StoreVersion is the version at which the store has it; 0: it was not read from there.
+	// StoreVersion is the version of the document's object in the store; 0: the document was not read from there.
 	StoreVersion objectstore.Version `json:"stored,omitempty"`
 	Content      Content             `json:"content"`
 	History      []Change            `json:"history,omitempty"`
-	// Directory, Evacuations and Rollouts are not part of the revision, nor of the history.
+	// Directory, Evacuations and Rollouts are covered neither by the revision nor by the history.
 	Directory   Directory   `json:"directory,omitzero"`
 	Evacuations Evacuations `json:"evacuations,omitzero"`
 	Rollouts    Rollouts    `json:"rollouts,omitzero"`
 }
 
-// DecodeDocument reads a document as Encode wrote it.
+// DecodeDocument decodes a document that Encode has written.
 func DecodeDocument(data []byte) (Document, error) {
 	var document Document
 	if err := json.Unmarshal(data, &document); err != nil {
-		return Document{}, errors.Annotate(err, "configuration document")
+		return Document{}, errors.Annotate(err, "decoding the configuration document")
 	}
 	return document, nil
 }
 
-// Encode writes the document for the store and for other daemons.
+// Encode encodes the document for the store and for other daemons.
 func (d Document) Encode() ([]byte, error) {
 	return json.Marshal(d)
 }
 
-// objects is content by key, each object in its encoded form.
+// objects holds the encoded objects of a content by key.
 type objects map[ObjectKey]json.RawMessage
 
 func (c Content) objects() (objects, error) {
-	found := make(objects)
+	encoded := make(objects)
 	put := func(kind Kind, name string, object any) error {
 		data, err := json.Marshal(object)
-		found[ObjectKey{Kind: kind, Name: name}] = data
+		encoded[ObjectKey{Kind: kind, Name: name}] = data
 		return err
 	}
 	for _, service := range c.Services {
@@ -112,7 +112,7 @@
 			return nil, err
 		}
 	}
-	return found, nil
+	return encoded, nil
 }
 
 func (o objects) sortedKeys() []ObjectKey {
@@ -164,7 +164,7 @@
 	return nil
 }
 
-// Merge returns the content with the given objects added or replaced and the
+// Merge returns the content with the objects of set added or replaced and the
 // deleted ones removed.
 func (c Content) Merge(set Content, deleted []ObjectKey) (Content, error) {
 	merged, err := c.objects()
@@ -187,7 +187,7 @@
 	return merged.content()
 }
 
-// Diff returns what must change in before to get after, ordered by key.
+// Diff returns the changes that lead from before to after, ordered by key.
 func Diff(before, after Content) ([]ObjectChange, error) {
 	old, err := before.objects()
 	if err != nil {
@@ -197,15 +197,15 @@
 	if err != nil {
 		return nil, err
 	}
-	all := make(objects, len(old))
+	either := make(objects, len(old))
 	for key := range old {
-		all[key] = nil
+		either[key] = nil
 	}
 	for key := range next {
-		all[key] = nil
+		either[key] = nil
 	}
 	var changes []ObjectChange
-	for _, key := range all.sortedKeys() {
+	for _, key := range either.sortedKeys() {
 		if !bytes.Equal(old[key], next[key]) {
 			changes = append(changes, ObjectChange{Key: key, Before: old[key], After: next[key]})
 		}
@@ -213,8 +213,8 @@
 	return changes, nil
 }
 
-// Advance returns the document after a change that gives it this content. The
-// change gets the next revision.
+// Advance returns the document after a change to the given content. The change
+// gets the next revision.
 func (d Document) Advance(content Content, change Change) (Document, error) {
 	changed, err := Diff(d.Content, content)
 	if err != nil {
@@ -223,10 +223,10 @@
 	change.Revision = d.Revision + 1
 	change.Objects = changed
 	history := append(append([]Change(nil), d.History...), change)
-	return d.changed(change.Revision, content, boundHistory(history)), nil
+	return d.withContent(change.Revision, content, boundHistory(history)), nil
 }
 
-// boundHistory drops the oldest changes until the history is within its bounds.
+// boundHistory drops the oldest changes so that the history stays within its bounds.
 func boundHistory(history []Change) []Change {
 	size, first := 0, len(history)
 	for first > 0 && len(history)-first < MaxHistory {
@@ -241,7 +241,7 @@
 }
 
 // ApplyChanges applies changes that directly follow the document's revision, oldest
-// first. It fails when one is missing, and leaves the document as it was.
+// first. It fails if one is missing.
 func (d Document) ApplyChanges(changes []Change) (Document, error) {
 	current, err := d.Content.objects()
 	if err != nil {
@@ -254,7 +254,7 @@
 			continue
 		}
 		if change.Revision != revision+1 {
-			return Document{}, errors.NotFoundf("the change after revision %d", revision)
+			return Document{}, errors.NotFoundf("change after revision %d", revision)
 		}
 		current.apply(change.Objects)
 		revision = change.Revision
@@ -264,11 +264,11 @@
 	if err != nil {
 		return Document{}, err
 	}
-	return d.changed(revision, content, boundHistory(history)), nil
+	return d.withContent(revision, content, boundHistory(history)), nil
 }
 
-// changed returns the document with other content. What a platform itself keeps stays.
-func (d Document) changed(revision Revision, content Content, history []Change) Document {
+// withContent returns the document with other content. The parts that the platform keeps are unchanged.
+func (d Document) withContent(revision Revision, content Content, history []Change) Document {
 	d.Revision, d.Content, d.History = revision, content, history
 	return d
 }
@@ -283,8 +283,8 @@
 	}
 }
 
-// ChangesAfter returns the changes above a revision, oldest first, and false
-// when the history does not reach back that far.
+// ChangesAfter returns the changes after a revision, oldest first, and false
+// if the history does not reach back that far.
 func (d Document) ChangesAfter(revision Revision) ([]Change, bool) {
 	if revision >= d.Revision {
 		return nil, true
@@ -297,8 +297,8 @@
 	return nil, false
 }
 
-// ContentAt returns the content of an earlier revision, by taking later changes
-// back.
+// ContentAt returns the content of an earlier revision, by reverting the later
+// changes.
 func (d Document) ContentAt(revision Revision) (Content, error) {
 	later, ok := d.ChangesAfter(revision)
 	if !ok || revision > d.Revision {
@@ -309,12 +309,12 @@
 		return Content{}, err
 	}
 	for index := len(later) - 1; index >= 0; index-- {
-		current.takeBack(later[index].Objects)
+		current.revert(later[index].Objects)
 	}
 	return current.content()
 }
 
-func (o objects) takeBack(changes []ObjectChange) {
+func (o objects) revert(changes []ObjectChange) {
 	for _, change := range changes {
 		if change.Before == nil {
 			delete(o, change.Key)
@@ -324,8 +324,9 @@
 	}
 }
 
-// Includes says whether the document goes on from another one: whether it has its last change. Where its history does not
-// reach back that far, a higher revision counts. All documents include one without a history.
+// Includes reports whether the document descends from another one, that is, whether its history has the other's last
+// change. If the history does not reach back that far, a higher revision is sufficient. Every document includes one without
+// a history.
 func (d Document) Includes(other Document) bool {
 	if len(other.History) == 0 {
 		return true
@@ -338,8 +339,8 @@
 	return !reachesBack && d.Revision > last.Revision
 }
 
-// WithChangesOf returns the document with the changes added that another one has made since their histories
-// parted. They get the next revisions.
+// WithChangesOf returns the document with the changes of another one appended that were made since their histories
+// diverged. They get the next revisions.
 func (d Document) WithChangesOf(other Document) (Document, error) {
 	known := make(map[string]bool, len(d.History))
 	for _, change := range d.History {
@@ -356,7 +357,7 @@
 	return d.ApplyChanges(added)
 }
 
-// FindChange returns the change with the id, and false when the history has none.
+// FindChange returns the change with the id, and false if the history has none.
 func (d Document) FindChange(id string) (Change, bool) {
 	for index := len(d.History) - 1; index >= 0; index-- {
 		if d.History[index].ID == id {
--- a/config/editor.go
+++ b/config/editor.go
@@ -12,24 +12,24 @@
 	"github.com/tuliphall/tuliphall/wait"
 )
 
-// HeadKey names the object that holds the document.
+// HeadKey is the key of the object that holds the document.
 var HeadKey = objectstore.Key{Kind: "configuration", Name: "head"}
 
-// Bounds on how often a change is tried again after a lost answer or a lost race.
+// Bounds on the retries of a change after a lost response or a version conflict.
 const (
-	maxEditTries = 8
-	editBackoff  = 20 * time.Millisecond
+	maxEditAttempts = 8
+	editBackoff     = 20 * time.Millisecond
 )
 
-// ConflictError says that another operator's change came first and what it
-// touched. Nothing was written.
+// ConflictError reports that objects of a change have been changed by another
+// operator since the base revision. Nothing was written.
 type ConflictError struct {
 	Base    Revision // the revision the operator had seen
 	Current Revision
 	Changed []ObjectKey // objects of this change that others changed since Base
 }
 
-// Error names the revisions and the objects.
+// Error returns the revisions and the conflicting objects.
 func (e *ConflictError) Error() string {
 	names := make([]string, 0, len(e.Changed))
 	for _, key := range e.Changed {
@@ -38,18 +38,18 @@
 	return fmt.Sprintf("conflict: revision %d is in force, the change was made from %d; changed since: %s", e.Current, e.Base, strings.Join(names, ", "))
 }
 
-// Edit is a change an operator asks for.
+// Edit is a change that an operator requests.
 type Edit struct {
-	ID      string // unique; the same id is never applied twice
+	ID      string // unique; an id is never applied twice
 	Author  string
 	Summary string
 	// Base is the revision the operator has seen. Objects of the edit that
-	// others have changed since are a conflict. 0: no check is made.
+	// others have changed since then are a conflict. 0: no check.
 	Base    Revision
 	Set     Content
 	Deleted []ObjectKey
-	// RollbackTo takes the content of this revision instead of Set and
-	// Deleted; 0: it does not.
+	// RollbackTo, if not 0, restores the content of this revision; Set and
+	// Deleted are then ignored.
 	RollbackTo Revision
 }
 
@@ -60,9 +60,9 @@
 	inForce func() Document
 }
 
-// NewEditor returns an editor on the store. now gives the time noted in the
-// history, and inForce the document that this daemon has in force, whose changes are written again if the store
-// has lost them; nil: none are.
+// NewEditor returns an editor on the store. now returns the time recorded in the
+// history. inForce returns the document that this daemon has in force, whose changes are written again if a store
+// rollback has lost them; nil: none are.
 func NewEditor(store objectstore.Store, now func() time.Time, inForce func() Document) *Editor {
 	if inForce == nil {
 		inForce = func() Document { return Document{} }
@@ -70,8 +70,8 @@
 	return &Editor{store: store, now: now, inForce: inForce}
 }
 
-// Load reads the document and the version of the head object. A head that was
-// never written is an empty document.
+// Load reads the document and the version of the head object. If the head object
+// does not exist, the document is empty.
 func Load(ctx context.Context, store objectstore.Store) (Document, objectstore.Version, error) {
 	object, err := store.Get(ctx, HeadKey)
 	if errors.Is(err, objectstore.ErrNotFound) {
@@ -85,35 +85,36 @@
 	return document, object.Version, err
 }
 
-// Apply makes the change and returns the document it led to. A change whose id
-// is already in the history is returned as done. Racing edits of different
-// objects both succeed; of the same object, one gets a *ConflictError. When the
-// store's answer is lost, the history is read to settle what happened.
+// Apply makes the change and returns the resulting document. A change whose id
+// is already in the history counts as done. Concurrent edits of different
+// objects all succeed; of edits of the same object, all but one get a
+// *ConflictError. If the store's response is lost, Apply reads the history to
+// find out whether the change was made.
 func (e *Editor) Apply(ctx context.Context, edit Edit) (Document, error) {
-	var last error
-	for try := range maxEditTries {
-		if try > 0 {
-			if !wait.Sleep(ctx, editBackoff<<try) {
-				return Document{}, errors.Annotatef(ctx.Err(), "change %s: last error: %v", edit.ID, last)
+	var lastErr error
+	for attempt := range maxEditAttempts {
+		if attempt > 0 {
+			if !wait.Sleep(ctx, editBackoff<<attempt) {
+				return Document{}, errors.Annotatef(ctx.Err(), "change %s: last error: %v", edit.ID, lastErr)
 			}
 		}
-		document, err := e.try(ctx, edit)
+		document, err := e.attempt(ctx, edit)
 		if err == nil {
 			return document, nil
 		}
-		last = err
+		lastErr = err
 		if !retriable(err) {
 			return Document{}, err
 		}
 	}
-	return Document{}, errors.Annotatef(last, "change %s after %d tries", edit.ID, maxEditTries)
+	return Document{}, errors.Annotatef(lastErr, "change %s after %d attempts", edit.ID, maxEditAttempts)
 }
 
 func retriable(err error) bool {
 	return errors.Is(err, objectstore.ErrConflict) || errors.Is(err, objectstore.ErrOutcomeUnknown) || errors.Is(err, objectstore.ErrUnavailable)
 }
 
-func (e *Editor) try(ctx context.Context, edit Edit) (Document, error) {
+func (e *Editor) attempt(ctx context.Context, edit Edit) (Document, error) {
 	next, version, lost, err := e.load(ctx)
 	if err != nil {
 		return Document{}, err
@@ -129,8 +130,8 @@
 	return e.write(ctx, next, version)
 }
 
-// load reads the document with the changes that are in force and that the store has lost, if any, and the version of
-// the head object.
+// load reads the document and the version of the head object. If a store rollback has lost changes that are in force,
+// lost is true and the document includes them.
 func (e *Editor) load(ctx context.Context) (document Document, version objectstore.Version, lost bool, err error) {
 	stored, version, err := Load(ctx, e.store)
 	if err != nil {
@@ -144,7 +145,7 @@
 	return document, version, true, err
 }
 
-// write writes the document, unless the head object has another version.
+// write writes the document if the head object still has the version.
 func (e *Editor) write(ctx context.Context, document Document, version objectstore.Version) (Document, error) {
 	document.StoreVersion = 0
 	data, err := document.Encode()
@@ -155,8 +156,8 @@
 	return document, errors.Annotate(err, "writing the configuration")
 }
 
-// Restore writes again what the store has lost of the changes that are in force, and returns the document that is in the store
-// then. If another daemon is faster, the error is objectstore.ErrConflict.
+// Restore writes again the changes in force that a store rollback has lost, and returns the document that the store then
+// holds. If another daemon writes first, the error is objectstore.ErrConflict.
 func (e *Editor) Restore(ctx context.Context) (Document, error) {
 	document, version, lost, err := e.load(ctx)
 	if err != nil || !lost {
@@ -165,8 +166,8 @@
 	return e.write(ctx, document, version)
 }
 
-// Plan checks the edit against the document and returns what it would lead to,
-// without writing.
+// Plan checks the edit against the document and returns the resulting document
+// without writing it.
 func (e *Editor) Plan(current Document, edit Edit) (Document, error) {
 	content, err := edit.content(current)
 	if err != nil {
@@ -179,7 +180,7 @@
 	if err != nil {
 		return Document{}, err
 	}
-	if err := checkRace(current, next, edit.Base); err != nil {
+	if err := checkConflict(current, next, edit.Base); err != nil {
 		return Document{}, err
 	}
 	return next, nil
@@ -192,8 +193,8 @@
 	return current.Content.Merge(edit.Set, edit.Deleted)
 }
 
-// checkRace reports objects of the newest change that were also changed after base.
-func checkRace(current, next Document, base Revision) error {
+// checkConflict returns a *ConflictError if objects of the newest change were also changed after base.
+func checkConflict(current, next Document, base Revision) error {
 	if base == 0 || base == current.Revision {
 		return nil
 	}
@@ -201,20 +202,20 @@
 	if !ok {
 		return &ConflictError{Base: base, Current: current.Revision}
 	}
-	touched := make(map[ObjectKey]bool)
+	changed := make(map[ObjectKey]bool)
 	for _, change := range since {
 		for _, object := range change.Objects {
-			touched[object.Key] = true
+			changed[object.Key] = true
 		}
 	}
-	var both []ObjectKey
+	var conflicting []ObjectKey
 	for _, object := range next.History[len(next.History)-1].Objects {
-		if touched[object.Key] {
-			both = append(both, object.Key)
+		if changed[object.Key] {
+			conflicting = append(conflicting, object.Key)
 		}
 	}
-	if len(both) > 0 {
-		return &ConflictError{Base: base, Current: current.Revision, Changed: both}
+	if len(conflicting) > 0 {
+		return &ConflictError{Base: base, Current: current.Revision, Changed: conflicting}
 	}
 	return nil
 }
--- a/config/objects.go
+++ b/config/objects.go
@@ -1,11 +1,11 @@
-// Package config is the model of what operators declare: services, routes to
+// Package config defines the objects that operators declare: services, routes to
 // them, the placements of their back ends, and policies.
 //
 // All objects together form one Document with a revision number. Revisions are
-// totally ordered because a new one is written with a conditional update of one
-// head object in the platform's store (see Editor). A daemon turns a document
-// into a Snapshot, which is checked and compiled, and puts it in force only if
-// its revision is higher than the one it has.
+// totally ordered because each is written with a conditional update of one head
+// object in the platform's store (see Editor). A daemon turns a document into a
+// Snapshot, which is validated and compiled, and puts it in force only if it is
+// newer than its current one.
 package config
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/tuliphall/tuliphall/policy"
 )
 
-// Duration is a time.Duration written as text, such as "250ms".
+// Duration is a time.Duration that is encoded as text, such as "250ms".
 type Duration time.Duration
 
 // MarshalText implements encoding.TextMarshaler.
@@ -30,7 +30,7 @@
 	return err
 }
 
-// Defaults of a service's settings, used where the setting is zero.
+// Defaults of settings that are zero.
 const (
 	DefaultSlots       = 3
 	DefaultQueueLimit  = 1000
@@ -38,77 +38,77 @@
 	DefaultConnections = 32
 )
 
-// Service declares how requests are recognised and how they are served.
+// Service declares which requests belong to a service and how they are served.
 type Service struct {
 	Name string `toml:"name" json:"name"`
 	// Hosts are the host names that select the service; none: any host.
 	Hosts []string `toml:"hosts" json:"hosts,omitempty"`
 	// PathPrefix selects the service; the longest match wins. Empty: "/".
 	PathPrefix string `toml:"path_prefix" json:"path_prefix,omitempty"`
-	// RoutesOnly: only declared routes select the service, not its own hosts
+	// RoutesOnly: only Route objects select the service, not its own hosts
 	// and prefix.
 	RoutesOnly bool `toml:"routes_only" json:"routes_only,omitempty"`
-	// Policy names the policy object; empty: every default.
+	// Policy names the policy object; empty: default policy.
 	Policy string `toml:"policy" json:"policy,omitempty"`
-	// Slots is how many requests one back end works on at once; 0: 3.
+	// Slots is the number of requests that one back end processes at once; 0: 3.
 	Slots int `toml:"slots" json:"slots,omitempty"`
-	// MaxLoad bounds the requests at a back end, from one daemon, as a multiple
-	// of its slots; 0: learned, from twice the slots and one up.
+	// MaxLoad bounds the requests of one daemon in flight at a back end, as a multiple
+	// of its slots; 0: learned, starting from twice the slots plus one.
 	MaxLoad float64 `toml:"max_load" json:"max_load,omitempty"`
 	// QueueLimit bounds the requests waiting at one daemon; 0: 1000.
 	QueueLimit int `toml:"queue_limit" json:"queue_limit,omitempty"`
-	// Deadline ends a request whose policy and caller set none; 0: 10 s.
+	// Deadline applies to requests for which neither policy nor caller sets one; 0: 10 s.
 	Deadline Duration `toml:"deadline" json:"deadline,omitempty"`
-	// RetryRatio is the share of requests that may be sent once more, as
-	// retries or hedges; 0: 0.1.
+	// RetryRatio is the ratio of additional attempts (retries and hedges) to
+	// requests; 0: 0.1.
 	RetryRatio float64 `toml:"retry_ratio" json:"retry_ratio,omitempty"`
-	// RetryBurst is how many of them may be saved up, by all daemons together;
-	// 0: 10 for each daemon.
+	// RetryBurst is the maximum number of additional attempts that the retry budget of
+	// all daemons together accumulates; 0: 10 for each daemon.
 	RetryBurst float64 `toml:"retry_burst" json:"retry_burst,omitempty"`
-	// RefusalStatus is the status with which a back end says that it did not
-	// run a request; 0: no status says so.
+	// RefusalStatus is the HTTP status by which a back end reports that it did not
+	// run a request; 0: none.
 	RefusalStatus int `toml:"refusal_status" json:"refusal_status,omitempty"`
-	// Direct lets each daemon choose back ends by itself; false: it asks the
-	// daemon that dispatches the service.
+	// Direct: each daemon chooses back ends independently; false: it asks the
+	// dispatcher of the service.
 	Direct bool `toml:"direct" json:"direct,omitempty"`
-	// Forward sends requests through the dispatcher instead of asking it for a
-	// place only. It is for work that is short against the wire.
+	// Forward: requests are sent through the dispatcher, which otherwise only hands out
+	// permits. It is meant for requests that take less time than a network round trip.
 	Forward bool `toml:"forward" json:"forward,omitempty"`
-	// ProbePath is the load endpoint; empty: back ends are never probed.
+	// ProbePath is the path of the load endpoint; empty: back ends are never probed.
 	ProbePath string `toml:"probe_path" json:"probe_path,omitempty"`
-	// ProbesPerSecond is the budget for all daemons together; 0: no probes.
+	// ProbesPerSecond is the probe budget of all daemons together; 0: no probes.
 	ProbesPerSecond float64 `toml:"probes_per_second" json:"probes_per_second,omitempty"`
-	// ProbeFreshness is how old the report may be of the back end that would get the
-	// next request, while requests come: an older one is asked for by a probe. 0:
-	// only back ends that are silent or out for failing are probed.
+	// ProbeFreshness is the maximum age of the load report of the back end that would get
+	// the next request; while requests arrive, a probe refreshes an older report. 0: only
+	// back ends that send no reports or are ejected are probed.
 	ProbeFreshness Duration `toml:"probe_freshness" json:"probe_freshness,omitempty"`
-	// ProbesPerBackend is the budget for one back end and all daemons together; 0:
-	// none besides the service's. Only with ProbeFreshness.
+	// ProbesPerBackend is the probe budget of all daemons together for one back end; 0:
+	// only the service's budget applies. It has effect only with ProbeFreshness.
 	ProbesPerBackend float64 `toml:"probes_per_backend" json:"probes_per_backend,omitempty"`
-	// ProbeCost is the slot time one probe takes; it is checked against the
-	// budget MaxProbeShare.
+	// ProbeCost is the slot time that one probe takes. The probes of a service may take at
+	// most MaxProbeShare of its slot time.
 	ProbeCost Duration `toml:"probe_cost" json:"probe_cost,omitempty"`
-	// IdleTimeout closes connections to back ends that were unused for so long;
-	// 0: 30 s. It stays below what the back ends use: a request on a connection
-	// that its back end closes at the same moment may or may not have run.
+	// IdleTimeout is the time after which unused connections to back ends are closed;
+	// 0: 30 s. It must be shorter than the idle timeout of the back ends: a request sent on
+	// a connection that the back end is just closing may or may not have run.
 	IdleTimeout Duration `toml:"idle_timeout" json:"idle_timeout,omitempty"`
-	// ConnectTimeout is how long the opening of a connection to a back end may take;
-	// 0: 1 s. Nothing has left until then, so that the request is sent elsewhere.
+	// ConnectTimeout limits the time to open a connection to a back end; 0: 1 s. Nothing has
+	// been sent by then, so the request is sent to another back end.
 	ConnectTimeout Duration `toml:"connect_timeout" json:"connect_timeout,omitempty"`
-	// WarmUp is how long a back end counts as cold that has just started, or whose zone
-	// was evacuated until now; 0: nothing is cold.
+	// WarmUp is how long a back end counts as cold after it has started, or after the
+	// evacuation of its zone has ended; 0: no back end is cold.
 	WarmUp Duration `toml:"warm_up" json:"warm_up,omitempty"`
-	// WarmUpRate is how many requests a cold back end bears in a second, from all daemons
-	// together; 0: only slow start holds it.
+	// WarmUpRate limits the requests per second of all daemons together to a cold back end;
+	// 0: only slow start limits them.
 	WarmUpRate float64 `toml:"warm_up_rate" json:"warm_up_rate,omitempty"`
-	// AllowUnframed passes on answers that only the end of the connection
-	// delimits, which cannot be shown to be whole.
+	// AllowUnframed passes on responses that are delimited only by the end of the
+	// connection, whose completeness cannot be verified.
 	AllowUnframed bool `toml:"allow_unframed" json:"allow_unframed,omitempty"`
 }
 
 // Placement declares where a service runs.
 type Placement struct {
-	// Service is the service's name, and the placement's.
+	// Service is the name of the service, and of the placement.
 	Service  string    `toml:"service" json:"service"`
 	Backends []Backend `toml:"backend" json:"backends"`
 }
@@ -118,26 +118,26 @@
 	ID      string `toml:"id" json:"id"`
 	Address string `toml:"address" json:"address"` // IP:port
 	Zone    string `toml:"zone" json:"zone,omitempty"`
-	// Version is that of its software; see Rollout.
+	// Version is the version of its software; see Rollout.
 	Version string `toml:"version" json:"version,omitempty"`
 	// Slots overrides the service's; 0: the service's.
 	Slots int `toml:"slots" json:"slots,omitempty"`
-	// Connections bounds one daemon's connections to the back end; 0: 32.
+	// Connections bounds the connections of one daemon to the back end; 0: 32.
 	Connections int `toml:"connections" json:"connections,omitempty"`
 	// Drained: the back end gets no new requests.
 	Drained bool `toml:"drained" json:"drained,omitempty"`
-	// Warm: the back end needs no slow start; false: a daemon that meets it for
-	// the first time begins with one request, and holds it to the service's WarmUpRate.
+	// Warm: the back end needs no slow start; false: a daemon that learns of it begins with
+	// one request at a time and applies the service's WarmUpRate.
 	Warm bool `toml:"warm" json:"warm,omitempty"`
-	// Started tells one run of the back end from the next, by the time at which it says that it
-	// started (Unix milliseconds); 0: it does not say, and is one run for good.
+	// Started is the start time that the back end reports (Unix milliseconds). It distinguishes one
+	// run of the back end from the next; 0: not reported, all its time counts as one run.
 	Started int64 `toml:"-" json:"started,omitempty"`
 }
 
-// Zone is a zone in which back ends run, and what operators want of it.
+// Zone is a zone in which back ends run, with the state that operators request.
 type Zone struct {
-	Name string `toml:"name" json:"name"` // as the back ends of the zone have it
-	// Evacuated: no back end of the zone gets a new request, of any service.
+	Name string `toml:"name" json:"name"` // as in Backend.Zone
+	// Evacuated: back ends in the zone get no new requests, whatever their service.
 	Evacuated bool `toml:"evacuated" json:"evacuated,omitempty"`
 }
 
@@ -158,7 +158,7 @@
 	Rollouts   []Rollout   `toml:"rollout" json:"rollouts,omitempty"`
 }
 
-// Concat returns the objects of both contents, those that both have twice.
+// Concat returns the objects of both contents. Objects that both have appear twice.
 func (c Content) Concat(other Content) Content {
 	return Content{
 		Services: slices.Concat(c.Services, other.Services), Routes: slices.Concat(c.Routes, other.Routes),
@@ -170,7 +170,7 @@
 // Kind names a kind of object.
 type Kind string
 
-// The kinds of object.
+// Kinds of objects.
 const (
 	KindService   Kind = "service"
 	KindRoute     Kind = "route"
@@ -181,13 +181,13 @@
 	KindRollout   Kind = "rollout"
 )
 
-// ObjectKey names one object.
+// ObjectKey identifies one object.
 type ObjectKey struct {
 	Kind Kind   `json:"kind"`
 	Name string `json:"name"`
 }
 
-// String gives kind/name.
+// String returns "kind/name".
 func (k ObjectKey) String() string {
 	return string(k.Kind) + "/" + k.Name
 }
--- a/config/retention.go
+++ b/config/retention.go
@@ -8,91 +8,91 @@
 	"github.com/tuliphall/tuliphall/objectstore"
 )
 
-// For how long what the store lost is kept after it came back older. Those who wrote it write it again.
+// How long entries that a store rollback has lost are retained, so that their writers have time to write them again.
 const (
-	// retainMissing is how long back ends whose entries are missing are kept: those that live have
-	// theirs back two seconds after the return.
+	// retainMissing applies to back ends whose entries are missing: those that are alive have written
+	// theirs again two seconds after the rollback.
 	retainMissing = 3 * time.Second
-	// retainChanged is how long all other lost changes are kept: entries of back ends that have ended lapse after
+	// retainChanged applies to all other lost changes: the entries of back ends that have exited expire after
 	// three of their heartbeats.
 	retainChanged = 10 * time.Second
 )
 
-// Retention keeps in force what a store that came back older may have lost: of each back end, zone and rollout, what was known last
-// goes before what the older copy says, until it is written again or enough time has passed. The zero value keeps nothing. It
-// is not safe for concurrent use.
+// Retention keeps in force what a store rollback may have lost. For each back end, zone and rollout, the last known state
+// takes precedence over the state that the store was restored to, until the entry is written again or its retention time has
+// passed. The zero value retains nothing. It is not safe for concurrent use.
 type Retention struct {
-	backends retained[DirectoryEntry]
-	zones    retained[string]
-	orders   retained[Rollout]
+	backends rollbackDiff[DirectoryEntry]
+	zones    rollbackDiff[string]
+	orders   rollbackDiff[Rollout]
 }
 
-// retained are the differences between what was in force and what the store said first after it came back older,
-// by name.
-type retained[T comparable] struct {
+// rollbackDiff holds, by name, the differences between what was in force and the first state of the store after its
+// rollback.
+type rollbackDiff[T comparable] struct {
 	differences  map[string]difference[T]
 	missingUntil time.Time
 	changedUntil time.Time
 }
 
-// difference is what was known of one thing, and what the older copy says; nil: that there is none.
+// difference holds the last known and the restored state of one item; nil: it did not exist.
 type difference[T comparable] struct {
-	known, copied *T
+	known, restored *T
 }
 
-// isCopied says whether the store still says what it said first.
-func (d difference[T]) isCopied(told *T) bool {
-	return told == d.copied || told != nil && d.copied != nil && *told == *d.copied
+// isRestored reports whether the item in the store is still as the rollback restored it.
+func (d difference[T]) isRestored(stored *T) bool {
+	return stored == d.restored || stored != nil && d.restored != nil && *stored == *d.restored
 }
 
-// newRetained returns what differs between two lists, from now on. Names and what makes two values the same are those of the kind.
-func newRetained[T comparable](now time.Time, known, copied []T, of kind[T], missing time.Duration) retained[T] {
-	made := retained[T]{differences: make(map[string]difference[T]), missingUntil: now.Add(missing), changedUntil: now.Add(retainChanged)}
+// newRollbackDiff returns the differences between two lists of items of a kind. Retention times begin now.
+func newRollbackDiff[T comparable](now time.Time, known, restored []T, kind itemKind[T], missing time.Duration) rollbackDiff[T] {
+	diff := rollbackDiff[T]{differences: make(map[string]difference[T]), missingUntil: now.Add(missing), changedUntil: now.Add(retainChanged)}
 	for index := range known {
-		made.differences[of.name(known[index])] = difference[T]{known: &known[index]}
+		diff.differences[kind.name(known[index])] = difference[T]{known: &known[index]}
 	}
-	for index := range copied {
-		one := made.differences[of.name(copied[index])]
-		one.copied = &copied[index]
-		made.differences[of.name(copied[index])] = one
+	for index := range restored {
+		item := diff.differences[kind.name(restored[index])]
+		item.restored = &restored[index]
+		diff.differences[kind.name(restored[index])] = item
 	}
-	for key, one := range made.differences {
-		if one.known != nil && one.copied != nil && of.same(*one.known, *one.copied) {
-			delete(made.differences, key)
+	for key, item := range diff.differences {
+		if item.known != nil && item.restored != nil && kind.equal(*item.known, *item.restored) {
+			delete(diff.differences, key)
 		}
 	}
-	return made
+	return diff
 }
 
-// overrule returns what is to be in force other than as the store tells it: values to set, and names to leave out.
-func (r retained[T]) overrule(now time.Time, told []T, of kind[T]) (set []T, without map[string]bool) {
+// overrides returns the deviations from the stored items that are to be in force: items to set, and names to omit.
+func (r rollbackDiff[T]) overrides(now time.Time, stored []T, kind itemKind[T]) (set []T, omit map[string]bool) {
 	if !now.Before(r.changedUntil) {
 		return nil, nil
 	}
 	byName := make(map[string]*T, len(r.differences))
-	for index := range told {
-		if _, differs := r.differences[of.name(told[index])]; differs {
-			byName[of.name(told[index])] = &told[index]
+	for index := range stored {
+		if _, differs := r.differences[kind.name(stored[index])]; differs {
+			byName[kind.name(stored[index])] = &stored[index]
 		}
 	}
-	without = make(map[string]bool)
-	for key, one := range r.differences {
+	omit = make(map[string]bool)
+	for key, item := range r.differences {
 		present := byName[key]
-		if !one.isCopied(present) || present == nil && !now.Before(r.missingUntil) {
-			continue // it was written again, or was not in time
+		if !item.isRestored(present) || present == nil && !now.Before(r.missingUntil) {
+			continue // written again, or still missing after its retention time
 		}
-		switch chosen := of.choose(one); {
+		switch chosen := kind.choose(item); {
 		case chosen != nil:
 			set = append(set, *chosen)
 		case present != nil:
-			without[key] = true
+			omit[key] = true
 		}
 	}
-	return set, without
+	return set, omit
 }
 
-// lapses returns when something is next no longer kept; zero: nothing is kept.
-func (r retained[T]) lapses(now time.Time) time.Time {
+// nextExpiry returns when the next retention time ends; zero: nothing is retained.
+func (r rollbackDiff[T]) nextExpiry(now time.Time) time.Time {
 	switch {
 	case len(r.differences) == 0 || !now.Before(r.changedUntil):
 		return time.Time{}
@@ -102,30 +102,29 @@
 	return r.changedUntil
 }
 
-// kind is what there is to know of a kind of thing that the store keeps.
-type kind[T comparable] struct {
+// itemKind describes a kind of item that the store keeps.
+type itemKind[T comparable] struct {
 	name func(T) string
-	// same says whether two say the same, whenever they were written.
-	same func(a, b T) bool
-	// choose returns what is in force of a difference; nil: nothing is.
+	// equal reports whether two items have the same content, whenever they were written.
+	equal func(a, b T) bool
+	// choose returns the item that is in force; nil: none is.
 	choose func(difference[T]) *T
 }
 
-// The kinds.
 var (
-	backendKind = kind[DirectoryEntry]{
-		name:   func(one DirectoryEntry) string { return one.ID },
-		same:   func(a, b DirectoryEntry) bool { return a.Backend == b.Backend && a.Service == b.Service },
+	backendKind = itemKind[DirectoryEntry]{
+		name:   func(entry DirectoryEntry) string { return entry.ID },
+		equal:  func(a, b DirectoryEntry) bool { return a.Backend == b.Backend && a.Service == b.Service },
 		choose: chooseBackend,
 	}
-	zoneKind = kind[string]{
+	zoneKind = itemKind[string]{
 		name:   func(zone string) string { return zone },
-		same:   func(a, b string) bool { return a == b },
-		choose: func(one difference[string]) *string { return one.known },
+		equal:  func(a, b string) bool { return a == b },
+		choose: func(zone difference[string]) *string { return zone.known },
 	}
-	orderKind = kind[Rollout]{
-		name: func(one Rollout) string { return one.Service },
-		same: func(a, b Rollout) bool {
+	orderKind = itemKind[Rollout]{
+		name: func(order Rollout) string { return order.Service },
+		equal: func(a, b Rollout) bool {
 			a.Recorded, b.Recorded = 0, 0
 			return a == b
 		},
@@ -133,105 +132,107 @@
 	}
 )
 
-// Observe takes in that the store tells a document while another one is in force. It says whether the
-// store came back older in between.
-func (r *Retention) Observe(now time.Time, inForce, told Document) bool {
-	noted := false
-	if eraRose(inForce.Directory.Revision, told.Directory.Revision) {
-		r.backends = newRetained(now, inForce.Directory.Entries, told.Directory.Entries, backendKind, retainMissing)
-		r.backends.drop(func(one difference[DirectoryEntry]) bool {
-			return one.known == nil && !inForce.Directory.knowsGone(*one.copied)
+// Observe compares a document from the store with the one in force, and reports whether the store was rolled back in
+// between.
+func (r *Retention) Observe(now time.Time, inForce, stored Document) bool {
+	rolledBack := false
+	if eraRose(inForce.Directory.Revision, stored.Directory.Revision) {
+		r.backends = newRollbackDiff(now, inForce.Directory.Entries, stored.Directory.Entries, backendKind, retainMissing)
+		r.backends.deleteFunc(func(entry difference[DirectoryEntry]) bool {
+			return entry.known == nil && !inForce.Directory.hasTombstone(*entry.restored)
 		})
-		noted = true
+		rolledBack = true
 	}
-	if eraRose(inForce.Evacuations.Revision, told.Evacuations.Revision) {
-		r.zones = newRetained(now, inForce.Evacuations.Zones, told.Evacuations.Zones, zoneKind, retainChanged)
-		noted = true
+	if eraRose(inForce.Evacuations.Revision, stored.Evacuations.Revision) {
+		r.zones = newRollbackDiff(now, inForce.Evacuations.Zones, stored.Evacuations.Zones, zoneKind, retainChanged)
+		rolledBack = true
 	}
-	if eraRose(inForce.Rollouts.Revision, told.Rollouts.Revision) {
-		r.orders = newRetained(now, inForce.Rollouts.Orders, told.Rollouts.Orders, orderKind, retainChanged)
-		noted = true
+	if eraRose(inForce.Rollouts.Revision, stored.Rollouts.Revision) {
+		r.orders = newRollbackDiff(now, inForce.Rollouts.Orders, stored.Rollouts.Orders, orderKind, retainChanged)
+		rolledBack = true
 	}
-	return noted
+	return rolledBack
 }
 
-// eraRose says whether a part that was known before is told of a later era.
-func eraRose(known, told objectstore.Version) bool {
-	return known > 0 && told.Era() > known.Era()
+// eraRose reports whether a part that was known before is stored with a version of a later era.
+func eraRose(known, stored objectstore.Version) bool {
+	return known > 0 && stored.Era() > known.Era()
 }
 
-// drop forgets differences.
-func (r retained[T]) drop(forget func(difference[T]) bool) {
-	for key, one := range r.differences {
-		if forget(one) {
+// deleteFunc deletes the differences for which del returns true.
+func (r rollbackDiff[T]) deleteFunc(del func(difference[T]) bool) {
+	for key, item := range r.differences {
+		if del(item) {
 			delete(r.differences, key)
 		}
 	}
 }
 
-// knowsGone says whether an entry is of a run of a back end that has left the directory.
-func (d Directory) knowsGone(entry DirectoryEntry) bool {
-	return slices.ContainsFunc(d.Tombstones, func(one Tombstone) bool { return one.ID == entry.ID && entry.Started <= one.Started })
+// hasTombstone reports whether the entry belongs to a run of a back end that has left the directory.
+func (d Directory) hasTombstone(entry DirectoryEntry) bool {
+	return slices.ContainsFunc(d.Tombstones, func(tombstone Tombstone) bool {
+		return tombstone.ID == entry.ID && entry.Started <= tombstone.Started
+	})
 }
 
-// Apply returns what is to be in force of what the store tells.
-func (r *Retention) Apply(now time.Time, told Document) Document {
-	if set, without := r.backends.overrule(now, told.Directory.Entries, backendKind); len(set)+len(without) > 0 {
-		told.Directory.Entries, _ = merged(told.Directory.Entries, sortedByID(set), without)
+// Apply returns the document that is to be in force, given the one in the store.
+func (r *Retention) Apply(now time.Time, stored Document) Document {
+	if set, omit := r.backends.overrides(now, stored.Directory.Entries, backendKind); len(set)+len(omit) > 0 {
+		stored.Directory.Entries, _ = mergeEntries(stored.Directory.Entries, sortedByID(set), omit)
 	}
-	if set, without := r.zones.overrule(now, told.Evacuations.Zones, zoneKind); len(set)+len(without) > 0 {
-		told.Evacuations.Zones = joined(told.Evacuations.Zones, set, without, zoneKind.name)
+	if set, omit := r.zones.overrides(now, stored.Evacuations.Zones, zoneKind); len(set)+len(omit) > 0 {
+		stored.Evacuations.Zones = mergeByName(stored.Evacuations.Zones, set, omit, zoneKind.name)
 	}
-	if set, without := r.orders.overrule(now, told.Rollouts.Orders, orderKind); len(set)+len(without) > 0 {
-		told.Rollouts.Orders = joined(told.Rollouts.Orders, set, without, orderKind.name)
+	if set, omit := r.orders.overrides(now, stored.Rollouts.Orders, orderKind); len(set)+len(omit) > 0 {
+		stored.Rollouts.Orders = mergeByName(stored.Rollouts.Orders, set, omit, orderKind.name)
 	}
-	return told
+	return stored
 }
 
-// NextExpiry returns when something is next no longer kept; zero: nothing is kept.
+// NextExpiry returns when the next retention time ends; zero: nothing is retained.
 func (r *Retention) NextExpiry(now time.Time) time.Time {
 	var next time.Time
-	for _, one := range []time.Time{r.backends.lapses(now), r.zones.lapses(now), r.orders.lapses(now)} {
-		if next.IsZero() || !one.IsZero() && one.Before(next) {
-			next = one
+	for _, expiry := range []time.Time{r.backends.nextExpiry(now), r.zones.nextExpiry(now), r.orders.nextExpiry(now)} {
+		if next.IsZero() || !expiry.IsZero() && expiry.Before(next) {
+			next = expiry
 		}
 	}
 	return next
 }
 
-// Counts returns how many differences there are to what the store said first.
+// Counts returns the numbers of differences found after the last rollback.
 func (r *Retention) Counts() (backends, zones, orders int) {
 	return len(r.backends.differences), len(r.zones.differences), len(r.orders.differences)
 }
 
-// chooseBackend keeps what was known last of a back end, unless the entry is of a later run, or was written later: in what both
-// histories share, revisions still order entries.
-func chooseBackend(one difference[DirectoryEntry]) *DirectoryEntry {
-	if one.known == nil || one.copied == nil {
-		return one.known
+// chooseBackend returns the last known entry of a back end, unless the restored one belongs to a later run or was written
+// later: revisions still order the entries written before the histories diverged.
+func chooseBackend(entry difference[DirectoryEntry]) *DirectoryEntry {
+	if entry.known == nil || entry.restored == nil {
+		return entry.known
 	}
-	if one.copied.Started > one.known.Started || one.copied.Revision.Revision() >= one.known.Revision.Revision() {
-		return one.copied
+	if entry.restored.Started > entry.known.Started || entry.restored.Revision.Revision() >= entry.known.Revision.Revision() {
+		return entry.restored
 	}
-	return one.known
+	return entry.known
 }
 
-// chooseOrder keeps an order that was known last. Of the same order the record that is in the store counts: how far it is, its dispatcher
-// knows, which writes it again.
-func chooseOrder(one difference[Rollout]) *Rollout {
-	if one.known != nil && one.copied != nil && one.known.SameOrder(*one.copied) {
-		return one.copied
+// chooseOrder returns the last known order. If the store has a record of the same order, that record is used: the
+// dispatcher of the service knows its progress and writes it again.
+func chooseOrder(order difference[Rollout]) *Rollout {
+	if order.known != nil && order.restored != nil && order.known.SameOrder(*order.restored) {
+		return order.restored
 	}
-	return one.known
+	return order.known
 }
 
-// joined returns a list in the order of names with some values set and others left out.
-func joined[T any](list, set []T, without map[string]bool, name func(T) string) []T {
+// mergeByName returns the list, sorted by name, with some values set and others omitted.
+func mergeByName[T any](list, set []T, omit map[string]bool, name func(T) string) []T {
 	replaced := make(map[string]bool, len(set))
-	for _, one := range set {
-		replaced[name(one)] = true
+	for _, value := range set {
+		replaced[name(value)] = true
 	}
-	next := slices.DeleteFunc(slices.Clone(list), func(one T) bool { return without[name(one)] || replaced[name(one)] })
+	next := slices.DeleteFunc(slices.Clone(list), func(value T) bool { return omit[name(value)] || replaced[name(value)] })
 	next = append(next, set...)
 	slices.SortFunc(next, func(a, b T) int { return cmp.Compare(name(a), name(b)) })
 	return next
--- a/config/rollout.go
+++ b/config/rollout.go
@@ -7,57 +7,58 @@
 	"github.com/tuliphall/tuliphall/objectstore"
 )
 
-// Rollout asks that the requests of a service move to back ends of another version, and says how
-// far that is. The new back ends run beside the old ones until it is decided.
+// Rollout moves the requests of a service to back ends of another version, and holds the progress
+// of the move. New and old back ends run side by side until the rollout ends.
 type Rollout struct {
-	// Service is the service's name, and the rollout's.
+	// Service is the name of the service, and of the rollout.
 	Service string `toml:"service" json:"service"`
-	// Version is that of the back ends that are to serve.
+	// Version is the version of the back ends that are to serve the requests.
 	Version string `toml:"version" json:"version"`
-	// Within is how long after the order it is to be decided.
+	// Within is the time from the order until the rollout must be decided.
 	Within Duration `toml:"within" json:"within"`
 
-	// Phase is written by the daemon that dispatches the service; empty: nobody has begun.
+	// Phase is written by the dispatcher of the service; empty: not started.
 	Phase RolloutPhase `toml:"-" json:"phase,omitempty"`
-	// DecideBy is until when it is to be decided, in Unix milliseconds, as the daemon reckoned that
-	// first heard of it; 0: none has.
+	// DecideBy is the deadline of the decision in Unix milliseconds, computed by the first daemon
+	// that learned of the rollout; 0: not computed yet.
 	DecideBy int64 `toml:"-" json:"decide_by,omitempty"`
-	// Reason is why it is in its phase, for operators.
+	// Reason tells operators why the rollout is in its phase.
 	Reason string `toml:"-" json:"reason,omitempty"`
-	// Recorded is the version of the record in the platform's store; 0: it is not kept there.
+	// Recorded is the version of the record in the platform's store; 0: there is no record.
 	Recorded objectstore.Version `toml:"-" json:"recorded,omitempty"`
 }
 
-// RolloutPhase says how far a rollout is. It only goes on, from one phase to a later one.
+// RolloutPhase is the progress of a rollout. A rollout only moves from one phase to a later one.
 type RolloutPhase string
 
-// The phases.
+// The phases of a rollout.
 const (
-	// RolloutRunning: the new version gets a small share of the requests and is judged by it.
+	// RolloutRunning: the canary version gets a small share of the requests and is compared with the old one.
 	RolloutRunning RolloutPhase = "running"
-	// RolloutMoving: the new version has shown itself good; all requests go there, and those at
-	// old back ends end.
+	// RolloutMoving: the comparison succeeded. New requests go to the new version, and those in flight
+	// at old back ends finish.
 	RolloutMoving RolloutPhase = "moving"
-	// RolloutCompleted: no request is at an old back end any more.
+	// RolloutCompleted: no requests are in flight at old back ends.
 	RolloutCompleted RolloutPhase = "completed"
-	// RolloutRolledBack: the new version gets nothing.
+	// RolloutRolledBack: the new version gets no requests.
 	RolloutRolledBack RolloutPhase = "rolled-back"
 )
 
-// Decided says whether the rollout is over.
+// Decided reports whether the rollout has ended.
 func (p RolloutPhase) Decided() bool {
 	return p == RolloutCompleted || p == RolloutRolledBack
 }
 
-// order is how far each phase is.
-var rolloutOrder = []RolloutPhase{"", RolloutRunning, RolloutMoving, RolloutCompleted, RolloutRolledBack}
+// phaseOrder lists the phases from the earliest to the latest.
+var phaseOrder = []RolloutPhase{"", RolloutRunning, RolloutMoving, RolloutCompleted, RolloutRolledBack}
 
-// Before says whether another phase is later. Both ends are the last: neither is before the other.
+// Before reports whether another phase is later. RolloutCompleted and RolloutRolledBack are both final: neither is before
+// the other.
 func (p RolloutPhase) Before(other RolloutPhase) bool {
-	return !p.Decided() && slices.Index(rolloutOrder, p) < slices.Index(rolloutOrder, other)
+	return !p.Decided() && slices.Index(phaseOrder, p) < slices.Index(phaseOrder, other)
 }
 
-// DecisionDeadline returns until when the rollout is to be decided; zero: nobody has reckoned it yet.
+// DecisionDeadline returns when the rollout must be decided; zero: not computed yet.
 func (r Rollout) DecisionDeadline() time.Time {
 	if r.DecideBy == 0 {
 		return time.Time{}
@@ -65,42 +66,43 @@
 	return time.UnixMilli(r.DecideBy)
 }
 
-// SameOrder says whether two say the same but for how far it is.
+// SameOrder reports whether two rollouts are equal apart from their progress.
 func (r Rollout) SameOrder(other Rollout) bool {
 	return r.Service == other.Service && r.Version == other.Version && r.Within == other.Within
 }
 
-// Rollouts are the rollouts that a platform's operators have ordered, beside those that are declared
-// as objects of the product's own. They have a revision of their own, as the Directory has.
+// Rollouts holds the rollouts that operators have ordered on the platform, in addition to those
+// declared as Rollout objects. Like the Directory, it has its own revision.
 type Rollouts struct {
 	Revision objectstore.Version `json:"revision"`
 	Orders   []Rollout           `json:"orders,omitempty"` // by service
 }
 
-// RolloutsByService returns the rollouts by service, whoever ordered them.
+// RolloutsByService returns the declared rollouts and those ordered on the platform, which take
+// precedence, by service.
 func (d Document) RolloutsByService() map[string]Rollout {
-	orders := make(map[string]Rollout)
-	for _, one := range d.Content.Rollouts {
-		orders[one.Service] = one
+	rollouts := make(map[string]Rollout)
+	for _, order := range d.Content.Rollouts {
+		rollouts[order.Service] = order
 	}
-	for _, one := range d.Rollouts.Orders {
-		orders[one.Service] = one
+	for _, order := range d.Rollouts.Orders {
+		rollouts[order.Service] = order
 	}
-	return orders
+	return rollouts
 }
 
-// MaxRolloutDuration is the longest time within which a rollout is to be decided.
+// MaxRolloutDuration is the longest time within which a rollout must be decided.
 const MaxRolloutDuration = Duration(24 * time.Hour)
 
 func (v *validator) rollouts(declared []Rollout, services map[string]Service) {
-	named := make(map[string]bool, len(declared))
-	for _, one := range declared {
-		object := ObjectKey{Kind: KindRollout, Name: one.Service}
-		_, known := services[one.Service]
-		v.check(known, object, "service", one.Service, "the name of a declared service")
-		v.check(!named[one.Service], object, "service", one.Service, "one rollout for each service")
-		named[one.Service] = true
-		v.check(one.Version != "", object, "version", one.Version, "the version of some back ends")
-		v.check(one.Within >= Duration(time.Second) && one.Within <= MaxRolloutDuration, object, "within", time.Duration(one.Within), "1s to 24h, with a unit")
+	seen := make(map[string]bool, len(declared))
+	for _, rollout := range declared {
+		object := ObjectKey{Kind: KindRollout, Name: rollout.Service}
+		_, known := services[rollout.Service]
+		v.check(known, object, "service", rollout.Service, "the name of a declared service")
+		v.check(!seen[rollout.Service], object, "service", rollout.Service, "one rollout for each service")
+		seen[rollout.Service] = true
+		v.check(rollout.Version != "", object, "version", rollout.Version, "the version of some back ends")
+		v.check(rollout.Within >= Duration(time.Second) && rollout.Within <= MaxRolloutDuration, object, "within", time.Duration(rollout.Within), "1s to 24h, with a unit")
 	}
 }
--- a/config/route.go
+++ b/config/route.go
@@ -11,36 +11,36 @@
 	"github.com/tuliphall/tuliphall/policy"
 )
 
-// Share is a service's part of the requests of a route.
+// Share is a service's share of the requests of a route.
 type Share struct {
 	Service string `toml:"service" json:"service"`
-	// Weight is the part relative to the other shares'; 0: none.
+	// Weight is relative to those of the other shares; 0: no requests.
 	Weight int `toml:"weight" json:"weight"`
 }
 
-// Route declares requests that are recognised by host and path, and the service
-// or services that serve them. A service can have many routes.
+// Route matches requests by host and path, and names the service or services
+// that serve them. A service can have many routes.
 type Route struct {
 	Name string `toml:"name" json:"name"`
 	// Hosts are the host names that select the route; none: any host.
 	Hosts []string `toml:"hosts" json:"hosts,omitempty"`
 	// PathPrefix selects the route; the longest match wins. Empty: "/".
 	PathPrefix string `toml:"path_prefix" json:"path_prefix,omitempty"`
-	// Shares are the services, among which requests are divided by weight.
+	// Shares divides the requests among services by weight.
 	Shares []Share `toml:"share" json:"shares"`
-	// Policy names the policy object; empty: that of the service.
+	// Policy names the policy object; empty: the policy of the service.
 	Policy string `toml:"policy" json:"policy,omitempty"`
-	// Timeout ends a request whose caller set no earlier deadline; 0: the
+	// Timeout limits requests whose caller set no earlier deadline; 0: the
 	// service's deadline.
 	Timeout Duration `toml:"timeout" json:"timeout,omitempty"`
-	// Public: requests need no key of a tenant.
+	// Public: requests need no tenant key.
 	Public bool `toml:"public" json:"public,omitempty"`
-	// Attempts is the most back ends that one request is sent to; 0: 3.
+	// Attempts is the maximum number of back ends to which one request is sent; 0: 3.
 	Attempts int `toml:"attempts" json:"attempts,omitempty"`
 }
 
-// DefaultAttempts is how often one request is sent, the first time included,
-// where its route says nothing else.
+// DefaultAttempts is the maximum number of attempts of a request, including the
+// first, if its route sets none.
 const DefaultAttempts = 3
 
 // Bounds on routes.
@@ -50,23 +50,23 @@
 	MaxShareWeight = 1_000_000
 )
 
-// WeightedTarget is one service's part of a running route.
+// WeightedTarget is one service of a compiled route with its weight.
 type WeightedTarget struct {
 	Target *Target
 	Weight int
 }
 
-// CompiledRoute is a route as a daemon serves it. It is immutable, but for the turns.
+// CompiledRoute is a route in the form in which a daemon serves it. It is immutable except for the counter.
 type CompiledRoute struct {
 	Route
 	Policy  *policy.Program
 	Targets []WeightedTarget // of weight above 0; at least one
-	total   int
-	turns   atomic.Uint64 // requests that were divided
+	total   int              // sum of the weights
+	turns   atomic.Uint64    // number of requests distributed so far
 }
 
-// Deadline returns how long a request of the route may take when its caller says
-// nothing.
+// Deadline returns how long a request of the route may take if its caller sets no
+// deadline.
 func (r *CompiledRoute) Deadline(target *Target) time.Duration {
 	if r.Timeout > 0 {
 		return time.Duration(r.Timeout)
@@ -74,58 +74,58 @@
 	return target.Deadline()
 }
 
-// goldenRatio divides any number of turns evenly: multiples of it, taken modulo 1, never
-// bunch.
+// goldenRatio distributes any number of turns evenly: its multiples modulo 1 never
+// cluster.
 const goldenRatio = 0.6180339887498949
 
-// NextTarget returns the service of the next request. Requests are divided evenly, not at
-// random, so that each service's part is right within few of them. phase, from 0 to below
-// 1, is the daemon's own, so that daemons do not take the same turn together.
+// NextTarget returns the service of the next request. It uses a low-discrepancy sequence rather
+// than random numbers, so that each service's share is accurate after few requests. phase, in
+// [0, 1), differs between daemons, so that they do not choose the same service at the same time.
 func (r *CompiledRoute) NextTarget(phase float64) *Target {
 	if len(r.Targets) == 1 {
 		return r.Targets[0].Target
 	}
-	_, turn := math.Modf(phase + goldenRatio*float64(r.turns.Add(1)%turnCycle))
-	point := int(turn * float64(r.total))
-	for _, division := range r.Targets {
-		if point -= division.Weight; point < 0 {
-			return division.Target
+	_, fraction := math.Modf(phase + goldenRatio*float64(r.turns.Add(1)%turnCycle))
+	point := int(fraction * float64(r.total))
+	for _, weighted := range r.Targets {
+		if point -= weighted.Weight; point < 0 {
+			return weighted.Target
 		}
 	}
 	return r.Targets[len(r.Targets)-1].Target
 }
 
-// turnCycle keeps the product within what a float64 holds exactly enough.
+// turnCycle limits the factor of goldenRatio so that the float64 product keeps enough fractional precision.
 const turnCycle = 1 << 30
 
-// running compiles the route. The names were checked before.
-func (r Route) running(targets map[string]*Target, programs map[string]*policy.Program) *CompiledRoute {
-	made := &CompiledRoute{Route: r}
-	if made.PathPrefix == "" {
-		made.PathPrefix = "/"
+// compile compiles the route, whose names must be valid.
+func (r Route) compile(targets map[string]*Target, programs map[string]*policy.Program) *CompiledRoute {
+	compiled := &CompiledRoute{Route: r}
+	if compiled.PathPrefix == "" {
+		compiled.PathPrefix = "/"
 	}
-	if made.Attempts == 0 {
-		made.Attempts = DefaultAttempts
+	if compiled.Attempts == 0 {
+		compiled.Attempts = DefaultAttempts
 	}
 	for _, share := range r.Shares {
 		if share.Weight > 0 {
-			made.Targets = append(made.Targets, WeightedTarget{Target: targets[share.Service], Weight: share.Weight})
-			made.total += share.Weight
+			compiled.Targets = append(compiled.Targets, WeightedTarget{Target: targets[share.Service], Weight: share.Weight})
+			compiled.total += share.Weight
 		}
 	}
-	made.Policy = made.Targets[0].Target.Policy
+	compiled.Policy = compiled.Targets[0].Target.Policy
 	if r.Policy != "" {
-		made.Policy = programs[r.Policy]
+		compiled.Policy = programs[r.Policy]
 	}
-	return made
+	return compiled
 }
 
-// ownRoute is the route that a service's own host and prefix make.
+// ownRoute returns the route that the service's own hosts and prefix define.
 func (s Service) ownRoute() Route {
 	return Route{Name: s.Name, Hosts: s.Hosts, PathPrefix: s.PathPrefix, Shares: []Share{{Service: s.Name, Weight: 1}}}
 }
 
-// keys gives the host and prefix pairs that select the route.
+// keys returns the host and prefix pairs that the route matches.
 func (r Route) keys() []string {
 	if len(r.Hosts) == 0 {
 		return []string{"*" + r.PathPrefix}
@@ -137,14 +137,14 @@
 	return keys
 }
 
-// routeTable finds routes by host. It is immutable.
+// routeTable finds routes by host and path. It is immutable.
 type routeTable struct {
 	byHost  map[string][]*CompiledRoute // longest prefix first
 	anyHost []*CompiledRoute
 }
 
 func newRouteTable(routes []*CompiledRoute) routeTable {
-	// The longest prefix comes first, so that the first match is the best.
+	// Longest prefix first, so that the first match is the most specific one.
 	sort.SliceStable(routes, func(i, j int) bool { return len(routes[i].PathPrefix) > len(routes[j].PathPrefix) })
 	table := routeTable{byHost: make(map[string][]*CompiledRoute)}
 	for _, route := range routes {
@@ -159,18 +159,18 @@
 	return table
 }
 
-// match returns the route with the longest prefix; among equals, the one that
-// names the host.
+// match returns the matching route with the longest prefix. If two prefixes are equally
+// long, the route that names the host is preferred.
 func (t routeTable) match(host, path string) (*CompiledRoute, bool) {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
 	}
-	named, found := firstMatch(t.byHost[strings.ToLower(host)], path)
-	unnamed, other := firstMatch(t.anyHost, path)
-	if other && (!found || len(unnamed.PathPrefix) > len(named.PathPrefix)) {
-		return unnamed, true
+	route, found := firstMatch(t.byHost[strings.ToLower(host)], path)
+	wildcard, foundWildcard := firstMatch(t.anyHost, path)
+	if foundWildcard && (!found || len(wildcard.PathPrefix) > len(route.PathPrefix)) {
+		return wildcard, true
 	}
-	return named, found
+	return route, found
 }
 
 func firstMatch(routes []*CompiledRoute, path string) (*CompiledRoute, bool) {
--- a/config/snapshot.go
+++ b/config/snapshot.go
@@ -7,18 +7,18 @@
 	"github.com/tuliphall/tuliphall/policy"
 )
 
-// Target is a service as a daemon serves it: checked, compiled, with defaults
-// applied.
+// Target is a service in the form in which a daemon serves it: validated, compiled
+// and with defaults applied.
 type Target struct {
 	Service  Service
 	Backends []Backend
 	Policy   *policy.Program
 	// EvacuatedZones are the zones whose back ends get no new requests. It must not be changed.
 	EvacuatedZones map[string]bool
-	// Rollout is that of the service; nil: none was ordered.
+	// Rollout is the rollout of the service; nil: none was ordered.
 	Rollout *Rollout
-	// HoldNewVersions: a version that was not seen before gets nothing for a moment, as the
-	// order for its rollout may be on its way.
+	// HoldNewVersions: back ends of a version that was not seen before get no requests at first,
+	// because the order of its rollout may arrive later than they do.
 	HoldNewVersions bool
 }
 
@@ -27,7 +27,7 @@
 	return time.Duration(t.Service.Deadline)
 }
 
-// Snapshot is one revision in a form fit for use. It is immutable.
+// Snapshot is a document in the form in which a daemon uses it: validated, compiled and indexed. It is immutable.
 type Snapshot struct {
 	Revision Revision
 	Document Document
@@ -36,7 +36,7 @@
 	tenants  tenantTable
 }
 
-// NewSnapshot checks and compiles a document.
+// NewSnapshot validates and compiles a document.
 func NewSnapshot(document Document) (*Snapshot, error) {
 	programs, err := document.Content.compile()
 	if err != nil {
@@ -46,15 +46,15 @@
 	if err != nil {
 		return nil, err
 	}
-	placements := document.BackendsByService()
+	backends := document.BackendsByService()
 	evacuated := make(map[string]bool)
 	for _, zone := range document.EvacuatedZones() {
 		evacuated[zone] = true
 	}
 	snapshot := &Snapshot{Revision: document.Revision, Document: document}
 	rollouts := document.RolloutsByService()
-	// Routes hold services without their back ends, so that an earlier list is not kept by them.
-	routed := make(map[string]*Target, len(document.Content.Services))
+	// Routes refer to targets without back ends, so that they do not keep earlier lists of back ends in memory.
+	routeTargets := make(map[string]*Target, len(document.Content.Services))
 	var routes []*CompiledRoute
 	for _, service := range document.Content.Services {
 		target := &Target{Service: service.withDefaults(), Policy: noPolicy, EvacuatedZones: evacuated, HoldNewVersions: document.Rollouts.Revision > 0}
@@ -64,66 +64,66 @@
 		if service.Policy != "" {
 			target.Policy = programs[service.Policy]
 		}
-		routed[service.Name] = target
-		snapshot.Targets = append(snapshot.Targets, target.withBackends(placements[service.Name]))
+		routeTargets[service.Name] = target
+		snapshot.Targets = append(snapshot.Targets, target.withBackends(backends[service.Name]))
 		if !service.RoutesOnly {
-			routes = append(routes, service.ownRoute().running(routed, programs))
+			routes = append(routes, service.ownRoute().compile(routeTargets, programs))
 		}
 	}
 	for _, route := range document.Content.Routes {
-		routes = append(routes, route.running(routed, programs))
+		routes = append(routes, route.compile(routeTargets, programs))
 	}
 	snapshot.routes = newRouteTable(routes)
 	snapshot.tenants = newTenantTable(document.Content.Tenants)
 	return snapshot, nil
 }
 
-// withBackends returns the target with these back ends.
+// withBackends returns a copy of the target with the back ends.
 func (t *Target) withBackends(backends []Backend) *Target {
-	made := *t
-	made.Backends = make([]Backend, 0, len(backends))
+	target := *t
+	target.Backends = make([]Backend, 0, len(backends))
 	for _, backend := range backends {
-		made.Backends = append(made.Backends, backend.withDefaults(made.Service))
+		target.Backends = append(target.Backends, backend.withDefaults(target.Service))
 	}
-	return &made
+	return &target
 }
 
-// Next returns the snapshot of a document that follows the one of this snapshot. Where they differ
-// in the directory only, what is not touched by that is kept: of 10,000 back ends in three
-// services, a change of one cost 1.4 kB for each of them otherwise, at each daemon.
+// Next returns the snapshot of a document that replaces the one of this snapshot. If only the directory
+// differs, the targets of unchanged services are reused: without this, with 10,000 back ends in three
+// services, a change of one back end cost each daemon 1.4 kB per back end.
 func (s *Snapshot) Next(document Document) (*Snapshot, error) {
 	if !s.Document.differsInDirectoryOnly(document) {
 		return NewSnapshot(document)
 	}
-	touched := document.Directory.servicesChanged(s.Document.Directory)
+	changed := document.Directory.changedServices(s.Document.Directory)
 	next := *s
 	next.Document = document
 	next.Targets = slices.Clone(s.Targets)
-	placements := document.backendsOf(touched)
+	backends := document.backendsOf(changed)
 	for index, target := range next.Targets {
-		if touched[target.Service.Name] {
-			next.Targets[index] = target.withBackends(placements[target.Service.Name])
+		if changed[target.Service.Name] {
+			next.Targets[index] = target.withBackends(backends[target.Service.Name])
 		}
 	}
 	return &next, nil
 }
 
-// differsInDirectoryOnly says whether all but the directory is the same as in another document.
+// differsInDirectoryOnly reports whether all parts but the directory are the same as in another document.
 func (d Document) differsInDirectoryOnly(other Document) bool {
-	before, now := d.Position(), other.Position()
-	before.Directory, now.Directory = 0, 0
-	return before == now && slices.Equal(d.Evacuations.Zones, other.Evacuations.Zones) && slices.Equal(d.Rollouts.Orders, other.Rollouts.Orders)
+	position, otherPosition := d.Position(), other.Position()
+	position.Directory, otherPosition.Directory = 0, 0
+	return position == otherPosition && slices.Equal(d.Evacuations.Zones, other.Evacuations.Zones) && slices.Equal(d.Rollouts.Orders, other.Rollouts.Orders)
 }
 
-// Newer says whether the snapshot is newer than another in one part and older in
-// none.
+// Newer reports whether the snapshot is newer than another in at least one part and
+// older in none.
 func (s *Snapshot) Newer(than *Snapshot) bool {
-	mine, others := s.Document.Position(), than.Document.Position()
-	return others.Behind(mine) && !mine.Behind(others)
+	position, other := s.Document.Position(), than.Document.Position()
+	return other.Behind(position) && !position.Behind(other)
 }
 
-// BackendsByService gives the back ends of each service, those of the directory after the declared
-// ones.
+// BackendsByService returns the back ends of each service: first the declared ones, then those of the
+// directory.
 func (d Document) BackendsByService() map[string][]Backend {
 	services := make(map[string]bool, len(d.Content.Services))
 	for _, service := range d.Content.Services {
@@ -132,20 +132,20 @@
 	return d.backendsOf(services)
 }
 
-// backendsOf is Backends of some services.
+// backendsOf returns the back ends of the given services, as BackendsByService does.
 func (d Document) backendsOf(services map[string]bool) map[string][]Backend {
-	placements := make(map[string][]Backend, len(services))
+	backends := make(map[string][]Backend, len(services))
 	for _, placement := range d.Content.Placements {
 		if services[placement.Service] {
-			placements[placement.Service] = slices.Clip(placement.Backends)
+			backends[placement.Service] = slices.Clip(placement.Backends)
 		}
 	}
-	for _, one := range d.Directory.Entries {
-		if services[one.Service] {
-			placements[one.Service] = append(placements[one.Service], one.Backend)
+	for _, entry := range d.Directory.Entries {
+		if services[entry.Service] {
+			backends[entry.Service] = append(backends[entry.Service], entry.Backend)
 		}
 	}
-	return placements
+	return backends
 }
 
 func (s Service) withDefaults() Service {
@@ -170,7 +170,7 @@
 }
 
 // Match returns the route for a request's host (with or without port) and path,
-// and false when there is none.
+// and false if there is none.
 func (s *Snapshot) Match(host, path string) (*CompiledRoute, bool) {
 	return s.routes.match(host, path)
 }
--- a/config/tenant.go
+++ b/config/tenant.go
@@ -8,30 +8,30 @@
 	"github.com/juju/errors"
 )
 
-// Tenant is a customer whose requests carry a key. Where any tenant is declared, every
-// request needs the key of one, but those on public routes.
+// Tenant is a customer whose requests carry a key. If any tenant is declared, every
+// request except those on public routes needs the key of a tenant.
 type Tenant struct {
 	Name string `toml:"name" json:"name"`
-	// Keys are the hashes of the keys that are valid now; a key is replaced by adding the
-	// new one before the old one is taken away.
+	// Keys holds the hashes of the valid keys. To rotate a key, add the new one before
+	// removing the old one.
 	Keys []KeyHash `toml:"keys" json:"keys,omitempty"`
-	// Rate is how many requests a second back ends run for the tenant, over all daemons
-	// together; 0: any number.
+	// Rate limits the requests per second that back ends run for the tenant, for all daemons
+	// together; 0: unlimited.
 	Rate float64 `toml:"rate" json:"rate,omitempty"`
-	// Burst is how many requests beyond the rate are let through at once.
+	// Burst is the number of requests admitted at once beyond the rate.
 	Burst float64 `toml:"burst" json:"burst,omitempty"`
-	// Weight goes before the weight of the policy; 0: that of the policy.
+	// Weight overrides the weight of the policy; 0: the policy's weight.
 	Weight int `toml:"weight" json:"weight,omitempty"`
 }
 
-// KeyHash is the SHA-256 hash of a tenant's key. Keys themselves are neither kept nor
-// written anywhere.
+// KeyHash is the SHA-256 hash of a tenant's key. The keys themselves are never stored
+// or logged.
 type KeyHash [sha256.Size]byte
 
-// keyHashPrefix says how a key was hashed.
+// keyHashPrefix identifies the hash function in the text form.
 const keyHashPrefix = "sha256:"
 
-// MaxKeyBytes is the longest key that a caller may send.
+// MaxKeyBytes is the maximum length of a key that a caller may send.
 const MaxKeyBytes = 512
 
 // HashKey returns the hash of a key of at most MaxKeyBytes. It does not allocate.
@@ -46,13 +46,13 @@
 	return append([]byte(keyHashPrefix), hex.EncodeToString(h[:])...), nil
 }
 
-// UnmarshalText implements encoding.TextUnmarshaler. The error does not repeat the text,
-// which may be a key that was written by mistake.
+// UnmarshalText implements encoding.TextUnmarshaler. The error does not contain the
+// text, which may be a key given by mistake.
 func (h *KeyHash) UnmarshalText(text []byte) error {
 	digits, prefixed := strings.CutPrefix(string(text), keyHashPrefix)
 	decoded, err := hex.DecodeString(digits)
 	if !prefixed || err != nil || len(decoded) != len(h) {
-		return errors.NotValidf("key: allowed: %q and 64 hexadecimal digits, as `tuliphall hash-key` prints them; the text that is given", keyHashPrefix)
+		return errors.NotValidf("key: allowed: %q and 64 hexadecimal digits, as `tuliphall hash-key` prints them; the given text", keyHashPrefix)
 	}
 	copy(h[:], decoded)
 	return nil
@@ -60,9 +60,9 @@
 
 // tenantTable finds tenants. It is immutable.
 type tenantTable struct {
-	byKey  map[KeyHash]*Tenant
-	byName map[string]*Tenant
-	rates  bool // some tenant has a rate
+	byKey    map[KeyHash]*Tenant
+	byName   map[string]*Tenant
+	hasRates bool // whether any tenant has a rate limit
 }
 
 func newTenantTable(declared []Tenant) tenantTable {
@@ -70,7 +70,7 @@
 	for index := range declared {
 		tenant := &declared[index]
 		table.byName[tenant.Name] = tenant
-		table.rates = table.rates || tenant.Rate > 0
+		table.hasRates = table.hasRates || tenant.Rate > 0
 		for _, key := range tenant.Keys {
 			table.byKey[key] = tenant
 		}
@@ -78,23 +78,23 @@
 	return table
 }
 
-// HasTenants says whether requests need the key of a tenant.
+// HasTenants reports whether any tenant is declared, so that requests need a key.
 func (s *Snapshot) HasTenants() bool {
 	return len(s.tenants.byName) > 0
 }
 
-// HasRateLimits says whether any tenant's requests are counted.
+// HasRateLimits reports whether any tenant has a rate limit.
 func (s *Snapshot) HasRateLimits() bool {
-	return s.tenants.rates
+	return s.tenants.hasRates
 }
 
-// TenantByKey returns the tenant that has a key.
+// TenantByKey returns the tenant to which a key belongs.
 func (s *Snapshot) TenantByKey(key KeyHash) (*Tenant, bool) {
 	tenant, known := s.tenants.byKey[key]
 	return tenant, known
 }
 
-// TenantByName returns a tenant by its name.
+// TenantByName returns the tenant with the name.
 func (s *Snapshot) TenantByName(name string) (*Tenant, bool) {
 	tenant, known := s.tenants.byName[name]
 	return tenant, known
@@ -110,20 +110,20 @@
 
 func (v *validator) tenants(declared []Tenant) {
 	checkRange(v, ObjectKey{Kind: "document", Name: "all"}, "tenants", len(declared), 0, MaxTenants)
-	names := make(map[string]bool, len(declared))
+	seen := make(map[string]bool, len(declared))
 	owners := make(map[KeyHash]string)
 	for _, tenant := range declared {
 		object := ObjectKey{Kind: KindTenant, Name: tenant.Name}
 		v.check(namePattern.MatchString(tenant.Name), object, "name", tenant.Name, nameAllowed)
-		v.check(!names[tenant.Name], object, "name", tenant.Name, "a name used once")
-		names[tenant.Name] = true
+		v.check(!seen[tenant.Name], object, "name", tenant.Name, "a name used once")
+		seen[tenant.Name] = true
 		checkRange(v, object, "keys", len(tenant.Keys), 0, MaxTenantKeys)
 		checkRange(v, object, "rate", tenant.Rate, 0, MaxTenantRate)
 		checkRange(v, object, "burst", tenant.Burst, 0, MaxTenantRate)
 		checkRange(v, object, "weight", tenant.Weight, 0, MaxTenantWeight)
 		for index, key := range tenant.Keys {
-			owner, taken := owners[key]
-			v.check(!taken, object, "keys", index, "keys that no tenant has yet; "+owner+" has this one")
+			owner, duplicate := owners[key]
+			v.check(!duplicate, object, "keys", index, "keys that no tenant has yet; "+owner+" has this one")
 			owners[key] = tenant.Name
 		}
 	}
--- a/config/validate.go
+++ b/config/validate.go
@@ -11,7 +11,7 @@
 	"github.com/tuliphall/tuliphall/policy"
 )
 
-// Bounds on declared values.
+// Bounds on the values of settings.
 const (
 	MaxServices          = 400
 	MaxBackends          = 2000
@@ -33,16 +33,16 @@
 	minStatus, maxStatus = 400, 599
 )
 
-// ObjectError names the object and the setting that is wrong.
+// ObjectError reports an invalid setting of an object.
 type ObjectError struct {
 	Object  ObjectKey
 	Setting string
 	Value   any
 	Allowed string
-	Cause   error // the underlying error, if any
+	Cause   error // the underlying error; nil if there is none
 }
 
-// Error says which setting of which object is wrong, and what is allowed.
+// Error returns the object, the setting, its value and the allowed values.
 func (e *ObjectError) Error() string {
 	if e.Cause != nil {
 		return fmt.Sprintf("%s: %s", e.Object, e.Cause)
@@ -50,7 +50,7 @@
 	return fmt.Sprintf("%s: setting %s: value %v: allowed: %s", e.Object, e.Setting, e.Value, e.Allowed)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *ObjectError) Unwrap() error {
 	return e.Cause
 }
@@ -59,14 +59,14 @@
 
 const nameAllowed = "1 to 63 lower-case letters, digits and inner hyphens"
 
-// validator gathers errors.
+// validator collects the errors of a content.
 type validator struct {
-	wrong []error
+	errs []error
 }
 
 func (v *validator) check(ok bool, object ObjectKey, setting string, value any, allowed string) {
 	if !ok {
-		v.wrong = append(v.wrong, &ObjectError{Object: object, Setting: setting, Value: value, Allowed: allowed})
+		v.errs = append(v.errs, &ObjectError{Object: object, Setting: setting, Value: value, Allowed: allowed})
 	}
 }
 
@@ -74,15 +74,15 @@
 	v.check(value >= low && value <= high, object, setting, value, fmt.Sprintf("%v to %v", low, high))
 }
 
-// checkDuration refuses durations so short that they were surely written as a bare
-// number, which TOML would take for nanoseconds.
+// checkDuration rejects durations that are so short that they were probably written as a bare
+// number, which TOML decodes as nanoseconds.
 func (v *validator) checkDuration(object ObjectKey, setting string, value, high Duration) {
 	ok := value == 0 || (value >= MinDuration && value <= high)
 	v.check(ok, object, setting, time.Duration(value), fmt.Sprintf("0 or %s to %s, with a unit", time.Duration(MinDuration), time.Duration(high)))
 }
 
 // Validate checks the content as a whole. The error joins an *ObjectError for
-// each thing that is wrong; nil means that the content can be put in force.
+// each invalid setting; nil means that the content can be put in force.
 func (c Content) Validate() error {
 	_, err := c.compile()
 	return err
@@ -94,71 +94,71 @@
 	root := ObjectKey{Kind: "document", Name: "all"}
 	checkRange(v, root, "services", len(c.Services), 0, MaxServices)
 	programs := v.policies(c.Policies)
-	taken := make(takenKeys)
-	services := v.services(c.Services, programs, taken)
-	v.routes(c.Routes, services, programs, taken)
+	owners := make(routeKeyOwners)
+	services := v.services(c.Services, programs, owners)
+	v.routes(c.Routes, services, programs, owners)
 	v.placements(c.Placements, services)
 	v.zones(c.Zones)
 	v.tenants(c.Tenants)
 	v.rollouts(c.Rollouts, services)
-	if len(v.wrong) > 0 {
-		return nil, stderrors.Join(v.wrong...)
+	if len(v.errs) > 0 {
+		return nil, stderrors.Join(v.errs...)
 	}
 	return programs, nil
 }
 
 func (v *validator) policies(declared []Policy) map[string]*policy.Program {
 	programs := make(map[string]*policy.Program, len(declared))
-	for _, one := range declared {
-		object := ObjectKey{Kind: KindPolicy, Name: one.Name}
-		v.check(namePattern.MatchString(one.Name), object, "name", one.Name, nameAllowed)
-		_, twice := programs[one.Name]
-		v.check(!twice, object, "name", one.Name, "a name used once")
-		program, err := policy.Compile(one.Source)
+	for _, p := range declared {
+		object := ObjectKey{Kind: KindPolicy, Name: p.Name}
+		v.check(namePattern.MatchString(p.Name), object, "name", p.Name, nameAllowed)
+		_, duplicate := programs[p.Name]
+		v.check(!duplicate, object, "name", p.Name, "a name used once")
+		program, err := policy.Compile(p.Source)
 		if err != nil {
-			v.wrong = append(v.wrong, &ObjectError{Object: object, Cause: err})
+			v.errs = append(v.errs, &ObjectError{Object: object, Cause: err})
 		}
-		programs[one.Name] = program
+		programs[p.Name] = program
 	}
 	return programs
 }
 
-// takenKeys says which service or route has a host and prefix.
-type takenKeys map[string]string
+// routeKeyOwners maps each host and prefix to the service or route that has it.
+type routeKeyOwners map[string]string
 
-// take notes the keys of a route and refuses those that another has.
-func (t takenKeys) take(v *validator, object ObjectKey, route Route) {
+// claim adds the keys of a route and reports those that another route has.
+func (o routeKeyOwners) claim(v *validator, object ObjectKey, route Route) {
 	for _, key := range route.keys() {
-		other, taken := t[key]
-		v.check(!taken, object, "path_prefix", route.PathPrefix, "a host and prefix that nothing else has; "+other+" has it")
-		t[key] = object.Name
+		owner, claimed := o[key]
+		v.check(!claimed, object, "path_prefix", route.PathPrefix, "a host and prefix that nothing else has; "+owner+" has it")
+		o[key] = object.Name
 	}
 }
 
-func (v *validator) services(declared []Service, programs map[string]*policy.Program, taken takenKeys) map[string]Service {
+func (v *validator) services(declared []Service, programs map[string]*policy.Program, owners routeKeyOwners) map[string]Service {
 	services := make(map[string]Service, len(declared))
 	for _, service := range declared {
 		object := ObjectKey{Kind: KindService, Name: service.Name}
-		_, twice := services[service.Name]
-		v.check(!twice, object, "name", service.Name, "a name used once")
+		_, duplicate := services[service.Name]
+		v.check(!duplicate, object, "name", service.Name, "a name used once")
 		v.service(object, service, programs)
 		if !service.RoutesOnly {
-			taken.take(v, object, service.ownRoute())
+			owners.claim(v, object, service.ownRoute())
 		}
 		services[service.Name] = service
 	}
 	return services
 }
 
-func (v *validator) routes(declared []Route, services map[string]Service, programs map[string]*policy.Program, taken takenKeys) {
+func (v *validator) routes(declared []Route, services map[string]Service, programs map[string]*policy.Program, owners routeKeyOwners) {
 	checkRange(v, ObjectKey{Kind: "document", Name: "all"}, "routes", len(declared), 0, MaxRoutes)
-	names := make(map[string]bool, len(declared))
+	seen := make(map[string]bool, len(declared))
 	for _, route := range declared {
 		object := ObjectKey{Kind: KindRoute, Name: route.Name}
-		v.check(!names[route.Name], object, "name", route.Name, "a name used once")
-		names[route.Name] = true
+		v.check(!seen[route.Name], object, "name", route.Name, "a name used once")
+		seen[route.Name] = true
 		v.route(object, route, services, programs)
-		taken.take(v, object, route)
+		owners.claim(v, object, route)
 	}
 }
 
@@ -180,16 +180,16 @@
 
 func (v *validator) zones(declared []Zone) {
 	checkRange(v, ObjectKey{Kind: "document", Name: "all"}, "zones", len(declared), 0, MaxZones)
-	names := make(map[string]bool, len(declared))
+	seen := make(map[string]bool, len(declared))
 	for _, zone := range declared {
 		object := ObjectKey{Kind: KindZone, Name: zone.Name}
 		v.check(namePattern.MatchString(zone.Name), object, "name", zone.Name, nameAllowed)
-		v.check(!names[zone.Name], object, "name", zone.Name, "a name used once")
-		names[zone.Name] = true
+		v.check(!seen[zone.Name], object, "name", zone.Name, "a name used once")
+		seen[zone.Name] = true
 	}
 }
 
-// selector checks what selects requests.
+// selector checks the hosts and the path prefix that select requests.
 func (v *validator) selector(object ObjectKey, hosts []string, prefix string) {
 	v.check(prefix == "" || strings.HasPrefix(prefix, "/"), object, "path_prefix", prefix, "a path that begins with /")
 	for _, host := range hosts {
@@ -231,14 +231,14 @@
 }
 
 func (v *validator) placements(declared []Placement, services map[string]Service) {
-	placed := make(map[string]bool)
+	seen := make(map[string]bool)
 	backends := 0
 	for _, placement := range declared {
 		object := ObjectKey{Kind: KindPlacement, Name: placement.Service}
 		service, known := services[placement.Service]
 		v.check(known, object, "service", placement.Service, "the name of a declared service")
-		v.check(!placed[placement.Service], object, "service", placement.Service, "one placement for each service")
-		placed[placement.Service] = true
+		v.check(!seen[placement.Service], object, "service", placement.Service, "one placement for each service")
+		seen[placement.Service] = true
 		backends += len(placement.Backends)
 		v.backends(object, placement.Backends)
 		v.probeShare(object, service, placement.Backends)
@@ -247,11 +247,11 @@
 }
 
 func (v *validator) backends(object ObjectKey, backends []Backend) {
-	ids := make(map[string]bool)
+	seen := make(map[string]bool)
 	for _, backend := range backends {
 		v.check(namePattern.MatchString(backend.ID), object, "backend.id", backend.ID, nameAllowed)
-		v.check(!ids[backend.ID], object, "backend.id", backend.ID, "an id used once in the placement")
-		ids[backend.ID] = true
+		v.check(!seen[backend.ID], object, "backend.id", backend.ID, "an id used once in the placement")
+		seen[backend.ID] = true
 		address, err := netip.ParseAddrPort(backend.Address)
 		v.check(err == nil && address.Port() > 0, object, "backend.address", backend.Address, "IP:port")
 		checkRange(v, object, "backend.slots", backend.Slots, 0, MaxSlots)
@@ -259,19 +259,19 @@
 	}
 }
 
-// probeShare refuses a probe budget that takes too much of the slot time.
+// probeShare rejects a probe budget that takes more than MaxProbeShare of the slot time.
 func (v *validator) probeShare(object ObjectKey, service Service, backends []Backend) {
 	slots := 0
 	for _, backend := range backends {
 		slots += backend.EffectiveSlots(service)
 	}
-	taken := service.ProbesPerSecond * time.Duration(service.ProbeCost).Seconds()
-	allowed := MaxProbeShare * float64(slots)
-	v.check(slots == 0 || taken <= allowed, object, "probes_per_second", service.ProbesPerSecond,
+	used := service.ProbesPerSecond * time.Duration(service.ProbeCost).Seconds()
+	limit := MaxProbeShare * float64(slots)
+	v.check(slots == 0 || used <= limit, object, "probes_per_second", service.ProbesPerSecond,
 		fmt.Sprintf("probes_per_second x probe_cost at most %g of the placement's %d slots", MaxProbeShare, slots))
 }
 
-// EffectiveSlots returns the back end's slots with the defaults applied.
+// EffectiveSlots returns the back end's slots with defaults applied.
 func (b Backend) EffectiveSlots(service Service) int {
 	if b.Slots > 0 {
 		return b.Slots
