--- a/config/objects.go
+++ b/config/objects.go
@@ -53,7 +53,7 @@
 	// Slots is the number of requests that one back end processes at once; 0: 3.
 	Slots int `toml:"slots" json:"slots,omitempty"`
 	// MaxLoad bounds the requests of one daemon in flight at a back end, as a multiple
-	// of its slots; 0: learned, starting from twice the slots plus one.
+	// of its slots; 0: learned, at least twice the slots plus one.
 	MaxLoad float64 `toml:"max_load" json:"max_load,omitempty"`
 	// QueueLimit bounds the requests waiting at one daemon; 0: 1000.
 	QueueLimit int `toml:"queue_limit" json:"queue_limit,omitempty"`
--- a/identity/identity.go
+++ b/identity/identity.go
@@ -1,8 +1,8 @@
-// Package identity finds out whose request a request is.
+// Package identity identifies the tenant of a request.
 //
 // A request carries the key of a tenant as "Authorization: Bearer KEY". The key is hashed
-// as soon as it is read, and neither logged nor passed on; whoever goes on with the
-// request is given the tenant. Everything here is pure.
+// as soon as it is read, and neither logged nor passed on; later stages of request processing
+// get only the tenant. The functions of this package have no side effects.
 package identity
 
 import (
@@ -14,25 +14,25 @@
 	"github.com/tuliphall/tuliphall/config"
 )
 
-// HeaderAuthorization carries the key of a tenant.
+// HeaderAuthorization is the header that carries the key of a tenant.
 const HeaderAuthorization = "Authorization"
 
-// AuthScheme is what a caller without a valid key is told to send (RFC 6750).
+// AuthScheme is the authentication scheme (RFC 6750), also sent as the challenge to a caller without a valid key.
 const AuthScheme = "Bearer"
 
-// Why a request has no usable key. No error repeats what the caller sent.
+// Reasons why a request has no valid key. No error contains what the caller sent.
 const (
 	// ErrNoKey: the header is missing or empty.
 	ErrNoKey = errors.ConstError("the request carries no key: send the header " + HeaderAuthorization + ": " + AuthScheme + " KEY")
-	// ErrRepeatedKey: the header is there more than once, so that others could read another key.
+	// ErrRepeatedKey: the header occurs more than once, so that other software could read a different key.
 	ErrRepeatedKey = errors.ConstError("the request carries the header " + HeaderAuthorization + " more than once")
-	// ErrMalformedKey: the header is not the word Bearer, blanks, and a key.
+	// ErrMalformedKey: the header is not the word Bearer, spaces and a key.
 	ErrMalformedKey = errors.ConstError("the header " + HeaderAuthorization + " is not " + AuthScheme + " and a key of 1 to 512 printable characters")
 	// ErrUnknownKey: no tenant has the key.
 	ErrUnknownKey = errors.ConstError("no tenant has the key")
 )
 
-// KeyFromHeader returns the hash of the key that a request carries. It does not allocate.
+// KeyFromHeader returns the hash of the key in the header of a request. It does not allocate.
 func KeyFromHeader(header http.Header) (config.KeyHash, error) {
 	values := header[HeaderAuthorization]
 	switch {
@@ -43,14 +43,14 @@
 	}
 	scheme, key, _ := strings.Cut(values[0], " ")
 	key = strings.Trim(key, " ")
-	if !strings.EqualFold(scheme, AuthScheme) || !usable(key) {
+	if !strings.EqualFold(scheme, AuthScheme) || !wellFormed(key) {
 		return config.KeyHash{}, ErrMalformedKey
 	}
 	return config.HashKey(key), nil
 }
 
-// usable says whether a key is short enough and all printable, without blanks.
-func usable(key string) bool {
+// wellFormed reports whether a key has 1 to config.MaxKeyBytes printable ASCII characters without spaces.
+func wellFormed(key string) bool {
 	if key == "" || len(key) > config.MaxKeyBytes {
 		return false
 	}
@@ -62,17 +62,18 @@
 	return true
 }
 
-// Caller is who sent a request. The zero value is a caller that is not known.
+// Caller is the sender of a request. The zero value is an unknown caller.
 type Caller struct {
-	// Tenant is whose key the request carries; nil: it needs none, or no tenants are declared.
+	// Tenant is the owner of the key in the request; nil: the route is public and the key missing or
+	// unknown, or no tenants are declared.
 	Tenant *config.Tenant
 	key    config.KeyHash
-	// told: another daemon has looked at the key.
-	told bool
+	// forwarded: another daemon has checked the key.
+	forwarded bool
 }
 
-// Identify returns whose request it is. Where tenants are declared, the error says why
-// a request must not be served; on a public route a key that is not known is no error.
+// Identify returns the caller of a request. If tenants are declared, the error is the reason
+// why the request must not be served; on a public route a missing or invalid key is no error.
 func Identify(snapshot *config.Snapshot, header http.Header, public bool) (Caller, error) {
 	if !snapshot.HasTenants() {
 		return Caller{}, nil
@@ -90,17 +91,17 @@
 	return Caller{}, err
 }
 
-// IdentifyForwarded returns the caller of a request that another daemon has looked at and passes on,
-// and false where the tenant is not known here. An empty name stands for no tenant.
+// IdentifyForwarded returns the caller of a request that another daemon has identified and forwards,
+// and false if this daemon does not know the tenant. An empty name means no tenant.
 func IdentifyForwarded(snapshot *config.Snapshot, name string) (Caller, bool) {
 	if name == "" {
-		return Caller{told: true}, true
+		return Caller{forwarded: true}, true
 	}
 	tenant, known := snapshot.TenantByName(name)
-	return Caller{Tenant: tenant, told: true}, known
+	return Caller{Tenant: tenant, forwarded: true}, known
 }
 
-// TenantName returns the name of the tenant; empty: there is none.
+// TenantName returns the name of the tenant; empty: no tenant.
 func (c Caller) TenantName() string {
 	if c.Tenant == nil {
 		return ""
@@ -108,18 +109,18 @@
 	return c.Tenant.Name
 }
 
-// RateLimited says whether the tenant's requests are counted.
+// RateLimited reports whether the tenant has a rate limit.
 func (c Caller) RateLimited() bool {
 	return c.Tenant != nil && c.Tenant.Rate > 0
 }
 
-// StillValid says whether the caller would still be identified alike: the key of a request that
-// waits may be withdrawn meanwhile.
+// StillValid reports whether the caller would still be identified as the same tenant: the key of a
+// waiting request may be revoked in the meantime.
 func (c Caller) StillValid(snapshot *config.Snapshot) bool {
 	if c.Tenant == nil {
 		return true
 	}
-	if c.told {
+	if c.forwarded {
 		_, known := snapshot.TenantByName(c.Tenant.Name)
 		return known
 	}
--- a/objectstore/eras.go
+++ b/objectstore/eras.go
@@ -8,77 +8,77 @@
 	"github.com/juju/errors"
 )
 
-// errEarlierEra is the cause given where an answer is of an era that has ended. A write that was answered so
+// errEarlierEra is the cause of the error for a response from an era that has ended. A write that got such a response
 // may be lost.
-const errEarlierEra = errors.ConstError("answer of an earlier era of the store")
+const errEarlierEra = errors.ConstError("response from an earlier era of the store")
 
-// EraTracker follows which era a store is in, as its answers and other daemons tell. The zero value is in the first
-// era. It is safe for concurrent use.
+// EraTracker tracks the era of a store from the store's responses and from what other daemons report. The zero value is
+// in the first era. It is safe for concurrent use.
 type EraTracker struct {
-	mutex      sync.Mutex
-	log        *slog.Logger // nil: nothing is logged
-	newest     uint64
-	known      bool // some answer or daemon has told an era
-	unreadable bool // a header that cannot be read was logged
+	mutex         sync.Mutex
+	log           *slog.Logger // nil: nothing is logged
+	latest        uint64
+	known         bool // a response or another daemon has reported an era
+	loggedInvalid bool // an invalid header has been logged
 }
 
-// SetLogger sets where a new era is logged.
+// SetLogger sets the logger for new eras and invalid headers.
 func (e *EraTracker) SetLogger(log *slog.Logger) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.log = log
 }
 
-// Latest returns the highest era told.
+// Latest returns the highest era that was observed.
 func (e *EraTracker) Latest() uint64 {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.newest
+	return e.latest
 }
 
-// ObserveHeader returns the era of an answer with this header, which is the newest one where the header is missing or
-// cannot be read. The error is ErrOutcomeUnknown where a later era has begun since.
+// ObserveHeader records and returns the era in the header of a response. If the header is missing or invalid, it returns
+// the latest era. The error is ErrOutcomeUnknown if a later era has already been observed.
 func (e *EraTracker) ObserveHeader(header string) (uint64, error) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if header == "" {
-		return e.newest, nil
+		return e.latest, nil
 	}
 	era, err := strconv.ParseUint(header, 10, 64)
 	if err != nil || era > MaxEra {
-		e.noteUnreadable(header)
-		return e.newest, nil
+		e.logInvalidHeader(header)
+		return e.latest, nil
 	}
-	if e.known && era < e.newest {
+	if e.known && era < e.latest {
 		return era, errors.WithType(errEarlierEra, ErrOutcomeUnknown)
 	}
-	e.rise(era, "answer")
+	e.advance(era, "answer")
 	return era, nil
 }
 
-// ObserveEra notes an era that another daemon has seen.
+// ObserveEra records an era that another daemon has observed.
 func (e *EraTracker) ObserveEra(era uint64) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if era > e.newest {
-		e.rise(era, "another daemon")
+	if era > e.latest {
+		e.advance(era, "another daemon")
 	}
 }
 
-// rise notes an era that is no earlier than the newest one. The caller holds the mutex.
-func (e *EraTracker) rise(era uint64, source string) {
-	if e.known && era > e.newest && e.log != nil {
-		e.log.Warn("the store came back older: what it acknowledged last may be lost", "era", era, "era_before", e.newest, "source", source)
+// advance records an era that is not earlier than the latest one. The caller holds the mutex.
+func (e *EraTracker) advance(era uint64, source string) {
+	if e.known && era > e.latest && e.log != nil {
+		e.log.Warn("the store came back older: what it acknowledged last may be lost", "era", era, "era_before", e.latest, "source", source)
 	}
-	e.newest, e.known = era, true
+	e.latest, e.known = era, true
 }
 
-// noteUnreadable logs the first header that cannot be read. The caller holds the mutex.
-func (e *EraTracker) noteUnreadable(header string) {
-	const quoted = 40
-	if e.unreadable || e.log == nil {
+// logInvalidHeader logs the first invalid header. The caller holds the mutex.
+func (e *EraTracker) logInvalidHeader(header string) {
+	const maxLogged = 40
+	if e.loggedInvalid || e.log == nil {
 		return
 	}
-	e.unreadable = true
-	e.log.Warn("era of the store cannot be read", "value", header[:min(len(header), quoted)])
+	e.loggedInvalid = true
+	e.log.Warn("invalid era in a response of the store", "value", header[:min(len(header), maxLogged)])
 }
--- a/objectstore/http.go
+++ b/objectstore/http.go
@@ -18,7 +18,7 @@
 	"github.com/tuliphall/tuliphall/network"
 )
 
-// Paths, headers and parameters of the object API over HTTP.
+// Paths, headers and query parameters of the object API over HTTP.
 const (
 	ObjectsPath   = "/v1/objects/"
 	MachinesPath  = "/v1/machines"
@@ -30,7 +30,7 @@
 	ParamWait     = "wait"
 )
 
-// Client speaks the object API and the machine list over HTTP.
+// Client is an HTTP client of the object API and the machine list.
 type Client struct {
 	base   string
 	caller string
@@ -38,19 +38,19 @@
 	eras   EraTracker
 }
 
-// NewClient returns a client for the platform at base (a URL). caller names
-// this process in the platform's own counts.
-func NewClient(over network.Network, base, caller string) *Client {
+// NewClient returns a client for the platform at the URL base. caller identifies
+// this process in the platform's request counts.
+func NewClient(dialer network.Network, base, caller string) *Client {
 	transport := &http.Transport{
 		DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
-			return over.Dial(ctx, address)
+			return dialer.Dial(ctx, address)
 		},
 		IdleConnTimeout: idleTimeout,
 	}
 	return &Client{base: base, caller: caller, client: &http.Client{Transport: transport}}
 }
 
-// idleTimeout closes unused connections to the platform.
+// idleTimeout is the time after which unused connections to the platform are closed.
 const idleTimeout = 30 * time.Second
 
 // Close closes unused connections.
@@ -58,7 +58,7 @@
 	c.client.CloseIdleConnections()
 }
 
-// SetLogger sets where a new era of the store is logged.
+// SetLogger sets the logger for new eras of the store.
 func (c *Client) SetLogger(log *slog.Logger) {
 	c.eras.SetLogger(log)
 }
@@ -91,7 +91,7 @@
 	if err != nil {
 		return Object{}, err
 	}
-	version, err := versionOf(response)
+	version, err := responseVersion(response)
 	if err != nil {
 		return Object{}, err
 	}
@@ -107,7 +107,7 @@
 	if err != nil {
 		return 0, err
 	}
-	return versionOf(response)
+	return responseVersion(response)
 }
 
 // Delete implements Store.
@@ -116,20 +116,20 @@
 	return err
 }
 
-// listed is one object in the answer to a list call.
-type listed struct {
+// listItem is one object in the response to a list call.
+type listItem struct {
 	Name    string  `json:"name"`
 	Version Version `json:"version"`
 	Value   []byte  `json:"value"`
 }
 
-// EncodeList writes the body of a list answer.
+// EncodeList writes the body of the response to a list call.
 func EncodeList(w io.Writer, objects []Object) error {
-	rows := make([]listed, 0, len(objects))
+	items := make([]listItem, 0, len(objects))
 	for _, object := range objects {
-		rows = append(rows, listed{Name: object.Key.Name, Version: object.Version, Value: object.Value})
+		items = append(items, listItem{Name: object.Key.Name, Version: object.Version, Value: object.Value})
 	}
-	return json.NewEncoder(w).Encode(rows)
+	return json.NewEncoder(w).Encode(items)
 }
 
 // List implements Store.
@@ -138,13 +138,13 @@
 	if err != nil {
 		return nil, err
 	}
-	var rows []listed
-	if err := json.Unmarshal(body, &rows); err != nil {
-		return nil, errors.Annotate(ErrUnavailable, "reading a list: "+err.Error())
+	var items []listItem
+	if err := json.Unmarshal(body, &items); err != nil {
+		return nil, errors.Annotate(ErrUnavailable, "decoding an object list: "+err.Error())
 	}
-	objects := make([]Object, 0, len(rows))
-	for _, row := range rows {
-		objects = append(objects, Object{Key: Key{Kind: kind, Name: row.Name}, Version: row.Version, Value: row.Value})
+	objects := make([]Object, 0, len(items))
+	for _, item := range items {
+		objects = append(objects, Object{Key: Key{Kind: kind, Name: item.Name}, Version: item.Version, Value: item.Value})
 	}
 	return objects, nil
 }
@@ -157,19 +157,19 @@
 	}
 	var machines []Machine
 	if err := json.Unmarshal(body, &machines); err != nil {
-		return nil, errors.Annotate(ErrUnavailable, "reading the machine list: "+err.Error())
+		return nil, errors.Annotate(ErrUnavailable, "decoding the machine list: "+err.Error())
 	}
 	return machines, nil
 }
 
-// do makes one call and turns the HTTP status into one of the package's errors.
+// do sends one request and maps the HTTP status of the response to one of the package's errors.
 func (c *Client) do(ctx context.Context, method, path string, body []byte, expected *Version) (*http.Response, []byte, error) {
 	request, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
 	if err != nil {
-		return nil, nil, errors.Annotate(err, "platform address")
+		return nil, nil, errors.Annotate(err, "creating the request to the platform")
 	}
-	// A write that is resent by the transport could hide that the first one
-	// took effect, so the transport is given a body it cannot rewind.
+	// If the transport resent a write, the conflict with the first attempt would hide that
+	// the first one took effect. Without GetBody it cannot resend the body.
 	request.GetBody = nil
 	request.Header.Set(HeaderCaller, c.caller)
 	if expected != nil {
@@ -177,23 +177,23 @@
 	}
 	response, err := c.client.Do(request)
 	if err != nil {
-		return nil, nil, noAnswer(ctx, err)
+		return nil, nil, noResponse(ctx, err)
 	}
 	defer response.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(response.Body, 4*MaxValueBytes))
+	responseBody, err := io.ReadAll(io.LimitReader(response.Body, 4*MaxValueBytes))
 	if err != nil {
-		return nil, nil, noAnswer(ctx, err)
+		return nil, nil, noResponse(ctx, err)
 	}
 	if _, err := c.eras.ObserveHeader(response.Header.Get(HeaderEra)); err != nil {
 		return nil, nil, err
 	}
-	if err := statusError(response.StatusCode, answer); err != nil {
+	if err := statusError(response.StatusCode, responseBody); err != nil {
 		return nil, nil, err
 	}
-	return response, answer, nil
+	return response, responseBody, nil
 }
 
-func noAnswer(ctx context.Context, err error) error {
+func noResponse(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return errors.WithType(ctx.Err(), ErrOutcomeUnknown)
 	}
@@ -211,9 +211,9 @@
 	case http.StatusRequestEntityTooLarge:
 		return ErrTooLarge
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		return errors.WithType(fmt.Errorf("platform answered %d: %s", status, bytes.TrimSpace(body)), ErrUnavailable)
+		return errors.WithType(fmt.Errorf("platform responded with status %d: %s", status, bytes.TrimSpace(body)), ErrUnavailable)
 	default:
-		return errors.WithType(fmt.Errorf("platform answered %d: %s", status, bytes.TrimSpace(body)), ErrOutcomeUnknown)
+		return errors.WithType(fmt.Errorf("platform responded with status %d: %s", status, bytes.TrimSpace(body)), ErrOutcomeUnknown)
 	}
 }
 
@@ -221,10 +221,10 @@
 	return ObjectsPath + url.PathEscape(key.Kind) + "/" + url.PathEscape(key.Name)
 }
 
-func versionOf(response *http.Response) (Version, error) {
+func responseVersion(response *http.Response) (Version, error) {
 	number, err := strconv.ParseUint(response.Header.Get(HeaderVersion), 10, 64)
 	if err != nil {
-		return 0, errors.Annotate(ErrOutcomeUnknown, "answer without "+HeaderVersion)
+		return 0, errors.Annotate(ErrOutcomeUnknown, "response without a valid "+HeaderVersion)
 	}
 	return Version(number), nil
 }
--- a/objectstore/memory.go
+++ b/objectstore/memory.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Memory is a Store and a Machines that lives in this process. Standalone mode
-// and the lab's stand-in for the platform are built on it; it keeps nothing.
+// Memory is an in-memory implementation of Store and Machines, without persistence. Standalone
+// mode and the lab's platform stub use it.
 type Memory struct {
 	mutex    sync.Mutex
 	era      uint64
@@ -47,7 +47,7 @@
 	}
 	m.latest++
 	m.objects[key] = Object{Key: key, Version: m.latest, Value: append([]byte(nil), value...)}
-	m.wake()
+	m.notify()
 	return m.latest, nil
 }
 
@@ -64,7 +64,7 @@
 	}
 	m.latest++
 	delete(m.objects, key)
-	m.wake()
+	m.notify()
 	return nil
 }
 
@@ -110,34 +110,34 @@
 	return m.era
 }
 
-// ObserveEra implements Store: nobody knows of more eras than the store itself.
+// ObserveEra implements Store. It does nothing, because only the store itself begins eras.
 func (m *Memory) ObserveEra(uint64) {}
 
-// Snapshot is what a Memory held at a moment.
+// Snapshot is the state of a Memory at one time.
 type Snapshot struct {
 	objects map[Key]Object
 	latest  Version
 }
 
-// Snapshot returns what the store holds now.
+// Snapshot returns the current state of the store.
 func (m *Memory) Snapshot() Snapshot {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return Snapshot{objects: maps.Clone(m.objects), latest: m.latest}
 }
 
-// RollBack loses what was written since the copy was taken, and begins the next era.
-func (m *Memory) RollBack(from Snapshot) {
+// RollBack restores a snapshot, so that all later writes are lost, and begins the next era.
+func (m *Memory) RollBack(snapshot Snapshot) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.era++
-	m.objects = maps.Clone(from.objects)
-	m.latest = NewVersion(m.era, from.latest.Revision())
-	m.wake()
+	m.objects = maps.Clone(snapshot.objects)
+	m.latest = NewVersion(m.era, snapshot.latest.Revision())
+	m.notify()
 }
 
-// wake releases every waiting watch. The caller holds the mutex.
-func (m *Memory) wake() {
+// notify wakes up all waiting watches. The caller holds the mutex.
+func (m *Memory) notify() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
--- a/objectstore/version.go
+++ b/objectstore/version.go
@@ -2,20 +2,20 @@
 
 import "fmt"
 
-// revisionBits is how many of a Version's bits count the writes of one era.
+// revisionBits is the number of low bits of a Version that hold the revision within an era.
 const revisionBits = 44
 
-// MaxEra is the highest era that a Version can hold.
+// MaxEra is the highest era that a Version can represent.
 const MaxEra = 1<<(64-revisionBits) - 1
 
 // Version orders writes. 0 means that an object does not exist.
 //
-// A store may come back from an older copy of its data: it then loses what it acknowledged last, and gives out
-// the same revisions again. Each such return begins an era. A version holds the era and the revision in it, so that
-// whatever is written after a return has a higher version than all that was written before.
+// A store may be restored from an older backup: it then loses the writes that it acknowledged last and assigns the same
+// revisions again. Each such store rollback begins a new era. A version consists of the era and the revision within it, so
+// that every write after a rollback has a higher version than all writes before it.
 type Version uint64
 
-// NewVersion returns the version of a revision in an era.
+// NewVersion returns the version of a revision within an era.
 func NewVersion(era, revision uint64) Version {
 	return Version(era<<revisionBits | revision)
 }
@@ -30,7 +30,7 @@
 	return uint64(v) & (1<<revisionBits - 1)
 }
 
-// String writes the era before the revision, unless it is the first.
+// String returns "era/revision", or only the revision in era 0.
 func (v Version) String() string {
 	if v.Era() == 0 {
 		return fmt.Sprint(v.Revision())
--- a/settings/changes.go
+++ b/settings/changes.go
@@ -2,30 +2,30 @@
 
 import "reflect"
 
-// Changes are the settings that differ between two, by their keys in the file.
+// Changes lists, by their keys in the file, the settings that differ between two Settings.
 type Changes struct {
-	Applicable  []string // a running daemon takes them over
+	Applicable  []string // a running daemon can apply them
 	NeedRestart []string
 }
 
-// Compare returns what differs between the settings in force and new ones.
+// Compare returns the differences between the settings in force and new ones.
 func Compare(present, next Settings) Changes {
 	var changes Changes
-	taken := present.Reloaded(next)
-	compare(reflect.ValueOf(present), reflect.ValueOf(next), reflect.ValueOf(taken), "", &changes)
+	reloaded := present.Reloaded(next)
+	compare(reflect.ValueOf(present), reflect.ValueOf(next), reflect.ValueOf(reloaded), "", &changes)
 	return changes
 }
 
-// compare adds the changes of a table; taken is what a running daemon has afterwards.
-func compare(present, next, taken reflect.Value, table string, changes *Changes) {
+// compare adds the changes of a table; reloaded holds the settings of a running daemon after a reload.
+func compare(present, next, reloaded reflect.Value, table string, changes *Changes) {
 	for index := range present.NumField() {
 		key := table + present.Type().Field(index).Tag.Get("toml")
-		before, after, kept := present.Field(index), next.Field(index), taken.Field(index)
+		before, after, applied := present.Field(index), next.Field(index), reloaded.Field(index)
 		switch {
 		case before.Kind() == reflect.Struct:
-			compare(before, after, kept, key+".", changes)
+			compare(before, after, applied, key+".", changes)
 		case reflect.DeepEqual(before.Interface(), after.Interface()):
-		case reflect.DeepEqual(kept.Interface(), after.Interface()):
+		case reflect.DeepEqual(applied.Interface(), after.Interface()):
 			changes.Applicable = append(changes.Applicable, key)
 		default:
 			changes.NeedRestart = append(changes.NeedRestart, key)
@@ -33,8 +33,8 @@
 	}
 }
 
-// Reloaded returns the present settings with what a running daemon can take over of
-// new ones. Others need a restart.
+// Reloaded returns the settings with those of next that a running daemon can apply. The
+// others need a restart.
 func (s Settings) Reloaded(next Settings) Settings {
 	s.Peers, s.Stop = next.Peers, next.Stop
 	s.Log.Level, s.Log.Decisions = next.Log.Level, next.Log.Decisions
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads and checks the daemon's own settings: what it must
-// know before it can learn the configuration from the platform.
+// Package settings reads and validates the daemon's own settings, which it needs
+// before it can get the configuration from the platform.
 package settings
 
 import (
@@ -23,20 +23,20 @@
 type Settings struct {
 	// Name identifies the daemon among all daemons.
 	Name string `toml:"name"`
-	// Region and Zone say where the machine stands.
+	// Region and Zone are the location of the machine.
 	Region string `toml:"region"`
 	Zone   string `toml:"zone"`
 
-	// Zones says in which region each zone lies; one that is not named lies in the own region. Back ends
-	// of other regions are used for what the own ones cannot work on.
+	// Zones maps zones to their regions; zones that are not listed are in the daemon's own region. Back ends
+	// of other regions get the requests for which the own region has no capacity.
 	Zones map[string]string `toml:"zones"`
 
-	// Cores is how much processor time the machine gives the daemon, in cores. What one
-	// daemon does for all is done by those with the most; 0: unknown, as little as any.
+	// Cores is the processor time available to the daemon, in cores. Tasks that one daemon
+	// performs for all are assigned to those with the most; 0: unknown, ranks lowest.
 	Cores float64 `toml:"cores"`
 
-	// Peers are peer addresses of other daemons to ask at the start, besides
-	// those on the platform's machine list.
+	// Peers holds the peer addresses of other daemons to contact at startup, in
+	// addition to those on the platform's machine list.
 	Peers []string `toml:"peers"`
 
 	Listen     Listen     `toml:"listen"`
@@ -47,143 +47,144 @@
 	Log        Log        `toml:"log"`
 }
 
-// Listen holds the addresses the daemon listens on, each IP:port.
+// Listen holds the addresses on which the daemon listens, each as IP:port.
 type Listen struct {
-	// Caller takes callers' requests.
+	// Caller accepts requests of callers.
 	Caller string `toml:"caller"`
-	// Peer takes messages of other daemons.
+	// Peer accepts messages of other daemons.
 	Peer string `toml:"peer"`
-	// Forward takes requests that other daemons forward. It must not be
-	// reachable for callers.
+	// Forward accepts requests that other daemons forward. Callers must not be
+	// able to reach it.
 	Forward string `toml:"forward"`
-	// Admin takes operators' commands, health checks and metrics.
+	// Admin accepts commands of operators, health checks and metrics requests.
 	Admin string `toml:"admin"`
-	// Metrics serves the metrics alone, for those who may not command; empty: only
-	// Admin does.
+	// Metrics serves only the metrics, for clients that must not send commands; empty:
+	// only Admin serves them.
 	Metrics string `toml:"metrics"`
 }
 
-// Platform says where the platform's services are.
+// Platform configures the access to the platform's services.
 type Platform struct {
 	// Address is a URL; empty only in standalone mode.
 	Address string `toml:"address"`
-	// Protocol is how the platform is spoken to: ProtocolOwn or
-	// ProtocolObjects; empty: ProtocolOwn.
+	// Protocol is the protocol of the platform, ProtocolOwn or ProtocolObjects;
+	// empty: ProtocolOwn.
 	Protocol string `toml:"protocol"`
-	// Timeout bounds one call; 0: 2s.
+	// Timeout limits the duration of one call; 0: 2s.
 	Timeout config.Duration `toml:"timeout"`
-	// MaxBackoff bounds the pause after failed calls; 0: 15s.
+	// MaxBackoff limits the backoff after failed calls; 0: 15s.
 	MaxBackoff config.Duration `toml:"max_backoff"`
-	// Watchers is how many daemons watch the configuration; 0: 3; AllWatch:
-	// every daemon.
+	// Watchers is the number of daemons that watch the configuration; 0: 3;
+	// AllWatch: every daemon.
 	Watchers int `toml:"watchers"`
-	// WatchInterval is the least time between two watches of one kind of
-	// object; 0: none.
+	// WatchInterval is the minimum time between two watches of one kind of
+	// object; 0: no minimum.
 	WatchInterval config.Duration `toml:"watch_interval"`
 	// WatchGap is the time between the renewals of two daemons' watches, so
-	// that news which some miss is heard by another soon; 0: each waits as long
-	// as it may.
+	// that a change that some daemons miss is soon seen by another; 0: each
+	// watch waits as long as allowed.
 	WatchGap config.Duration `toml:"watch_gap"`
-	// FirstStart says that the whole system starts for the first time: what is
-	// declared first is told to the daemon, which need not read the store.
+	// FirstStart: the whole system starts for the first time. The daemon gets the
+	// first declared objects from operators and need not read the store.
 	FirstStart bool `toml:"first_start"`
-	// Direct lets each daemon choose back ends by itself, where the platform
+	// Direct: each daemon chooses back ends independently if the platform
 	// declares the services; false: it asks the service's dispatcher.
 	Direct bool `toml:"direct"`
-	// RetryRatio is the share of a service's requests that the platform lets
-	// all daemons together send once more; 0: the default of retry.Budget.
+	// RetryRatio is the ratio of additional attempts to requests of a service
+	// that the platform allows all daemons together; 0: the default of
+	// retry.Budget.
 	RetryRatio float64 `toml:"retry_ratio"`
-	// RetryBurst is how many more than that they may send in a short time; 0:
-	// the default of retry.Budget for each daemon.
+	// RetryBurst is the number of attempts beyond this ratio that they may send in
+	// a short time; 0: the default of retry.Budget for each daemon.
 	RetryBurst float64 `toml:"retry_burst"`
-	// Rollouts says whether operators order rollouts on the platform, which are then followed.
+	// Rollouts: operators order rollouts on the platform, and the daemon performs them.
 	Rollouts bool `toml:"rollouts"`
-	// ProbesPerBackend is what the platform lets all daemons together send to a back
-	// end in a second; 0: no probes.
+	// ProbesPerBackend is the number of probes per second that the platform allows all
+	// daemons together for one back end; 0: no probes.
 	ProbesPerBackend float64 `toml:"probes_per_backend"`
-	// Connections bounds one daemon's connections to a back end that the
+	// Connections bounds the connections of one daemon to a back end that the
 	// platform lists; 0: config.DefaultConnections.
 	Connections int `toml:"connections"`
-	// WritesPerSecond bounds this daemon's writes; 0: 20.
+	// WritesPerSecond limits this daemon's writes to the platform; 0: 20.
 	WritesPerSecond float64 `toml:"writes_per_second"`
 }
 
-// Quarantine says when requests under which back ends end are held back.
+// Quarantine configures when requests that crash back ends are quarantined.
 type Quarantine struct {
-	// Endings is how many back ends end under a request before it is held back; 0: 3.
+	// Endings is the number of back ends that a request must crash to be quarantined; 0: 3.
 	Endings int `toml:"endings"`
-	// Hold is how long it is held back; 0: 1h.
+	// Hold is the duration of the quarantine; 0: 1h.
 	Hold config.Duration `toml:"hold"`
-	// Memory is for how long such endings count together; 0: 15m.
+	// Memory is the time window within which crashes are counted together; 0: 15m.
 	Memory config.Duration `toml:"memory"`
 }
 
-// Policy returns the settings as package quarantine has them.
+// Policy converts the settings to those of package quarantine.
 func (q Quarantine) Policy() quarantine.Policy {
 	return quarantine.Policy{CrashThreshold: q.Endings, Duration: time.Duration(q.Hold), CrashWindow: time.Duration(q.Memory)}
 }
 
-// provision fills in the defaults.
-func (q *Quarantine) provision() {
+// setDefaults sets the defaults of settings that are zero.
+func (q *Quarantine) setDefaults() {
 	q.Endings = cmp.Or(q.Endings, quarantine.DefaultCrashThreshold)
 	q.Hold = cmp.Or(q.Hold, config.Duration(quarantine.DefaultDuration))
 	q.Memory = cmp.Or(q.Memory, config.Duration(quarantine.DefaultCrashWindow))
 }
 
-// Pipelining bounds the requests that are worked on before those ahead of them on their
-// connection are answered.
+// Pipelining limits the requests that are processed before the earlier requests on the same
+// connection have been answered.
 type Pipelining struct {
-	// Requests is how many of one connection may be, besides the one that is answered
+	// Requests is the maximum per connection, not counting the request that is answered
 	// next; 0: 16; NoPipelining: none.
 	Requests int `toml:"requests"`
-	// Total is how many of all connections may be; 0: 256.
+	// Total is the maximum over all connections; 0: 256.
 	Total int `toml:"total"`
-	// RequestBytes bounds what is read ahead on a connection; 0: 65536.
+	// RequestBytes limits the bytes read ahead on a connection; 0: 65536.
 	RequestBytes int `toml:"request_bytes"`
-	// AnswerBytes bounds what is kept of an answer until its turn comes; 0: 32768.
+	// AnswerBytes limits the bytes of a response that are buffered until it can be sent; 0: 32768.
 	AnswerBytes int `toml:"answer_bytes"`
 }
 
-// NoPipelining as the number of requests lets each wait for those ahead of it.
+// NoPipelining as Pipelining.Requests disables pipelining: each request waits for the earlier ones.
 const NoPipelining = -1
 
-// Stop says how a planned stop goes.
+// Stop configures the graceful shutdown of the daemon.
 type Stop struct {
-	// Notice is how long the daemon goes on accepting after it says that it
-	// is not ready, so that the platform's balancer notices; 0: 2s.
+	// Notice is the time for which the daemon continues to accept requests after it
+	// reports that it is not ready, so that the platform's balancer notices; 0: 2s.
 	Notice config.Duration `toml:"notice"`
-	// Sessions is how long upgraded connections and streams may go on;
-	// 0: until they end.
+	// Sessions limits the time for which upgraded connections and streams may
+	// continue; 0: unlimited.
 	Sessions config.Duration `toml:"sessions"`
-	// Within is how long after the signal the platform ends the process; Notice and
-	// Sessions are shortened to fit in. 0: they are not.
+	// Within is the time after the signal at which the platform kills the process. Notice
+	// and Sessions are shortened to fit. 0: they are not.
 	Within config.Duration `toml:"within"`
 }
 
-// Log says what is logged and how.
+// Log configures logging.
 type Log struct {
 	// Level is debug, info, warn or error; empty: info.
 	Level string `toml:"level"`
 	// Format is text or json; empty: text.
 	Format string `toml:"format"`
-	// Decisions logs a line for each routing decision; false: only counted.
+	// Decisions: each routing decision is logged; false: decisions are only counted.
 	Decisions bool `toml:"decisions"`
-	// LinesPerSecond and BytesPerSecond bound the log; 0: 1000 lines, 300000 bytes.
-	// Lines of requests that went well may use half of that.
+	// LinesPerSecond and BytesPerSecond limit the log volume; 0: 1000 lines, 300000 bytes.
+	// Lines about successful requests may use half of that.
 	LinesPerSecond int `toml:"lines_per_second"`
 	BytesPerSecond int `toml:"bytes_per_second"`
 }
 
-// The protocols of a platform.
+// Platform protocols.
 const (
 	// ProtocolOwn is the object API and machine list of package objectstore.
 	ProtocolOwn = "own"
-	// ProtocolObjects is the store of package platform, which also declares
+	// ProtocolObjects is the store API of package platform, which also declares
 	// the services and lists the back ends.
 	ProtocolObjects = "objects"
 )
 
-// AllWatch as the number of watchers lets every daemon watch.
+// AllWatch as Platform.Watchers lets every daemon watch the configuration.
 const AllWatch = -1
 
 // Defaults and bounds.
@@ -196,13 +197,13 @@
 	DefaultLinesPerSecond  = 1000
 	DefaultBytesPerSecond  = 300_000
 
-	// DefaultPipelined lets a caller that sends that many at once wait once instead of
-	// that many times, and take no more of the back ends than that many callers would.
+	// DefaultPipelined is the number of requests that a caller can send at once and wait for
+	// only once, while it takes no more of the back ends than that many callers would.
 	DefaultPipelined = 16
-	// DefaultPipelinedTotal answers of DefaultAnswerBytes take 8 MiB.
+	// DefaultPipelinedTotal responses of DefaultAnswerBytes take 8 MiB.
 	DefaultPipelinedTotal = 256
 	DefaultAnswerBytes    = 32 << 10
-	// DefaultRequestBytes is as long as the head of one request may be.
+	// DefaultRequestBytes is the maximum size of the head of one request.
 	DefaultRequestBytes = 64 << 10
 
 	maxPipelined      = 1000
@@ -219,8 +220,9 @@
 	minWithin   = config.Duration(time.Second)
 	maxSessions = config.Duration(7 * 24 * time.Hour)
 
-	// stopMargin is for what comes after the last request of a planned stop.
-	stopMargin = config.Duration(300 * time.Millisecond)
+	// shutdownMargin is the time reserved for the steps of a graceful shutdown that follow the
+	// last request.
+	shutdownMargin = config.Duration(300 * time.Millisecond)
 
 	minLogLines, maxLogLines = 10, 1_000_000
 	minLogBytes, maxLogBytes = 10_000, 1_000_000_000
@@ -228,16 +230,17 @@
 
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?$`)
 
-// Load reads, completes and checks a settings file.
+// Load reads a settings file, sets defaults and validates the settings.
 func Load(path string) (Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return Settings{}, errors.Annotate(err, "settings")
+		return Settings{}, errors.Annotate(err, "reading the settings")
 	}
 	return Decode(path, text)
 }
 
-// Decode reads settings from a text; name stands for it in errors.
+// Decode decodes settings from a text, sets defaults and validates the settings. name
+// identifies the text in errors.
 func Decode(name string, text []byte) (Settings, error) {
 	var settings Settings
 	if err := config.DecodeStrictTOML(name, text, &settings); err != nil {
@@ -250,7 +253,7 @@
 	return settings, nil
 }
 
-// SetDefaults fills in the defaults.
+// SetDefaults sets the defaults of settings that are zero.
 func (s *Settings) SetDefaults() {
 	if s.Platform.Timeout == 0 {
 		s.Platform.Timeout = DefaultTimeout
@@ -273,9 +276,9 @@
 	if s.Stop.Notice == 0 {
 		s.Stop.Notice = DefaultNotice
 	}
-	s.Pipelining.provision()
-	s.Quarantine.provision()
-	s.Stop.fit()
+	s.Pipelining.setDefaults()
+	s.Quarantine.setDefaults()
+	s.Stop.fitWithin()
 	if s.Log.Level == "" {
 		s.Log.Level = "info"
 	}
@@ -290,45 +293,45 @@
 	}
 }
 
-// provision fills in the defaults.
-func (p *Pipelining) provision() {
+// setDefaults sets the defaults of settings that are zero.
+func (p *Pipelining) setDefaults() {
 	p.Requests = cmp.Or(p.Requests, DefaultPipelined)
 	p.Total = cmp.Or(p.Total, DefaultPipelinedTotal)
 	p.RequestBytes = cmp.Or(p.RequestBytes, DefaultRequestBytes)
 	p.AnswerBytes = cmp.Or(p.AnswerBytes, DefaultAnswerBytes)
 }
 
-// fit shortens a planned stop to the time that the platform gives it.
-func (s *Stop) fit() {
-	if s.Within <= stopMargin {
+// fitWithin shortens Notice and Sessions to the time that the platform allows for the shutdown.
+func (s *Stop) fitWithin() {
+	if s.Within <= shutdownMargin {
 		return
 	}
 	s.Notice = min(s.Notice, s.Within/2)
-	left := s.Within - s.Notice - stopMargin
-	if s.Sessions == 0 || s.Sessions > left {
-		s.Sessions = left
+	remaining := s.Within - s.Notice - shutdownMargin
+	if s.Sessions == 0 || s.Sessions > remaining {
+		s.Sessions = remaining
 	}
 }
 
-// SettingError names a setting that is wrong, and what is allowed.
+// SettingError reports an invalid setting.
 type SettingError struct {
 	Key     string
 	Value   any
 	Allowed string
 }
 
-// Error names the key, the value and what is allowed.
+// Error returns the key, the value and the allowed values.
 func (e *SettingError) Error() string {
 	return fmt.Sprintf("setting %s: value %q: allowed: %s", e.Key, fmt.Sprint(e.Value), e.Allowed)
 }
 
-// Validate checks every setting. The error joins a *SettingError for each that
-// is wrong.
+// Validate checks all settings. The error joins a *SettingError for each invalid
+// setting.
 func (s *Settings) Validate() error {
-	var wrong []error
+	var errs []error
 	check := func(ok bool, key string, value any, allowed string) {
 		if !ok {
-			wrong = append(wrong, &SettingError{Key: key, Value: value, Allowed: allowed})
+			errs = append(errs, &SettingError{Key: key, Value: value, Allowed: allowed})
 		}
 	}
 	check(namePattern.MatchString(s.Name), "name", s.Name, "1 to 63 lower-case letters, digits, inner dots and hyphens")
@@ -346,12 +349,12 @@
 	for _, address := range s.Peers {
 		check(isAddress(address), "peers", address, "IP:port")
 	}
-	check(isBase(s.Platform.Address), "platform.address", s.Platform.Address, "http://IP:port")
-	check(within(s.Platform.Timeout, maxTimeout), "platform.timeout", time.Duration(s.Platform.Timeout), "10µs to 1m, with a unit")
+	check(isBaseURL(s.Platform.Address), "platform.address", s.Platform.Address, "http://IP:port")
+	check(inRange(s.Platform.Timeout, maxTimeout), "platform.timeout", time.Duration(s.Platform.Timeout), "10µs to 1m, with a unit")
 	check(s.Platform.Protocol == ProtocolOwn || s.Platform.Protocol == ProtocolObjects, "platform.protocol", s.Platform.Protocol, ProtocolOwn+" or "+ProtocolObjects)
-	check(within(s.Platform.MaxBackoff, maxTimeout), "platform.max_backoff", time.Duration(s.Platform.MaxBackoff), "10µs to 1m, with a unit")
-	check(s.Platform.WatchInterval == 0 || within(s.Platform.WatchInterval, maxTimeout), "platform.watch_interval", time.Duration(s.Platform.WatchInterval), "0 or 10µs to 1m, with a unit")
-	check(s.Platform.WatchGap == 0 || within(s.Platform.WatchGap, maxTimeout), "platform.watch_gap", time.Duration(s.Platform.WatchGap), "0 or 10µs to 1m, with a unit")
+	check(inRange(s.Platform.MaxBackoff, maxTimeout), "platform.max_backoff", time.Duration(s.Platform.MaxBackoff), "10µs to 1m, with a unit")
+	check(s.Platform.WatchInterval == 0 || inRange(s.Platform.WatchInterval, maxTimeout), "platform.watch_interval", time.Duration(s.Platform.WatchInterval), "0 or 10µs to 1m, with a unit")
+	check(s.Platform.WatchGap == 0 || inRange(s.Platform.WatchGap, maxTimeout), "platform.watch_gap", time.Duration(s.Platform.WatchGap), "0 or 10µs to 1m, with a unit")
 	check(s.Platform.ProbesPerBackend >= 0 && s.Platform.ProbesPerBackend <= config.MaxProbesPerSecond, "platform.probes_per_backend", s.Platform.ProbesPerBackend, fmt.Sprintf("0 to %d", config.MaxProbesPerSecond))
 	check(s.Platform.RetryRatio >= 0 && s.Platform.RetryRatio <= config.MaxRetryRatio, "platform.retry_ratio", s.Platform.RetryRatio, "0 to 1")
 	check(s.Platform.RetryBurst >= 0 && s.Platform.RetryBurst <= config.MaxRetryBurst, "platform.retry_burst", s.Platform.RetryBurst, "0 to 100000")
@@ -365,10 +368,10 @@
 	check(pipelining.RequestBytes >= minPipelinedBytes && pipelining.RequestBytes <= maxPipelinedBytes, "pipelining.request_bytes", pipelining.RequestBytes, "1024 to 16777216")
 	check(pipelining.AnswerBytes >= minPipelinedBytes && pipelining.AnswerBytes <= maxPipelinedBytes, "pipelining.answer_bytes", pipelining.AnswerBytes, "1024 to 16777216")
 	check(s.Quarantine.Endings >= 1 && s.Quarantine.Endings <= quarantine.MaxCrashThreshold, "quarantine.endings", s.Quarantine.Endings, fmt.Sprintf("1 to %d", quarantine.MaxCrashThreshold))
-	check(within(s.Quarantine.Hold, maxSessions), "quarantine.hold", time.Duration(s.Quarantine.Hold), "10µs to 168h, with a unit")
-	check(within(s.Quarantine.Memory, maxSessions), "quarantine.memory", time.Duration(s.Quarantine.Memory), "10µs to 168h, with a unit")
-	check(within(s.Stop.Notice, maxNotice), "stop.notice", time.Duration(s.Stop.Notice), "10µs to 10m, with a unit")
-	check(s.Stop.Sessions == 0 || within(s.Stop.Sessions, maxSessions), "stop.sessions", time.Duration(s.Stop.Sessions), "0 or 10µs to 168h, with a unit")
+	check(inRange(s.Quarantine.Hold, maxSessions), "quarantine.hold", time.Duration(s.Quarantine.Hold), "10µs to 168h, with a unit")
+	check(inRange(s.Quarantine.Memory, maxSessions), "quarantine.memory", time.Duration(s.Quarantine.Memory), "10µs to 168h, with a unit")
+	check(inRange(s.Stop.Notice, maxNotice), "stop.notice", time.Duration(s.Stop.Notice), "10µs to 10m, with a unit")
+	check(s.Stop.Sessions == 0 || inRange(s.Stop.Sessions, maxSessions), "stop.sessions", time.Duration(s.Stop.Sessions), "0 or 10µs to 168h, with a unit")
 	check(s.Stop.Within == 0 || (s.Stop.Within >= minWithin && s.Stop.Within <= maxSessions), "stop.within", time.Duration(s.Stop.Within), "0 or 1s to 168h, with a unit")
 	var level slog.Level
 	check(level.UnmarshalText([]byte(s.Log.Level)) == nil, "log.level", s.Log.Level, "debug, info, warn or error")
@@ -376,12 +379,12 @@
 	lines, bytes := s.Log.LinesPerSecond, s.Log.BytesPerSecond
 	check(lines >= minLogLines && lines <= maxLogLines, "log.lines_per_second", lines, fmt.Sprintf("%d to %d", minLogLines, maxLogLines))
 	check(bytes >= minLogBytes && bytes <= maxLogBytes, "log.bytes_per_second", bytes, fmt.Sprintf("%d to %d", minLogBytes, maxLogBytes))
-	return stderrors.Join(wrong...)
+	return stderrors.Join(errs...)
 }
 
-// within refuses durations so short that they were surely written as a bare
-// number, which TOML would take for nanoseconds.
-func within(value, high config.Duration) bool {
+// inRange rejects durations that are so short that they were probably written as a bare
+// number, which TOML decodes as nanoseconds.
+func inRange(value, high config.Duration) bool {
 	return value >= config.MinDuration && value <= high
 }
 
@@ -390,8 +393,8 @@
 	return err == nil
 }
 
-// isBase accepts an empty address, which standalone mode has.
-func isBase(text string) bool {
+// isBaseURL accepts http and https URLs, and an empty address for standalone mode.
+func isBaseURL(text string) bool {
 	if text == "" {
 		return true
 	}
