--- a/config/config_test.go
+++ b/config/config_test.go
@@ -13,7 +13,7 @@
 	"github.com/tuliphall/tuliphall/objectstore"
 )
 
-const good = `
+const valid = `
 [[policy]]
 name = "reads"
 class = '"read"'
@@ -27,8 +27,8 @@
 address = "10.0.0.1:80"
 `
 
-// bad gives one wrong object a row, and what the error must name.
-var bad = []struct{ text, named string }{
+// invalid lists texts with one invalid object each, and what the error must contain.
+var invalid = []struct{ text, contains string }{
 	{`colour = "red"`, "colour"},
 	{`[[service]]` + "\n" + `nme = "x"`, "nme"},
 	{`[[service]]` + "\n" + `name = 5`, "name"},
@@ -98,27 +98,27 @@
 	return service(`name = "a"`) + "[[placement]]\nservice = \"a\"\n[[placement.backend]]\n" + body + "\n"
 }
 
-// TestBadObjects feeds wrong objects: each is refused with the place, none
-// panics, and what is in force stays.
+// TestBadObjects checks that each invalid object is rejected with an error that names the setting or
+// the position, without a panic, and that the stored revision stays the same.
 func TestBadObjects(t *testing.T) {
 	store := objectstore.NewMemory()
 	editor := config.NewEditor(store, time.Now, nil)
-	content, err := config.DecodeTOML("good.toml", []byte(good))
+	content, err := config.DecodeTOML("good.toml", []byte(valid))
 	require.NoError(t, err)
 	inForce, err := editor.Apply(t.Context(), config.Edit{ID: "good", Set: content})
 	require.NoError(t, err)
-	for index, one := range bad {
-		err := apply(t.Context(), editor, index, one.text)
-		require.Error(t, err, one.text)
-		require.Contains(t, err.Error(), one.named, one.text)
-		now, _, err := config.Load(t.Context(), store)
+	for index, object := range invalid {
+		err := apply(t.Context(), editor, index, object.text)
+		require.Error(t, err, object.text)
+		require.Contains(t, err.Error(), object.contains, object.text)
+		stored, _, err := config.Load(t.Context(), store)
 		require.NoError(t, err)
-		require.Equal(t, inForce.Revision, now.Revision, one.text)
+		require.Equal(t, inForce.Revision, stored.Revision, object.text)
 	}
-	require.Greater(t, len(bad), 50)
+	require.Greater(t, len(invalid), 50)
 }
 
-// apply does with a text what the command and the daemon do.
+// apply decodes, validates and applies a text, as the command and the daemon do.
 func apply(ctx context.Context, editor *config.Editor, number int, text string) error {
 	content, err := config.DecodeTOML("bad.toml", []byte(text))
 	if err != nil {
@@ -131,7 +131,8 @@
 	return err
 }
 
-// TestHistory follows changes, takes them back, and spreads them as differences.
+// TestHistory checks that earlier revisions can be restored from the history, and that a document that
+// misses some changes catches up by applying them.
 func TestHistory(t *testing.T) {
 	editor := config.NewEditor(objectstore.NewMemory(), time.Now, nil)
 	var documents []config.Document
@@ -149,19 +150,19 @@
 		require.Equal(t, earlier.Content, content)
 		changes, ok := last.ChangesAfter(earlier.Revision)
 		require.True(t, ok)
-		followed, err := earlier.ApplyChanges(changes)
+		updated, err := earlier.ApplyChanges(changes)
 		require.NoError(t, err)
-		require.Equal(t, last.Content, followed.Content)
-		require.Equal(t, last.Revision, followed.Revision)
+		require.Equal(t, last.Content, updated.Content)
+		require.Equal(t, last.Revision, updated.Revision)
 	}
 	_, err := documents[0].ApplyChanges(last.History[2:])
-	require.Error(t, err, "a missing change was not noticed")
+	require.Error(t, err, "a missing change must be an error")
 }
 
 func FuzzDecodeObjects(f *testing.F) {
-	f.Add([]byte(good))
-	for _, one := range bad {
-		f.Add([]byte(one.text))
+	f.Add([]byte(valid))
+	for _, object := range invalid {
+		f.Add([]byte(object.text))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		content, err := config.DecodeTOML("fuzz.toml", text)
@@ -171,7 +172,7 @@
 		document, err := config.Document{}.Advance(content, config.Change{ID: "fuzz"})
 		require.NoError(t, err)
 		_, err = config.NewSnapshot(document)
-		require.NoError(t, err, "content that is valid must be usable")
+		require.NoError(t, err, "valid content must compile")
 	})
 }
 
--- a/config/directory_test.go
+++ b/config/directory_test.go
@@ -13,49 +13,49 @@
 	"github.com/tuliphall/tuliphall/objectstore"
 )
 
-// listEvent is one change of a platform's list; a slot count of 0 takes the back
-// end off it.
+// listEvent is one change of the platform's list of back ends; a slot count of 0 removes
+// the back end.
 type listEvent struct {
 	id    string
 	slots int
 }
 
-// listHistory is a platform's list with all that ever changed; the event at index
-// i brought revision i+1.
+// listHistory holds all changes of the platform's list; the event at index i led to
+// revision i+1.
 type listHistory []listEvent
 
 // at returns the slots of each back end on the list at a revision.
 func (h listHistory) at(revision objectstore.Version) map[string]int {
 	slots := make(map[string]int)
-	for _, one := range h[:revision] {
-		if one.slots == 0 {
-			delete(slots, one.id)
+	for _, event := range h[:revision] {
+		if event.slots == 0 {
+			delete(slots, event.id)
 			continue
 		}
-		slots[one.id] = one.slots
+		slots[event.id] = event.slots
 	}
 	return slots
 }
 
-// read returns the list as a daemon that lists it now sees it.
+// read returns the current list as a daemon reads it.
 func (h listHistory) read() config.Directory {
 	revision := objectstore.Version(len(h))
 	change := config.DirectoryChange{Revision: revision}
 	last := make(map[string]objectstore.Version)
-	for index, one := range h {
-		last[one.id] = objectstore.Version(index + 1)
+	for index, event := range h {
+		last[event.id] = objectstore.Version(index + 1)
 	}
 	for id, slots := range h.at(revision) {
 		change.Entries = append(change.Entries, listedBackend(id, slots, last[id]))
 	}
 	next, _, err := config.Directory{Since: revision}.ApplyChange(change)
 	if err != nil {
-		panic(err) // it follows from nothing
+		panic(err) // cannot happen: the change starts at revision 0
 	}
 	return next
 }
 
-// since returns the events after a revision, as a daemon that watches gets them.
+// since returns the changes after a revision, as a watching daemon receives them.
 func (h listHistory) since(revision objectstore.Version) config.DirectoryChange {
 	change := config.DirectoryChange{After: revision, Revision: objectstore.Version(len(h))}
 	last := make(map[string]int)
@@ -79,26 +79,26 @@
 
 func slotsOf(directory config.Directory) map[string]int {
 	slots := make(map[string]int)
-	for _, one := range directory.Entries {
-		slots[one.ID] = one.Slots
+	for _, entry := range directory.Entries {
+		slots[entry.ID] = entry.Slots
 	}
 	return slots
 }
 
-// TestDirectoryFollows lets daemons list, watch, tell each other and start anew in
-// any order, some answers late: each always holds exactly what the list was at its
-// revision, and no revision ever goes down.
+// TestDirectoryFollows checks a random sequence of daemons listing, watching, sending each other
+// changes and restarting, with some responses delayed: each directory always equals the list at its
+// revision, and no revision ever decreases.
 func TestDirectoryFollows(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var history listHistory
 		held := make([]config.Directory, 4)
 		daemon := rapid.IntRange(0, len(held)-1)
-		// late are answers that are still on their way.
-		type answer struct {
+		// delayed holds responses in transit.
+		type response struct {
 			to     int
 			change config.DirectoryChange
 		}
-		var late []answer
+		var delayed []response
 		offer := func(to int, next config.Directory) {
 			newest, _ := config.Document{Directory: held[to]}.MergeNewest(config.Document{Directory: next})
 			require.GreaterOrEqual(t, newest.Directory.Revision, held[to].Revision)
@@ -124,25 +124,25 @@
 			"ask": func(t *rapid.T) {
 				to, from := daemon.Draw(t, "asks"), daemon.Draw(t, "answers")
 				if change, known := held[from].ChangesAfter(held[to].Revision); known {
-					late = append(late, answer{to: to, change: change})
+					delayed = append(delayed, response{to: to, change: change})
 					return
 				}
 				offer(to, held[from])
 			},
 			"an answer comes": func(t *rapid.T) {
-				if len(late) == 0 {
-					t.Skip("none is on its way")
+				if len(delayed) == 0 {
+					t.Skip("no response in transit")
 				}
-				index := rapid.IntRange(0, len(late)-1).Draw(t, "which")
-				one := late[index]
-				late = append(late[:index], late[index+1:]...)
-				next, _, err := held[one.to].ApplyChange(one.change)
+				index := rapid.IntRange(0, len(delayed)-1).Draw(t, "which")
+				arrived := delayed[index]
+				delayed = append(delayed[:index], delayed[index+1:]...)
+				next, _, err := held[arrived.to].ApplyChange(arrived.change)
 				require.NoError(t, err)
-				offer(one.to, next)
+				offer(arrived.to, next)
 			},
 			"start anew": func(t *rapid.T) {
 				held[daemon.Draw(t, "daemon")] = config.Directory{}
-				late = nil
+				delayed = nil
 			},
 			"": func(t *rapid.T) {
 				for number, directory := range held {
@@ -153,8 +153,8 @@
 	})
 }
 
-// TestDirectoryForgetsDepartures gives the whole directory to a daemon that may have
-// missed a departure that is forgotten.
+// TestDirectoryForgetsDepartures checks that a daemon that may have missed a discarded tombstone is
+// not given changes, so that it must get the whole directory.
 func TestDirectoryForgetsDepartures(t *testing.T) {
 	directory := config.Directory{Revision: 1, Since: 1}
 	for number := range config.MaxTombstones + 10 {
@@ -173,26 +173,26 @@
 	require.Len(t, change.Tombstones, config.MaxTombstones)
 }
 
-// TestDirectoryGap does not follow a change that begins later than the directory.
+// TestDirectoryGap checks that a change that starts after the directory's revision is an error.
 func TestDirectoryGap(t *testing.T) {
 	_, _, err := config.Directory{Revision: 3}.ApplyChange(config.DirectoryChange{After: 4, Revision: 5})
 	require.ErrorContains(t, err, "after revision 3")
 }
 
-// TestDirectoryThereAndBack tells a daemon that saw a back end change of its change
-// back, also when the teller saw neither.
+// TestDirectoryThereAndBack checks that a daemon that has seen a back end change learns that it was
+// changed back, even from a daemon that has seen neither change.
 func TestDirectoryThereAndBack(t *testing.T) {
 	history := listHistory{{id: "b1", slots: 1}}
-	teller := history.read()
+	sender := history.read()
 	history = append(history, listEvent{id: "b1", slots: 2})
-	asker := history.read()
+	receiver := history.read()
 	history = append(history, listEvent{id: "b1", slots: 1})
-	teller, changed, err := teller.ApplyChange(history.since(teller.Revision))
+	sender, changed, err := sender.ApplyChange(history.since(sender.Revision))
 	require.NoError(t, err)
 	require.False(t, changed)
-	change, known := teller.ChangesAfter(asker.Revision)
+	change, known := sender.ChangesAfter(receiver.Revision)
 	require.True(t, known)
-	asker, _, err = asker.ApplyChange(change)
+	receiver, _, err = receiver.ApplyChange(change)
 	require.NoError(t, err)
-	require.Equal(t, history.at(3), slotsOf(asker))
+	require.Equal(t, history.at(3), slotsOf(receiver))
 }
--- a/config/evacuation_test.go
+++ b/config/evacuation_test.go
@@ -10,7 +10,7 @@
 	"github.com/tuliphall/tuliphall/objectstore"
 )
 
-// TestEvacuatedZones joins what operators declare and what the platform keeps.
+// TestEvacuatedZones checks that declared evacuations and those on the platform are combined.
 func TestEvacuatedZones(t *testing.T) {
 	document := config.Document{
 		Revision: 1,
@@ -28,34 +28,34 @@
 	require.False(t, snapshot.Targets[0].EvacuatedZones["b"])
 }
 
-// TestPartsNeverGoBack tells a daemon documents in any order: no part of what it has in
-// force is ever older than before, and all end with the newest of each.
+// TestPartsNeverGoBack offers documents in any order to a daemon: no part of the document in force
+// ever becomes older, and each part ends up at its newest version.
 func TestPartsNeverGoBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		version := func(name string) objectstore.Version {
 			return objectstore.NewVersion(rapid.Uint64Range(0, 2).Draw(t, name+" era"), rapid.Uint64Range(0, 6).Draw(t, name))
 		}
 		var inForce config.Document
-		var highest config.Position
+		var newest config.Position
 		for range rapid.IntRange(1, 20).Draw(t, "documents") {
-			told := config.Document{
+			offered := config.Document{
 				Revision: config.Revision(rapid.IntRange(0, 6).Draw(t, "revision")), StoreVersion: version("stored"),
 				Directory:   config.Directory{Revision: version("directory")},
 				Evacuations: config.Evacuations{Revision: version("evacuations")},
 			}
 			switch {
-			case told.Revision > highest.Revision:
-				highest.Revision, highest.StoreVersion = told.Revision, told.StoreVersion
-			case told.Revision == highest.Revision:
-				highest.StoreVersion = max(highest.StoreVersion, told.StoreVersion)
+			case offered.Revision > newest.Revision:
+				newest.Revision, newest.StoreVersion = offered.Revision, offered.StoreVersion
+			case offered.Revision == newest.Revision:
+				newest.StoreVersion = max(newest.StoreVersion, offered.StoreVersion)
 			}
-			highest.Directory = max(highest.Directory, told.Directory.Revision)
-			highest.Evacuations = max(highest.Evacuations, told.Evacuations.Revision)
+			newest.Directory = max(newest.Directory, offered.Directory.Revision)
+			newest.Evacuations = max(newest.Evacuations, offered.Evacuations.Revision)
 			before := inForce.Position()
-			next, newer := inForce.MergeNewest(told)
+			next, newer := inForce.MergeNewest(offered)
 			require.Equal(t, newer, next.Position() != before)
 			inForce = next
-			require.Equal(t, highest, inForce.Position())
+			require.Equal(t, newest, inForce.Position())
 		}
 	})
 }
--- a/config/retention_test.go
+++ b/config/retention_test.go
@@ -11,7 +11,7 @@
 	"github.com/tuliphall/tuliphall/objectstore"
 )
 
-// directoryAt returns a directory of so many back ends, at a version.
+// directoryAt returns a directory with count back ends at a version.
 func directoryAt(version objectstore.Version, count int) config.Directory {
 	directory := config.Directory{Revision: version}
 	for number := range count {
@@ -22,51 +22,52 @@
 	return directory
 }
 
-// TestNothingIsKeptThatIsNotLost keeps nothing where the copy says the same, however many back ends there are, nor where the era is the same
-// or nothing was known before.
-func TestNothingIsKeptThatIsNotLost(t *testing.T) {
+// TestRetentionIgnoresUnchangedEntries checks that nothing is retained if the restored directory is the same, however many back ends
+// it has, if the era is the same, or if nothing was known before.
+func TestRetentionIgnoresUnchangedEntries(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	known := config.Document{Directory: directoryAt(objectstore.NewVersion(0, 50), 1000)}
-	copied := config.Document{Directory: directoryAt(objectstore.NewVersion(1, 40), 1000)}
+	restored := config.Document{Directory: directoryAt(objectstore.NewVersion(1, 40), 1000)}
 	var retention config.Retention
-	require.True(t, retention.Observe(now, known, copied))
+	require.True(t, retention.Observe(now, known, restored))
 	backends, _, _ := retention.Counts()
 	require.Zero(t, backends)
 	require.True(t, retention.NextExpiry(now).IsZero())
-	require.Equal(t, copied, retention.Apply(now, copied))
-	require.False(t, retention.Observe(now, config.Document{}, copied))
-	require.False(t, retention.Observe(now, copied, config.Document{Directory: directoryAt(objectstore.NewVersion(1, 41), 3)}))
+	require.Equal(t, restored, retention.Apply(now, restored))
+	require.False(t, retention.Observe(now, config.Document{}, restored))
+	require.False(t, retention.Observe(now, restored, config.Document{Directory: directoryAt(objectstore.NewVersion(1, 41), 3)}))
 }
 
-// TestKeptUntilWrittenAgain follows one back end that has joined and one that leaves through a return of the store.
-func TestKeptUntilWrittenAgain(t *testing.T) {
+// TestRetentionUntilRewritten checks, across a store rollback, one back end that has joined and one that is draining: how long
+// each is retained, and that an entry that is written again takes precedence.
+func TestRetentionUntilRewritten(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
-	copied := directoryAt(objectstore.NewVersion(1, 40), 2)
+	restored := directoryAt(objectstore.NewVersion(1, 40), 2)
 	known := directoryAt(objectstore.NewVersion(0, 50), 3)
 	known.Entries[1].Drained, known.Entries[1].Revision = true, 49
-	inForce := func(retention *config.Retention, at time.Time, told config.Directory) (count int, drained bool) {
-		applied := retention.Apply(at, config.Document{Directory: told}).Directory.Entries
+	inForce := func(retention *config.Retention, at time.Time, stored config.Directory) (count int, drained bool) {
+		applied := retention.Apply(at, config.Document{Directory: stored}).Directory.Entries
 		return len(applied), applied[1].Drained
 	}
 	var retention config.Retention
-	require.True(t, retention.Observe(now, config.Document{Directory: known}, config.Document{Directory: copied}))
-	for _, one := range []struct {
+	require.True(t, retention.Observe(now, config.Document{Directory: known}, config.Document{Directory: restored}))
+	for _, expected := range []struct {
 		after   time.Duration
 		count   int
 		drained bool
 	}{{0, 3, true}, {2900 * time.Millisecond, 3, true}, {3 * time.Second, 2, true}, {9900 * time.Millisecond, 2, true}, {10 * time.Second, 2, false}} {
-		count, drained := inForce(&retention, now.Add(one.after), copied)
-		require.Equal(t, one.count, count, one.after)
-		require.Equal(t, one.drained, drained, one.after)
+		count, drained := inForce(&retention, now.Add(expected.after), restored)
+		require.Equal(t, expected.count, count, expected.after)
+		require.Equal(t, expected.drained, drained, expected.after)
 	}
-	written := directoryAt(objectstore.NewVersion(1, 42), 3)
-	written.Entries[1].Revision = objectstore.NewVersion(1, 42)
-	count, drained := inForce(&retention, now.Add(time.Second), written)
+	rewritten := directoryAt(objectstore.NewVersion(1, 42), 3)
+	rewritten.Entries[1].Revision = objectstore.NewVersion(1, 42)
+	count, drained := inForce(&retention, now.Add(time.Second), rewritten)
 	require.Equal(t, 3, count)
-	require.False(t, drained, "written again as ready: that counts")
+	require.False(t, drained, "a rewritten entry takes precedence over the retained one")
 }
 
-// TestIncludesWithoutHistory: a change too large for the history does not keep later documents from being used.
+// TestIncludesWithoutHistory checks that documents are still used after a change that is too large for the history.
 func TestIncludesWithoutHistory(t *testing.T) {
 	change := func(id string, revision config.Revision) config.Change {
 		return config.Change{ID: id, Revision: revision}
--- a/config/route_test.go
+++ b/config/route_test.go
@@ -12,9 +12,9 @@
 	"github.com/tuliphall/tuliphall/config"
 )
 
-// largestError returns by how many requests the part of a service can be off, whatever its
-// weight, in any so many turns of one daemon: the turns are points on a circle, a part is an
-// arc, and the worst arcs begin and end at points.
+// largestError returns the maximum deviation, in requests, of a service's share in the given number of
+// consecutive turns of one daemon, for any weight. The turns are points on a circle and a share is an
+// arc; the worst arcs begin and end at points.
 func largestError(turns int) float64 {
 	ratio := (math.Sqrt(5) - 1) / 2
 	points := make([]float64, turns)
@@ -22,39 +22,39 @@
 		_, points[turn] = math.Modf(float64(turn) * ratio)
 	}
 	slices.Sort(points)
-	least, most := math.Inf(1), math.Inf(-1)
+	lowest, highest := math.Inf(1), math.Inf(-1)
 	for index, point := range points {
-		ahead := float64(index) - point*float64(turns)
-		least, most = min(least, ahead), max(most, ahead)
+		excess := float64(index) - point*float64(turns)
+		lowest, highest = min(lowest, excess), max(highest, excess)
 	}
-	return 1 + most - least
+	return 1 + highest - lowest
 }
 
-// TestLargestError: in 300 turns the worst part is off by 3.1 requests.
+// TestLargestError checks that the maximum deviation in 300 turns is 3.1 requests.
 func TestLargestError(t *testing.T) {
 	require.InDelta(t, 3.0996, largestError(300), 0.0001)
 }
 
-// TestSharesAreKept divides requests of many daemons by random weights: in any span of 300
-// requests each service has its part, to within what the daemons' turns can be off.
+// TestSharesAreKept distributes requests of many daemons by random weights: in each span of 300
+// requests every service gets its share, up to the maximum deviation of the daemons' turns.
 func TestSharesAreKept(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		checkShares(t, rapid.SliceOfN(rapid.IntRange(1, 100), 2, 4).Draw(t, "weights"), rapid.SliceOfN(rapid.Float64Range(0, 0.999), 1, 18).Draw(t, "phases"))
 	})
 }
 
-// TestSharesOfOneDaemonAtTheEndOfATurn guards against a part that is off by more than one daemon's turns can be.
-func TestSharesOfOneDaemonAtTheEndOfATurn(t *testing.T) {
+// TestSharesOfSingleDaemon guards against a share that deviates by more than the maximum for one daemon.
+func TestSharesOfSingleDaemon(t *testing.T) {
 	checkShares(t, []int{2, 3, 16, 75}, []float64{0.999})
 }
 
-// failer is what checkShares needs of a test.
+// failer is the part of testing.T and rapid.T that checkShares uses.
 type failer interface {
 	Fatal(arguments ...any)
 	Fatalf(format string, arguments ...any)
 }
 
-// checkShares divides requests of daemons, each with a phase of its own, by weights.
+// checkShares distributes requests of daemons, one per phase, by weights and checks the shares.
 func checkShares(t failer, weights []int, phases []float64) {
 	content := config.Content{Routes: []config.Route{{Name: "split", PathPrefix: "/"}}}
 	total := 0
@@ -65,7 +65,7 @@
 		total += weight
 	}
 	var routes []*config.CompiledRoute
-	for range phases { // each daemon has its own
+	for range phases { // each daemon has its own route and counter
 		snapshot, err := config.NewSnapshot(config.Document{Revision: 1, Content: content})
 		if err != nil {
 			t.Fatal(err)
@@ -89,9 +89,9 @@
 			chosen[routes[daemon].NextTarget(phases[daemon]).Service.Name]++
 		}
 		for number, weight := range weights {
-			part := float64(chosen[fmt.Sprintf("s%d", number)]) / span
-			if off := math.Abs(part - float64(weight)/float64(total)); off > allowed {
-				t.Fatalf("service %d: part %.4f, off by %.4f, allowed %.4f", number, part, off, allowed)
+			share := float64(chosen[fmt.Sprintf("s%d", number)]) / span
+			if deviation := math.Abs(share - float64(weight)/float64(total)); deviation > allowed {
+				t.Fatalf("service %d: share %.4f, deviation %.4f, allowed %.4f", number, share, deviation, allowed)
 			}
 		}
 	}
--- a/config/tenant_test.go
+++ b/config/tenant_test.go
@@ -11,19 +11,19 @@
 	"github.com/tuliphall/tuliphall/config"
 )
 
-// TestTenantsOfOneKey refuses a key that two tenants have, and names both.
-func TestTenantsOfOneKey(t *testing.T) {
+// TestDuplicateTenantKey checks that a key of two tenants is an error that names both.
+func TestDuplicateTenantKey(t *testing.T) {
 	key := config.HashKey("shared")
 	err := config.Content{Tenants: []config.Tenant{{Name: "north", Keys: []config.KeyHash{key}}, {Name: "south", Keys: []config.KeyHash{key}}}}.Validate()
 	require.ErrorContains(t, err, "tenant/south")
 	require.ErrorContains(t, err, "north has this one")
 }
 
-// TestTenantSettings refuses what is out of range, with the name of the setting.
+// TestTenantSettings checks that values out of range are errors that name the setting.
 func TestTenantSettings(t *testing.T) {
-	for _, one := range []struct {
-		tenant config.Tenant
-		names  string
+	for _, test := range []struct {
+		tenant  config.Tenant
+		setting string
 	}{
 		{config.Tenant{Name: "North"}, "setting name"},
 		{config.Tenant{Name: "north", Rate: -1}, "setting rate"},
@@ -31,12 +31,12 @@
 		{config.Tenant{Name: "north", Weight: -1}, "setting weight"},
 		{config.Tenant{Name: "north", Keys: make([]config.KeyHash, config.MaxTenantKeys+1)}, "setting keys"},
 	} {
-		require.ErrorContains(t, config.Content{Tenants: []config.Tenant{one.tenant}}.Validate(), one.names)
+		require.ErrorContains(t, config.Content{Tenants: []config.Tenant{test.tenant}}.Validate(), test.setting)
 	}
 }
 
-// TestKeysAreHashes reads hashes only: a key that is written in their place is refused, and
-// the error does not repeat it.
+// TestKeysAreHashes checks that only hashes are accepted: a key in place of a hash is an error that
+// does not contain the key, and encoded documents do not contain it either.
 func TestKeysAreHashes(t *testing.T) {
 	hash := config.HashKey("secret-key")
 	text, err := hash.MarshalText()
@@ -52,22 +52,22 @@
 
 	document, err := json.Marshal(config.Document{Revision: 3, Content: content})
 	require.NoError(t, err)
-	read, err := config.DecodeDocument(document)
+	decoded, err := config.DecodeDocument(document)
 	require.NoError(t, err)
-	require.Equal(t, content, read.Content)
+	require.Equal(t, content, decoded.Content)
 	require.NotContains(t, string(document), "secret-key")
 }
 
-// TestWithLeavesNothingOut joins contents that have an object of each kind.
-func TestWithLeavesNothingOut(t *testing.T) {
-	var one config.Content
-	fields := reflect.ValueOf(&one).Elem()
+// TestConcatIncludesAllKinds checks that Concat includes every kind of object.
+func TestConcatIncludesAllKinds(t *testing.T) {
+	var content config.Content
+	fields := reflect.ValueOf(&content).Elem()
 	for index := range fields.NumField() {
 		list := fields.Field(index)
 		list.Set(reflect.MakeSlice(list.Type(), 1, 1))
 	}
-	joined := reflect.ValueOf(one.Concat(one))
-	for index := range joined.NumField() {
-		require.Equal(t, 2, joined.Field(index).Len(), joined.Type().Field(index).Name)
+	concatenated := reflect.ValueOf(content.Concat(content))
+	for index := range concatenated.NumField() {
+		require.Equal(t, 2, concatenated.Field(index).Len(), concatenated.Type().Field(index).Name)
 	}
 }
--- a/identity/identity_test.go
+++ b/identity/identity_test.go
@@ -23,13 +23,13 @@
 	return http.Header{identity.HeaderAuthorization: values}
 }
 
-// TestIdentify gives each form of the header its answer.
+// TestIdentify checks the tenant or error for each form of the header.
 func TestIdentify(t *testing.T) {
 	snapshot := snapshotOf(t,
 		config.Tenant{Name: "north", Keys: []config.KeyHash{config.HashKey("n-old"), config.HashKey("n-new")}},
 		config.Tenant{Name: "south", Keys: []config.KeyHash{config.HashKey("s-key")}})
 	longest := strings.Repeat("k", config.MaxKeyBytes)
-	for _, one := range []struct {
+	for _, test := range []struct {
 		header http.Header
 		tenant string
 		cause  error
@@ -52,45 +52,45 @@
 		{header(""), "", identity.ErrNoKey},
 		{http.Header{}, "", identity.ErrNoKey},
 	} {
-		caller, err := identity.Identify(snapshot, one.header, false)
-		require.Equal(t, one.tenant, caller.TenantName(), "%q", one.header)
-		if one.cause == nil {
+		caller, err := identity.Identify(snapshot, test.header, false)
+		require.Equal(t, test.tenant, caller.TenantName(), "%q", test.header)
+		if test.cause == nil {
 			require.NoError(t, err)
 			continue
 		}
-		require.ErrorIs(t, err, one.cause, "%q", one.header)
-		require.NotContains(t, err.Error(), "s-key", "an error repeats no key")
-		caller, err = identity.Identify(snapshot, one.header, true)
-		require.NoError(t, err, "public routes need no key")
+		require.ErrorIs(t, err, test.cause, "%q", test.header)
+		require.NotContains(t, err.Error(), "s-key", "errors must not contain the key")
+		caller, err = identity.Identify(snapshot, test.header, true)
+		require.NoError(t, err, "public routes need no valid key")
 		require.Nil(t, caller.Tenant)
 	}
 	caller, err := identity.Identify(snapshotOf(t), http.Header{}, false)
-	require.NoError(t, err, "without declared tenants no key is needed")
+	require.NoError(t, err, "no key is needed if no tenants are declared")
 	require.Nil(t, caller.Tenant)
 }
 
-// TestWithdrawnKey says of a caller whose key is taken away that it does not hold any more.
+// TestWithdrawnKey checks that a caller is no longer valid after its key was revoked or moved to another tenant.
 func TestWithdrawnKey(t *testing.T) {
 	before := snapshotOf(t, config.Tenant{Name: "north", Keys: []config.KeyHash{config.HashKey("old"), config.HashKey("new")}})
 	after := snapshotOf(t, config.Tenant{Name: "north", Keys: []config.KeyHash{config.HashKey("new")}})
 	moved := snapshotOf(t, config.Tenant{Name: "north"}, config.Tenant{Name: "south", Keys: []config.KeyHash{config.HashKey("new")}})
-	for key, holds := range map[string]bool{"old": false, "new": true} {
+	for key, valid := range map[string]bool{"old": false, "new": true} {
 		caller, err := identity.Identify(before, header("Bearer "+key), false)
 		require.NoError(t, err)
 		require.True(t, caller.StillValid(before))
-		require.Equal(t, holds, caller.StillValid(after))
-		require.False(t, caller.StillValid(moved), "another tenant has the key")
+		require.Equal(t, valid, caller.StillValid(after))
+		require.False(t, caller.StillValid(moved), "the key belongs to another tenant")
 	}
-	told, known := identity.IdentifyForwarded(before, "north")
+	forwarded, known := identity.IdentifyForwarded(before, "north")
 	require.True(t, known)
-	require.True(t, told.StillValid(moved), "the daemon that was asked first looks at the key")
-	require.False(t, told.StillValid(snapshotOf(t)))
+	require.True(t, forwarded.StillValid(moved), "the daemon that forwards the request checks the key")
+	require.False(t, forwarded.StillValid(snapshotOf(t)))
 	_, known = identity.IdentifyForwarded(before, "east")
 	require.False(t, known)
 }
 
-// BenchmarkIdentify looks a key up among few and many tenants: 150 ns without an allocation
-// at 10 as at 10,000.
+// BenchmarkIdentify measures the lookup of a key among few and many tenants: 150 ns without
+// allocations for both 10 and 10,000 tenants.
 func BenchmarkIdentify(b *testing.B) {
 	for _, tenants := range []int{10, 10_000} {
 		b.Run(fmt.Sprint(tenants), func(b *testing.B) {
--- a/settings/changes_test.go
+++ b/settings/changes_test.go
@@ -27,8 +27,8 @@
 	}, settings.Compare(present, next))
 }
 
-// TestReloadedTakesAllThatIsApplicable changes each setting in turn: either it is
-// taken over, or it is said to need a restart.
+// TestReloadedTakesAllThatIsApplicable changes each setting in turn: either Reloaded applies it, or
+// Compare reports that it needs a restart.
 func TestReloadedTakesAllThatIsApplicable(t *testing.T) {
 	var present settings.Settings
 	present.SetDefaults()
@@ -49,7 +49,7 @@
 		case reflect.Slice:
 			field.Set(reflect.ValueOf([]string{"10.0.0.9:1"}))
 		default:
-			t.Fatalf("setting of kind %s", field.Kind())
+			t.Fatalf("unsupported kind of setting: %s", field.Kind())
 		}
 		changes := settings.Compare(present, next)
 		require.Equal(t, 1, len(changes.Applicable)+len(changes.NeedRestart))
@@ -57,14 +57,14 @@
 	})
 }
 
-// eachSetting calls visit with the index path of each setting that is no table.
-func eachSetting(of reflect.Type, path []int, visit func(path []int)) {
-	for index := range of.NumField() {
-		here := append(append([]int(nil), path...), index)
-		if of.Field(index).Type.Kind() == reflect.Struct {
-			eachSetting(of.Field(index).Type, here, visit)
+// eachSetting calls visit with the index path of each setting that is not a table.
+func eachSetting(table reflect.Type, path []int, visit func(path []int)) {
+	for index := range table.NumField() {
+		fieldPath := append(append([]int(nil), path...), index)
+		if table.Field(index).Type.Kind() == reflect.Struct {
+			eachSetting(table.Field(index).Type, fieldPath, visit)
 			continue
 		}
-		visit(here)
+		visit(fieldPath)
 	}
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -84,8 +84,8 @@
 	// that a change that some daemons miss is soon seen by another; 0: each
 	// watch waits as long as allowed.
 	WatchGap config.Duration `toml:"watch_gap"`
-	// FirstStart: the whole system starts for the first time. The daemon gets the
-	// first declared objects from operators and need not read the store.
+	// FirstStart: the whole system starts for the first time. The daemon is notified
+	// of the first declared objects and need not read the store before.
 	FirstStart bool `toml:"first_start"`
 	// Direct: each daemon chooses back ends independently if the platform
 	// declares the services; false: it asks the service's dispatcher.
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -10,7 +10,7 @@
 	"github.com/tuliphall/tuliphall/settings"
 )
 
-const good = `
+const valid = `
 name = "entry-1"
 region = "region-1"
 zone = "zone-a"
@@ -38,11 +38,12 @@
 format = "text"
 `
 
-// TestBadSettings changes one line at a time for the worse.
+// TestBadSettings replaces one line at a time of a valid file by an invalid one: the error names the
+// setting or the position.
 func TestBadSettings(t *testing.T) {
-	_, err := settings.Decode("good.toml", []byte(good))
+	_, err := settings.Decode("good.toml", []byte(valid))
 	require.NoError(t, err)
-	for _, one := range []struct{ line, worse, named string }{
+	for _, test := range []struct{ line, invalid, contains string }{
 		{`name = "entry-1"`, `name = ""`, "setting name"},
 		{`name = "entry-1"`, `name = "a b"`, "setting name"},
 		{`name = "entry-1"`, ``, "setting name"},
@@ -74,33 +75,34 @@
 		{`format = "text"`, `format = "xml"`, "setting log.format"},
 		{`[log]`, `[log`, "bad.toml:"},
 	} {
-		require.Contains(t, good, one.line)
-		_, err := settings.Decode("bad.toml", []byte(strings.Replace(good, one.line, one.worse, 1)))
-		require.Error(t, err, one.worse)
-		require.Contains(t, err.Error(), one.named, one.worse)
+		require.Contains(t, valid, test.line)
+		_, err := settings.Decode("bad.toml", []byte(strings.Replace(valid, test.line, test.invalid, 1)))
+		require.Error(t, err, test.invalid)
+		require.Contains(t, err.Error(), test.contains, test.invalid)
 	}
 }
 
-// TestStopFitsIn shortens what a planned stop takes to what the platform gives it.
+// TestStopFitsIn checks that the notice and session times are shortened to fit the time that the
+// platform allows for a graceful shutdown.
 func TestStopFitsIn(t *testing.T) {
-	for _, one := range []struct{ written, notice, sessions string }{
+	for _, test := range []struct{ lines, notice, sessions string }{
 		{`notice = "2.1s"`, "2.1s", "0s"},
 		{`notice = "2.1s"` + "\n" + `within = "6s"`, "2.1s", "3.6s"},
 		{`notice = "2.1s"` + "\n" + `within = "3s"`, "1.5s", "1.2s"},
 		{`notice = "2.1s"` + "\n" + `sessions = "1s"` + "\n" + `within = "6s"`, "2.1s", "1s"},
 		{`notice = "2.1s"` + "\n" + `sessions = "1h"` + "\n" + `within = "10s"`, "2.1s", "7.6s"},
 	} {
-		text := strings.Replace(good, `notice = "2s"`+"\n"+`sessions = "1h"`, one.written, 1)
-		require.NotEqual(t, good, text)
-		read, err := settings.Decode("good.toml", []byte(text))
-		require.NoError(t, err, one.written)
-		require.Equal(t, one.notice, time.Duration(read.Stop.Notice).String(), one.written)
-		require.Equal(t, one.sessions, time.Duration(read.Stop.Sessions).String(), one.written)
+		text := strings.Replace(valid, `notice = "2s"`+"\n"+`sessions = "1h"`, test.lines, 1)
+		require.NotEqual(t, valid, text)
+		decoded, err := settings.Decode("good.toml", []byte(text))
+		require.NoError(t, err, test.lines)
+		require.Equal(t, test.notice, time.Duration(decoded.Stop.Notice).String(), test.lines)
+		require.Equal(t, test.sessions, time.Duration(decoded.Stop.Sessions).String(), test.lines)
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(valid))
 	f.Fuzz(func(_ *testing.T, text []byte) {
 		_, _ = settings.Decode("fuzz.toml", text)
 	})
