--- a/config/rollout.go
+++ b/config/rollout.go
@@ -35,7 +35,7 @@
 const (
 	// RolloutRunning: the canary version gets a small share of the requests and is compared with the old one.
 	RolloutRunning RolloutPhase = "running"
-	// RolloutMoving: the comparison succeeded. New requests go to the new version, and those in flight
+	// RolloutMoving: the comparison succeeded. All new requests go to the new version, and those in flight
 	// at old back ends finish.
 	RolloutMoving RolloutPhase = "moving"
 	// RolloutCompleted: no requests are in flight at old back ends.
--- a/objectstore/eras.go
+++ b/objectstore/eras.go
@@ -10,7 +10,7 @@
 
 // errEarlierEra is the cause of the error for a response from an era that has ended. A write that got such a response
 // may be lost.
-const errEarlierEra = errors.ConstError("response from an earlier era of the store")
+const errEarlierEra = errors.ConstError("answer of an earlier era of the store")
 
 // EraTracker tracks the era of a store from the store's responses and from what other daemons report. The zero value is
 // in the first era. It is safe for concurrent use.
--- a/objectstore/http.go
+++ b/objectstore/http.go
@@ -140,7 +140,7 @@
 	}
 	var items []listItem
 	if err := json.Unmarshal(body, &items); err != nil {
-		return nil, errors.Annotate(ErrUnavailable, "decoding an object list: "+err.Error())
+		return nil, errors.Annotate(ErrUnavailable, "reading a list: "+err.Error())
 	}
 	objects := make([]Object, 0, len(items))
 	for _, item := range items {
@@ -166,7 +166,7 @@
 func (c *Client) do(ctx context.Context, method, path string, body []byte, expected *Version) (*http.Response, []byte, error) {
 	request, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
 	if err != nil {
-		return nil, nil, errors.Annotate(err, "creating the request to the platform")
+		return nil, nil, errors.Annotate(err, "platform address")
 	}
 	// If the transport resent a write, the conflict with the first attempt would hide that
 	// the first one took effect. Without GetBody it cannot resend the body.
@@ -211,9 +211,9 @@
 	case http.StatusRequestEntityTooLarge:
 		return ErrTooLarge
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		return errors.WithType(fmt.Errorf("platform responded with status %d: %s", status, bytes.TrimSpace(body)), ErrUnavailable)
+		return errors.WithType(fmt.Errorf("platform answered %d: %s", status, bytes.TrimSpace(body)), ErrUnavailable)
 	default:
-		return errors.WithType(fmt.Errorf("platform responded with status %d: %s", status, bytes.TrimSpace(body)), ErrOutcomeUnknown)
+		return errors.WithType(fmt.Errorf("platform answered %d: %s", status, bytes.TrimSpace(body)), ErrOutcomeUnknown)
 	}
 }
 
@@ -224,7 +224,7 @@
 func responseVersion(response *http.Response) (Version, error) {
 	number, err := strconv.ParseUint(response.Header.Get(HeaderVersion), 10, 64)
 	if err != nil {
-		return 0, errors.Annotate(ErrOutcomeUnknown, "response without a valid "+HeaderVersion)
+		return 0, errors.Annotate(ErrOutcomeUnknown, "answer without "+HeaderVersion)
 	}
 	return Version(number), nil
 }
--- a/objectstore/objectstore.go
+++ b/objectstore/objectstore.go
@@ -24,7 +24,7 @@
 	// ErrUnavailable: the store did not accept the call. Nothing was written.
 	ErrUnavailable = errors.ConstError("store unavailable")
 	// ErrOutcomeUnknown: the call got no usable response; a write may have taken effect.
-	ErrOutcomeUnknown = errors.ConstError("no usable response from the store")
+	ErrOutcomeUnknown = errors.ConstError("store gave no answer")
 	// ErrTooLarge: the value is larger than MaxValueBytes.
 	ErrTooLarge = errors.ConstError("value too large")
 )
