--- a/lab/account/account.go
+++ b/lab/account/account.go
@@ -21,7 +21,7 @@
 	// Unreached is one that no daemon took.
 	Unreached = "failed: no daemon took the connection"
 	// Unnamed is what no rule explains.
-	Unnamed = explain.LateUnnamed
+	Unnamed = explain.LateUnexplained
 	// pricePrefix begins the names of prices.
 	pricePrefix = "price: "
 )
@@ -126,23 +126,23 @@
 		policy, _ := dayreport.ParsePolicyName(class)
 		return policy.Objective
 	}
-	for _, one := range day.Log.Endings(objective) {
-		policy, known := dayreport.ParsePolicyName(one.Outcome.Class)
+	for _, one := range day.Log.Outcomes(objective) {
+		policy, known := dayreport.ParsePolicyName(one.Line.Class)
 		if !known {
 			continue // of no kind that is owed anything: no route, or no configuration yet
 		}
 		if seen[policy] == nil {
 			seen[policy] = &ended{}
 		}
-		window := int(math.Floor(one.Outcome.Time.Sub(day.Began).Seconds()/WindowSeconds)) * WindowSeconds
+		window := int(math.Floor(one.Line.Time.Sub(day.Began).Seconds()/WindowSeconds)) * WindowSeconds
 		switch {
 		case one.Late:
 			seen[policy].late.add(one.Cause.Kind, window)
-		case one.Answered():
+		case one.Succeeded():
 			seen[policy].inTime++
-		case one.Outcome.Code == int(resultcode.RateExceeded):
+		case one.Line.Code == int(resultcode.RateExceeded):
 			seen[policy].overRate++
-		case one.Outcome.Run == string(resultcode.NotRun):
+		case one.Line.Run == string(resultcode.NotRun):
 			seen[policy].refused.add("refused: "+one.Cause.Kind, window)
 		default:
 			seen[policy].failed.add("failed: "+one.Cause.Kind, window)
--- a/lab/labcommand/account.go
+++ b/lab/labcommand/account.go
@@ -55,7 +55,7 @@
 			return dayreport.Report{}, account.Account{}, err
 		}
 	}
-	if day.Log.Lines() == 0 {
+	if day.Log.LineCount() == 0 {
 		return dayreport.Report{}, account.Account{}, errors.NotFoundf("lines of daemons in the logs of %s", path)
 	}
 	return report, account.Of(day), nil
