--- a/lab/labcommand/site.go
+++ b/lab/labcommand/site.go
@@ -67,10 +67,10 @@
 }
 
 // kinds is the mix of requests.
-func (d deployment) kinds() []load.Kind {
-	return []load.Kind{
+func (d deployment) kinds() []load.RequestKind {
+	return []load.RequestKind{
 		{Name: d.reads, Method: http.MethodGet, Path: "/" + d.reads, Share: 0.88},
-		{Name: d.changes, Method: http.MethodPost, Path: "/" + d.changes, Share: 0.05, Once: true},
+		{Name: d.changes, Method: http.MethodPost, Path: "/" + d.changes, Share: 0.05, WithIdempotencyKey: true},
 		{Name: d.archives, Method: http.MethodGet, Path: "/" + d.archives, Share: 0.07},
 	}
 }
--- a/lab/rolling/rolling.go
+++ b/lab/rolling/rolling.go
@@ -245,7 +245,7 @@
 		}
 		result := load.Run(ctx, load.Options{
 			Targets: targets, Rate: f.options.Rate, Duration: loadSlice, Seed: seed,
-			Kinds: []load.Kind{{Name: "all", Method: http.MethodGet, Path: "/work", Share: 1}},
+			Kinds: []load.RequestKind{{Name: "all", Method: http.MethodGet, Path: "/work", Share: 1}},
 		})
 		f.mutex.Lock()
 		f.result.SentRequests += int64(result.Sent)
--- a/lab/site/faults_test.go
+++ b/lab/site/faults_test.go
@@ -81,7 +81,7 @@
 		made.Kinds = kinds()[:1]
 		result := load.Run(ctx, made)
 		checkPromises(t, running, result)
-		refused := result.Runs[resultcode.NotRun]
+		refused := result.RunStates[resultcode.NotRun]
 		require.Greater(t, refused, result.Sent/2, "overload was not met")
 		// One back end with 3 slots and 5 ms of work serves 600 a second.
 		capacity := 600.0 * 4
--- a/lab/site/schedule_test.go
+++ b/lab/site/schedule_test.go
@@ -234,7 +234,7 @@
 // comes back with the same key through another daemon when an operation fails.
 func (w *world) callers(seed uint64, length time.Duration) *load.Result {
 	return load.Run(w.ctx, load.Options{
-		Network: w.net.Host("callers"), Rate: scheduleRate, Duration: length, Seed: seed, Kinds: kinds(), Again: true,
+		Network: w.net.Host("callers"), Rate: scheduleRate, Duration: length, Seed: seed, Kinds: kinds(), RetryUnanswered: true,
 		Targets: w.site.Targets(), Timeout: time.Minute,
 	})
 }
@@ -279,8 +279,8 @@
 // checkResult compares what callers were told with what back ends saw.
 func (w *world) checkResult(result *load.Result) {
 	runs := w.site.Runs()
-	if result.Wrong > 0 {
-		w.problem("%d answers were wrong or partial", result.Wrong)
+	if result.WrongResponses > 0 {
+		w.problem("%d answers were wrong or partial", result.WrongResponses)
 	}
 	for _, outcome := range result.Outcomes {
 		if outcome.Run == resultcode.NotRun && runs[outcome.Name] > 0 {
@@ -354,7 +354,7 @@
 		name  string
 		spoil func(w *world, result *load.Result)
 	}{
-		{"wrong answer", func(_ *world, result *load.Result) { result.Wrong++ }},
+		{"wrong answer", func(_ *world, result *load.Result) { result.WrongResponses++ }},
 		{"false not run", func(w *world, result *load.Result) {
 			for name := range w.site.Runs() {
 				result.Outcomes = append(result.Outcomes, load.Outcome{Name: name, Run: resultcode.NotRun})
--- a/lab/site/site_test.go
+++ b/lab/site/site_test.go
@@ -30,7 +30,7 @@
 	defer running.Close()
 	result := load.Run(ctx, load.Options{
 		Targets: running.Targets(), Rate: 400, Duration: time.Second, Seed: 1,
-		Kinds: []load.Kind{{Name: "read", Method: http.MethodGet, Path: "/prices", Share: 1}},
+		Kinds: []load.RequestKind{{Name: "read", Method: http.MethodGet, Path: "/prices", Share: 1}},
 	})
 	require.Equal(t, result.Sent, result.Answered, result.FirstFailure())
 	require.Greater(t, result.Sent, 200)
--- a/lab/site/virtual_test.go
+++ b/lab/site/virtual_test.go
@@ -40,10 +40,10 @@
 }
 
 // kinds is the mix of the tests.
-func kinds() []load.Kind {
-	return []load.Kind{
+func kinds() []load.RequestKind {
+	return []load.RequestKind{
 		{Name: "reads", Method: http.MethodGet, Path: "/reads", Share: 0.8},
-		{Name: "corrections", Method: http.MethodPost, Path: "/corrections", Share: 0.2, Once: true},
+		{Name: "corrections", Method: http.MethodPost, Path: "/corrections", Share: 0.2, WithIdempotencyKey: true},
 	}
 }
 
@@ -92,7 +92,7 @@
 func checkPromises(t *testing.T, running *site.Site, result *load.Result) {
 	t.Helper()
 	runs := running.Runs()
-	require.Zero(t, result.Wrong, "answers that were not the whole answer to their own request")
+	require.Zero(t, result.WrongResponses, "answers that were not the whole answer to their own request")
 	for _, outcome := range result.Outcomes {
 		if outcome.Run == resultcode.NotRun {
 			require.Zero(t, runs[outcome.Name], "request %s was said not to have run", outcome.Name)
