--- a/lab/datapath/datapath.go
+++ b/lab/datapath/datapath.go
@@ -81,9 +81,9 @@
 
 func measure(ctx context.Context, one way, options Options) (Result, error) {
 	running, err := site.Start(ctx, site.Options{
-		Zones: []string{"zone-a"}, Daemons: 1, Decisions: one.decisions, LogLevel: "info", LogTo: io.Discard,
+		Zones: []string{"zone-a"}, Daemons: 1, Decisions: one.decisions, LogLevel: "info", LogOutput: io.Discard,
 		Services: []site.Service{{
-			Declared: config.Service{Name: "work", Slots: 64}, Backends: one.backends, Backend: backendstub.Options{Slots: 64, Fixed: true},
+			Config: config.Service{Name: "work", Slots: 64}, Backends: one.backends, Backend: backendstub.Options{Slots: 64, FixedServiceTime: true},
 		}},
 	})
 	if err != nil {
@@ -115,9 +115,9 @@
 }
 
 func (s *side) add(ctx context.Context, options load.Options) {
-	before := usage.Processor()
+	before := usage.CPUTime()
 	result := load.Run(ctx, options)
-	s.processor += usage.Processor() - before
+	s.processor += usage.CPUTime() - before
 	s.elapsed += result.Elapsed
 	s.requests += result.Answered
 	s.p50 = append(s.p50, milliseconds(result.Quantile(50)))
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -222,7 +222,7 @@
 		g.note(kind, Outcome{Name: name}, 0, 0, false, err.Error())
 		return false
 	}
-	request.Header.Set(backendstub.HeaderRunCount, name)
+	request.Header.Set(backendstub.HeaderRequestName, name)
 	if kind.WithIdempotencyKey {
 		request.Header.Set(policy.HeaderIdempotencyKey, key)
 	}
