--- a/dissemination/announce.go
+++ b/dissemination/announce.go
@@ -7,47 +7,50 @@
 	"github.com/tuliphall/tuliphall/wait"
 )
 
-// announceInterval is the least time between two announcements of a daemon: changes
-// that come in quick succession are told together.
-const announceInterval = 50 * time.Millisecond
+// minAnnounceInterval is the minimum time between two announcements of a daemon, so that changes
+// in quick succession are announced together.
+const minAnnounceInterval = 50 * time.Millisecond
 
-// announce lets members be told of news, from the store or from another daemon. It
-// does not block.
-func (f *Follower) announce(fromStore bool) {
-	queue := f.toPassOn
+// requestAnnouncement schedules an announcement of the current position to other members.
+// fromStore says that the change came from the store rather than from another daemon. It does not
+// block.
+func (f *Follower) requestAnnouncement(fromStore bool) {
+	requests := f.relayRequests
 	if fromStore {
-		queue = f.toAnnounce
+		requests = f.announceRequests
 	}
 	select {
-	case queue <- struct{}{}:
-	default: // it is already asked for
+	case requests <- struct{}{}:
+	default: // an announcement is already pending
 	}
 }
 
-// announceLoop tells members of news until ctx ends.
+// announceLoop sends requested announcements until ctx ends.
 func (f *Follower) announceLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-f.toAnnounce:
-			if !f.announceToOwn(ctx) && f.standIn.active.Load() {
+		case <-f.announceRequests:
+			if !f.announceAsWatcher(ctx) && f.failover.active.Load() {
 				f.peers.Relay(ctx)
 			}
-		case <-f.toPassOn:
-			f.announceToOwn(ctx)
+		case <-f.relayRequests:
+			f.announceAsWatcher(ctx)
 			f.peers.Relay(ctx)
 		}
-		wait.Sleep(ctx, announceInterval)
+		wait.Sleep(ctx, minAnnounceInterval)
 	}
 }
 
-// announceToOwn tells the members that this daemon is to tell of news from the store, and says whether it is
-// to tell any. It does also where another daemon told it: the store may not tell this one for a while, as it
-// pauses after news. Where only those told theirs that the store had told, the last of 20 daemons heard
-// of a second change up to 0.7 s after the first one had; now within 0.1 s (TestNewsRightAfterNews).
-func (f *Follower) announceToOwn(ctx context.Context) bool {
-	if !f.placed() {
+// announceAsWatcher announces the current position to the members assigned to this daemon, and
+// returns false if it is not one of the selected watchers. Watchers also announce changes received
+// from another daemon, as their own watch pauses after each change and may report the next one
+// late. When only the daemons that the store had notified announced, the last of 20 daemons
+// learned of a second change up to 0.7 s after the first daemon; now it does within 0.1 s
+// (TestNewsRightAfterNews).
+func (f *Follower) announceAsWatcher(ctx context.Context) bool {
+	if !f.isWatcher() {
 		return false
 	}
 	f.peers.Announce(ctx, WatcherKey, f.options.Watchers)
--- a/dissemination/follower.go
+++ b/dissemination/follower.go
@@ -1,14 +1,14 @@
 // Package dissemination keeps a daemon at the newest configuration.
 //
-// The platform's store holds the one document that counts. Only a few daemons of
-// each region watch it, chosen from the members by rendezvous hashing; a watch
-// counts as a call, so that their number must not grow with the fleet. A daemon
-// that learns of a new revision puts it in force and tells a few others at once,
-// which fetch what they lack and do the same. Heartbeats carry the revision too,
-// so that whoever was missed catches up within seconds. A daemon that none of those
-// would tell watches the store itself until one does. A daemon only ever goes to a
-// higher revision, also when the store comes back from an older copy: what was known last is then kept until it is written
-// again.
+// The authoritative document is in the platform's store. Only a few daemons of each region watch
+// it, selected from the members by rendezvous hashing: each watch counts as a call to the store,
+// so the number of watches must not grow with the fleet. A daemon that learns of a new revision
+// applies it and announces it to a few others at once, which fetch what they lack and do the same.
+// Heartbeats carry the revision too, so that a daemon that was missed catches up within seconds. A
+// daemon that none of the watchers would notify watches the store itself until one does.
+//
+// A daemon only moves to higher revisions, even if the store is restored from an older backup: the
+// last known state is then retained until it is written again.
 package dissemination
 
 import (
@@ -30,137 +30,138 @@
 
 // Timing and bounds.
 const (
-	// pollInterval is how often a daemon that does not watch looks whether it
-	// should.
-	pollInterval = time.Second
-	// firstBackoff and maxBackoff bound the pause after a failed call.
-	firstBackoff = 200 * time.Millisecond
-	maxBackoff   = 15 * time.Second
-	// firstWatch is how long after its start a daemon may watch. It knows the others
-	// by then; and where all daemons started at once, a change that is made right after
-	// they have read the store is heard no later than this.
-	firstWatch = 1200 * time.Millisecond
-	// fromPlatform is the source of what the daemon read itself.
-	fromPlatform = "platform"
-	// joinTime is how long a daemon that starts before anything was declared
-	// gets to know the others.
-	joinTime = time.Second
-	// firstDeclaration is how long it then waits before it reads the store again.
-	firstDeclaration = 3 * time.Second
-	// startPeers is how many peers a starting daemon asks that cannot read the store, and startComparedPeers how many it
-	// compares with what it has read.
-	startPeers         = 5
-	startComparedPeers = 2
-	// startPeersTimeout bounds how long that comparison keeps a daemon from serving.
-	startPeersTimeout = 300 * time.Millisecond
-	// fromPeers is the source of what other daemons told at the start.
-	fromPeers = "peers"
-	// WatcherKey is the key by which watchers are chosen.
+	// watcherCheckInterval is how often a daemon that does not watch checks whether it should.
+	watcherCheckInterval = time.Second
+	// initialBackoff and defaultMaxBackoff bound the delay after a failed call.
+	initialBackoff    = 200 * time.Millisecond
+	defaultMaxBackoff = 15 * time.Second
+	// initialWatchDelay is how long after its start a daemon may begin to watch. By then it knows
+	// the other members. If all daemons start at once, a change made right after they have read
+	// the store is received at the latest after this delay.
+	initialWatchDelay = 1200 * time.Millisecond
+	// sourcePlatform is the logged source of documents read from the store.
+	sourcePlatform = "platform"
+	// joinDelay is how long a daemon that starts before any configuration exists waits to discover
+	// the other members.
+	joinDelay = time.Second
+	// initialConfigurationWait is how long it then waits for a configuration before it reads the
+	// store again.
+	initialConfigurationWait = 3 * time.Second
+	// startupPeers is from how many peers a starting daemon that cannot read the store takes
+	// answers, and startupComparisonPeers from how many one that has read it, to compare.
+	startupPeers           = 5
+	startupComparisonPeers = 2
+	// startupComparisonTimeout bounds how much that comparison delays serving.
+	startupComparisonTimeout = 300 * time.Millisecond
+	// sourcePeers is the logged source of documents obtained from other daemons at the start.
+	sourcePeers = "peers"
+	// WatcherKey is the rendezvous hashing key that selects the watchers.
 	WatcherKey = "watch/configuration"
 )
 
-// Peers is what a Follower asks of the other daemons.
+// Peers is the Follower's access to the other daemons.
 type Peers interface {
-	// Rank returns this daemon's place, from 0, among those that are chosen for
-	// a duty, and their number; chosen is false when it is none of them. With a
-	// count of 0 all are chosen.
-	Rank(duty string, count int) (place, of int, chosen bool)
-	// HasAnnouncer says whether any of the members that would tell this one of news
-	// answers, of the count that are chosen for a duty. It may block for a moment.
-	HasAnnouncer(ctx context.Context, duty string, count int) bool
+	// Rank returns this daemon's rank, from 0, among the count daemons selected for a key, and how
+	// many were selected; chosen is false if it is not one of them. With a count of 0 all are
+	// selected.
+	Rank(key string, count int) (rank, total int, chosen bool)
+	// HasAnnouncer reports whether any of the members that should announce changes to this daemon
+	// answers, out of the count selected for a key. It may block briefly.
+	HasAnnouncer(ctx context.Context, key string, count int) bool
 	// RegionSize returns how many daemons of the region are alive.
 	RegionSize() int
-	// FetchDocument returns the document of the daemon at an address.
+	// FetchDocument returns present, updated with what is newer at the daemon with the given
+	// address.
 	FetchDocument(ctx context.Context, address string, present config.Document) (config.Document, error)
-	// Announce tells members of the region what is in force here, as one of the count
-	// daemons that are chosen for a duty. It may block.
-	Announce(ctx context.Context, duty string, count int)
-	// Relay tells a few members what is in force here, as others tell it, too. It may
-	// block.
+	// Announce announces the current position to the members of the region that are assigned to
+	// this daemon, one of the count selected for a key. It may block.
+	Announce(ctx context.Context, key string, count int)
+	// Relay announces the current position to a few random members, after a change received from
+	// another daemon. It may block.
 	Relay(ctx context.Context)
 }
 
-// Options are a Follower's collaborators.
+// Options configures a Follower.
 type Options struct {
-	// Sources give the parts of the document; each is watched by itself.
+	// Sources provide the parts of the document; each is watched independently.
 	Sources  []Source
 	Services *service.Registry
-	Timeout  time.Duration // of one call to the store
-	Watchers int           // daemons of a region that watch; 0: all, from the start
-	// WatchInterval is the pause after news, and the least time between the
-	// beginnings of two watches of a source: changes that come in quick succession
-	// are heard together.
+	Timeout  time.Duration // per call to the store
+	Watchers int           // number of daemons per region that watch; 0: all, from the start
+	// WatchInterval is the delay after a change, and the minimum time between the starts of two
+	// watches of a source, so that changes in quick succession are received together.
 	WatchInterval time.Duration
-	// WatchGap is the time between the renewals of two daemons' watches; 0: a
-	// watch waits as long as it may.
+	// WatchGap is the time between the watch renewals of two daemons; 0: each watch waits for the
+	// maximum duration.
 	WatchGap time.Duration
-	// MaxBackoff bounds the pause after a failed call; 0: 15 s.
+	// MaxBackoff bounds the delay after a failed call; 0: 15 s.
 	MaxBackoff time.Duration
 	Log        *slog.Logger
 	Random     *rand.Rand
-	// Seeds returns peer addresses to ask at the start. It may block.
+	// Seeds returns the peer addresses to query at the start. It may block.
 	Seeds func(ctx context.Context) []string
-	// FirstStart says that nothing can have been declared yet when the daemon starts.
+	// FirstStart says that no configuration can exist yet when the daemon starts.
 	FirstStart bool
-	// OnLostChanges is called when a document lacks changes that are in force, and HearEra with the era of the store that a document
-	// is of; nil: neither is. They must not block.
+	// OnLostChanges, if set, is called when an offered document lacks changes that are in force.
+	// It must not block.
 	OnLostChanges func()
-	ObserveEra    func(era uint64)
+	// ObserveEra, if set, is called with the store era of each document before it is applied. It
+	// must not block.
+	ObserveEra func(era uint64)
 }
 
-// Follower keeps a daemon at the newest configuration. It is safe for
-// concurrent use.
+// Follower keeps a daemon at the newest configuration. It is safe for concurrent use.
 type Follower struct {
-	options  Options
-	log      *slog.Logger
-	peers    Peers
-	behind   chan news // bounded; a full queue drops: heartbeats repeat it
-	watching atomic.Bool
-	reading  atomic.Bool   // the store is being read at the start
-	head     atomic.Uint64 // highest revision heard of
+	options         Options
+	log             *slog.Logger
+	peers           Peers
+	newerPeers      chan newerPeer // if full, entries are dropped; heartbeats repeat them
+	watching        atomic.Bool
+	reading         atomic.Bool   // the initial read of the store is in progress
+	highestRevision atomic.Uint64 // highest revision seen from the store or a peer
 
-	// toAnnounce and toPassOn have room for one each: news from the store, and from
-	// other daemons, that members are still to be told of.
-	toAnnounce, toPassOn chan struct{}
+	// announceRequests and relayRequests each buffer one request to announce: changes from the
+	// store, and changes from other daemons.
+	announceRequests, relayRequests chan struct{}
 
-	standIn standIn
+	failover failoverWatch
 
-	// retained has room for one: what is kept of what the store lost has changed.
-	retained chan struct{}
+	// retentionChanged buffers one notification that the retained state has changed.
+	retentionChanged chan struct{}
 
-	configured chan struct{} // closed once a document is in force
+	configured chan struct{} // closed once requests can be served
 
-	once sync.Once // closes it
+	configuredOnce sync.Once // closes configured
 
-	mutex     sync.Mutex // held while a document is put in force
+	mutex     sync.Mutex // held while a document is applied
 	retention config.Retention
-	// document is what the store and other daemons tell; what is in force differs from it by what is retained.
+	// document is the newest known from the store and other daemons. The snapshot in force differs
+	// from it by the retained state.
 	document atomic.Pointer[config.Document]
 	randomMu sync.Mutex
 }
 
-// behindQueue is how many members with a higher revision may wait to be asked.
-const behindQueue = 4
+// newerPeerQueueSize is how many members with a higher position may wait to be queried.
+const newerPeerQueueSize = 4
 
-// NewFollower returns a follower without configuration. SetPeers must be called
-// before Run.
+// NewFollower returns a follower without configuration. SetPeers must be called before Run.
 func NewFollower(options Options) *Follower {
 	if options.MaxBackoff == 0 {
-		options.MaxBackoff = maxBackoff
+		options.MaxBackoff = defaultMaxBackoff
 	}
 	return &Follower{
-		options: options, log: logging.Part(options.Log, "configuration"), behind: make(chan news, behindQueue),
-		toAnnounce: make(chan struct{}, 1), toPassOn: make(chan struct{}, 1), configured: make(chan struct{}), retained: make(chan struct{}, 1),
-		standIn: newStandIn(len(options.Sources)),
+		options: options, log: logging.Part(options.Log, "configuration"), newerPeers: make(chan newerPeer, newerPeerQueueSize),
+		announceRequests: make(chan struct{}, 1), relayRequests: make(chan struct{}, 1), configured: make(chan struct{}), retentionChanged: make(chan struct{}, 1),
+		failover: newFailoverWatch(len(options.Sources)),
 	}
 }
 
-// SetPeers sets the other daemons.
+// SetPeers sets the access to the other daemons. It must be called before Run.
 func (f *Follower) SetPeers(peers Peers) {
 	f.peers = peers
 }
 
-// Revision returns the revision in force, 0 if there is none.
+// Revision returns the revision in force, or 0 if there is none.
 func (f *Follower) Revision() config.Revision {
 	return f.Position().Revision
 }
@@ -173,7 +174,7 @@
 	return config.Position{}
 }
 
-// Document returns the document in force; it must not be changed.
+// Document returns the newest document applied; it must not be modified.
 func (f *Follower) Document() config.Document {
 	if document := f.document.Load(); document != nil {
 		return *document
@@ -181,76 +182,77 @@
 	return config.Document{}
 }
 
-// HighestRevision returns the highest revision heard of.
+// HighestRevision returns the highest revision seen, in force or not.
 func (f *Follower) HighestRevision() config.Revision {
-	return max(config.Revision(f.head.Load()), f.Revision())
+	return max(config.Revision(f.highestRevision.Load()), f.Revision())
 }
 
-// Reading says whether this daemon has just started and reads the store, so that
-// others need not hand it everything.
+// Reading reports whether the initial read of the store is in progress, so that other daemons need
+// not send everything.
 func (f *Follower) Reading() bool {
 	return f.reading.Load()
 }
 
-// Watching says whether this daemon watches the store.
+// Watching reports whether this daemon watches the store.
 func (f *Follower) Watching() bool {
 	return f.watching.Load()
 }
 
-// news is that a member has a higher position.
-type news struct {
+// newerPeer is a member with a higher position.
+type newerPeer struct {
 	member   membership.Member
 	position config.Position
 }
 
-// RecordNewerPeer implements peer.Configuration. While the store is being read at the start,
-// what others have is not asked for: heartbeats tell it again.
+// RecordNewerPeer implements peer.Configuration. Calls during the initial read of the store are
+// ignored; later heartbeats repeat the position.
 func (f *Follower) RecordNewerPeer(member membership.Member, position config.Position) {
 	if f.Reading() {
 		return
 	}
 	select {
-	case f.behind <- news{member: member, position: position}:
+	case f.newerPeers <- newerPeer{member: member, position: position}:
 	default:
 	}
 }
 
-// Offer puts what is newer in a document than in the present one in force, and
-// tells others. The error says why a newer document could not be used.
+// Offer applies the parts of a document that are newer than the current ones, and announces them.
+// It returns an error if a newer document could not be used.
 func (f *Follower) Offer(document config.Document, source string) error {
-	f.noteHead(document.Revision)
+	f.observeRevision(document.Revision)
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	present := f.document.Load()
 	if present != nil {
 		newest, newer := present.MergeNewest(document)
-		if !newest.Includes(*present) || source == fromPlatform && !document.Includes(*present) {
-			f.noteLost(*present, document, source)
+		if !newest.Includes(*present) || source == sourcePlatform && !document.Includes(*present) {
+			f.reportLostChanges(*present, document, source)
 			return nil
 		}
 		if !newer {
-			f.notePassedOver(present.Position(), document.Position(), source)
+			f.logOlderDocument(present.Position(), document.Position(), source)
 			return nil
 		}
 		document = newest
 	}
-	f.noteEra(document)
-	snapshot, err := f.snapshotOf(f.retention.Apply(time.Now(), document))
+	f.observeEra(document)
+	snapshot, err := f.compile(f.retention.Apply(time.Now(), document))
 	if err != nil {
 		return errors.Annotatef(err, "revision %d cannot be used", document.Revision)
 	}
 	f.options.Services.Put(snapshot)
 	f.document.Store(&document)
-	if f.isConfigured(document) {
-		f.once.Do(func() { close(f.configured) })
+	if f.canServe(document) {
+		f.configuredOnce.Do(func() { close(f.configured) })
 	}
 	f.logInForce(present, document, source)
-	f.announce(source == fromPlatform)
+	f.requestAnnouncement(source == sourcePlatform)
 	return nil
 }
 
-// noteLost logs a document that lacks changes which are in force, as the store came back older, and lets these be written again.
-func (f *Follower) noteLost(present, offered config.Document, source string) {
+// reportLostChanges logs a document that lacks changes in force, as after a store rollback, and
+// calls OnLostChanges so that they can be written again.
+func (f *Follower) reportLostChanges(present, offered config.Document, source string) {
 	f.log.Warn("document passed over that lacks changes in force", "revision", uint64(present.Revision), "stored", present.StoreVersion.String(),
 		"offered_revision", uint64(offered.Revision), "offered_stored", offered.StoreVersion.String(), "source", source)
 	if f.options.OnLostChanges != nil {
@@ -258,33 +260,33 @@
 	}
 }
 
-// snapshotOf compiles a document, going on from the snapshot in force.
-func (f *Follower) snapshotOf(document config.Document) (*config.Snapshot, error) {
+// compile builds a snapshot of a document, based on the snapshot in force if there is one.
+func (f *Follower) compile(document config.Document) (*config.Snapshot, error) {
 	if present := f.options.Services.Snapshot(); present != nil {
 		return present.Next(document)
 	}
 	return config.NewSnapshot(document)
 }
 
-// notePassedOver logs a document that is older than the one in force. The same one
-// again is usual: several daemons tell of it.
-func (f *Follower) notePassedOver(present, offered config.Position, source string) {
+// logOlderDocument logs a document that is older than the current one. Repeated offers of the same
+// document are normal, as several daemons announce it, and are not logged.
+func (f *Follower) logOlderDocument(present, offered config.Position, source string) {
 	if present.Revision > offered.Revision && offered.Revision > 0 || present.Directory > offered.Directory && offered.Directory > 0 {
 		f.log.Info("older document passed over", "revision", uint64(present.Revision), "stored", present.StoreVersion.String(), "directory", present.Directory.String(),
 			"offered_revision", uint64(offered.Revision), "offered_stored", offered.StoreVersion.String(), "offered_directory", offered.Directory.String(), "source", source)
 	}
 }
 
-// isConfigured says whether requests can be served with a document: where there
-// are several sources, the directory must have been read as well.
-func (f *Follower) isConfigured(document config.Document) bool {
+// canServe reports whether requests can be served with a document: with several sources, the
+// directory must have been read as well.
+func (f *Follower) canServe(document config.Document) bool {
 	if len(f.options.Sources) == 1 {
 		return true
 	}
 	return document.Revision > 0 && document.Directory.Revision > 0
 }
 
-// Serving says whether requests can be served with what has been read.
+// Serving reports whether a configuration that requests can be served with is in force.
 func (f *Follower) Serving() bool {
 	select {
 	case <-f.configured:
@@ -294,49 +296,49 @@
 	}
 }
 
-func (f *Follower) noteHead(revision config.Revision) {
+func (f *Follower) observeRevision(revision config.Revision) {
 	for {
-		present := f.head.Load()
-		if uint64(revision) <= present || f.head.CompareAndSwap(present, uint64(revision)) {
+		present := f.highestRevision.Load()
+		if uint64(revision) <= present || f.highestRevision.CompareAndSwap(present, uint64(revision)) {
 			return
 		}
 	}
 }
 
-// Configured returns a channel that is closed once a configuration is in force.
+// Configured returns a channel that is closed once requests can be served.
 func (f *Follower) Configured() <-chan struct{} {
 	return f.configured
 }
 
 // Run keeps the configuration up to date until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
-	var running sync.WaitGroup
-	running.Go(func() { f.fetchLoop(ctx) })
-	running.Go(func() { f.announceLoop(ctx) })
-	running.Go(func() { f.retentionLoop(ctx) })
-	mayWatch := time.Now().Add(firstWatch)
-	f.start(ctx)
+	var loops sync.WaitGroup
+	loops.Go(func() { f.fetchLoop(ctx) })
+	loops.Go(func() { f.announceLoop(ctx) })
+	loops.Go(func() { f.retentionLoop(ctx) })
+	watchFrom := time.Now().Add(initialWatchDelay)
+	f.loadInitial(ctx)
 	if f.options.Watchers > 0 {
-		// A daemon that has just started knows hardly anybody and would choose
-		// itself. Had all started at once, each would hold a watch.
-		wait.Sleep(ctx, time.Until(mayWatch))
+		// A daemon that has just started knows few members and would select itself. If all daemons
+		// started at once, each would watch.
+		wait.Sleep(ctx, time.Until(watchFrom))
 	}
-	running.Go(func() { f.standInLoop(ctx) })
+	loops.Go(func() { f.failoverWatchLoop(ctx) })
 	for _, source := range f.options.Sources {
-		running.Go(func() { f.watchLoop(ctx, source) })
+		loops.Go(func() { f.watchLoop(ctx, source) })
 	}
-	running.Wait()
+	loops.Wait()
 }
 
-// fetchLoop asks members that have a higher revision for what is lacking.
+// fetchLoop fetches missing changes from members with a higher position.
 func (f *Follower) fetchLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case heard := <-f.behind:
-			if f.Position().Behind(heard.position) {
-				f.fetch(ctx, heard.member)
+		case peer := <-f.newerPeers:
+			if f.Position().Behind(peer.position) {
+				f.fetch(ctx, peer.member)
 			}
 		}
 	}
--- a/dissemination/follower_test.go
+++ b/dissemination/follower_test.go
@@ -22,33 +22,33 @@
 	"github.com/tuliphall/tuliphall/service"
 )
 
-// lonely are the peers of a daemon that is told of no other. It watches the store
-// unless others are chosen to.
-type lonely struct {
+// fakePeers are the peers of a daemon that knows no other daemon. The daemon is a watcher unless
+// othersChosen is set.
+type fakePeers struct {
 	announced    atomic.Int32
-	passedOn     atomic.Int32
-	asked        atomic.Int32 // for a document
+	relayed      atomic.Int32
+	fetched      atomic.Int32
 	othersChosen bool
 }
 
-func (l *lonely) Rank(string, int) (int, int, bool) { return 0, 1, !l.othersChosen }
-func (l *lonely) HasAnnouncer(context.Context, string, int) bool {
+func (l *fakePeers) Rank(string, int) (int, int, bool) { return 0, 1, !l.othersChosen }
+func (l *fakePeers) HasAnnouncer(context.Context, string, int) bool {
 	return l.othersChosen
 }
-func (l *lonely) RegionSize() int { return 1 }
-func (l *lonely) Announce(context.Context, string, int) {
+func (l *fakePeers) RegionSize() int { return 1 }
+func (l *fakePeers) Announce(context.Context, string, int) {
 	l.announced.Add(1)
 }
-func (l *lonely) Relay(context.Context) {
+func (l *fakePeers) Relay(context.Context) {
 	l.announced.Add(1)
-	l.passedOn.Add(1)
+	l.relayed.Add(1)
 }
-func (l *lonely) FetchDocument(context.Context, string, config.Document) (config.Document, error) {
-	l.asked.Add(1)
-	return config.Document{}, errors.New("nobody there")
+func (l *fakePeers) FetchDocument(context.Context, string, config.Document) (config.Document, error) {
+	l.fetched.Add(1)
+	return config.Document{}, errors.New("no peers")
 }
 
-// scriptedSource has nothing until it is told what to declare.
+// scriptedSource is empty until a test declares a document.
 type scriptedSource struct {
 	reads    atomic.Int32
 	watches  atomic.Int32
@@ -92,24 +92,24 @@
 	follower := NewFollower(options)
 	follower.SetPeers(peers)
 	ctx, cancel := context.WithCancel(t.Context())
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(done)
 		follower.Run(ctx)
 	}()
 	t.Cleanup(func() {
 		cancel()
-		<-ended
+		<-done
 	})
 	return follower
 }
 
-// TestFirstDeclarationIsWaitedFor starts before anything was declared: the store is
-// asked once and watched, not asked again and again.
+// TestFirstDeclarationIsWaitedFor starts a watcher before any configuration exists: it reads the
+// store once and then watches it, instead of polling.
 func TestFirstDeclarationIsWaitedFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &scriptedSource{declared: make(chan config.Document, 1)}
-		follower := startFollower(t, source, &lonely{}, 0)
+		follower := startFollower(t, source, &fakePeers{}, 0)
 		time.Sleep(3 * time.Second)
 		require.EqualValues(t, 1, source.reads.Load())
 		require.EqualValues(t, 1, source.watches.Load())
@@ -120,12 +120,12 @@
 	})
 }
 
-// TestFirstDeclarationIsTold starts a daemon that others are chosen to watch for: it
-// asks the store once, and is told.
+// TestFirstDeclarationIsTold starts a daemon that is not a watcher before any configuration
+// exists: it reads the store once and is then notified by a peer.
 func TestFirstDeclarationIsTold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &scriptedSource{declared: make(chan config.Document)}
-		follower := startFollower(t, source, &lonely{othersChosen: true}, 0)
+		follower := startFollower(t, source, &fakePeers{othersChosen: true}, 0)
 		time.Sleep(3 * time.Second)
 		require.EqualValues(t, 1, source.reads.Load())
 		require.EqualValues(t, 0, source.watches.Load())
@@ -134,12 +134,12 @@
 	})
 }
 
-// TestFirstStart starts with the whole system: a daemon that others are chosen to
-// watch for does not ask the store at all.
+// TestFirstStart starts a daemon that is not a watcher together with the whole system: it does not
+// call the store at all.
 func TestFirstStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &scriptedSource{declared: make(chan config.Document)}
-		follower := runFollower(t, &lonely{othersChosen: true}, Options{Sources: []Source{source}, FirstStart: true})
+		follower := runFollower(t, &fakePeers{othersChosen: true}, Options{Sources: []Source{source}, FirstStart: true})
 		time.Sleep(2 * time.Second)
 		require.NoError(t, follower.Offer(config.Document{Revision: 4}, "another"))
 		<-follower.Configured()
@@ -148,7 +148,7 @@
 	})
 }
 
-// slowSource takes a while to be read.
+// slowSource takes 500 ms to read.
 type slowSource struct {
 	scriptedSource
 }
@@ -158,49 +158,49 @@
 	return config.Document{Revision: 5}, nil
 }
 
-// TestOthersAreNotAskedWhileTheStoreIsRead hears of news while it reads the store at
-// its start, and again later.
+// TestOthersAreNotAskedWhileTheStoreIsRead learns of newer peers during the initial read of the
+// store, when no document may be fetched from them, and afterwards.
 func TestOthersAreNotAskedWhileTheStoreIsRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		peers := &lonely{}
+		peers := &fakePeers{}
 		follower := startFollower(t, &slowSource{}, peers, 0)
 		time.Sleep(100 * time.Millisecond)
 		require.True(t, follower.Reading())
 		follower.RecordNewerPeer(membership.Member{Name: "edge-2"}, config.Position{Revision: 5})
 		time.Sleep(time.Second)
 		require.False(t, follower.Reading())
-		require.EqualValues(t, 0, peers.asked.Load())
+		require.EqualValues(t, 0, peers.fetched.Load())
 		follower.RecordNewerPeer(membership.Member{Name: "edge-2"}, config.Position{Revision: 6})
 		synctest.Wait()
-		require.EqualValues(t, 1, peers.asked.Load())
+		require.EqualValues(t, 1, peers.fetched.Load())
 	})
 }
 
-// TestQuickChangesAreTakenTogether hears of a change, and pauses: what comes within
-// the interval is heard with the next watch, together with those of other daemons.
+// TestQuickChangesAreTakenTogether checks that the watch pauses for the interval after a change,
+// so that further changes within it are received together.
 func TestQuickChangesAreTakenTogether(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &scriptedSource{declared: make(chan config.Document, 1)}
-		peers := &lonely{}
+		peers := &fakePeers{}
 		follower := startFollower(t, source, peers, 500*time.Millisecond)
 		source.declared <- config.Document{Revision: 1}
-		time.Sleep(10 * time.Second) // the next watch began long ago
+		time.Sleep(10 * time.Second) // the next watch has begun
 		source.declared <- config.Document{Revision: 2}
 		time.Sleep(time.Millisecond)
 		require.Equal(t, config.Revision(2), follower.Revision())
 		require.EqualValues(t, 2, peers.announced.Load())
 		watches := source.watches.Load()
 		time.Sleep(498 * time.Millisecond)
-		require.Equal(t, watches, source.watches.Load(), "it pauses after news")
+		require.Equal(t, watches, source.watches.Load(), "no pause after a change")
 		time.Sleep(2 * time.Millisecond)
 		require.Equal(t, watches+1, source.watches.Load())
 	})
 }
 
-// TestNewsFromOthersIsAnnounced lets a daemon that watches the store tell its members of what another daemon
-// told it, and one that does not only pass it on.
+// TestNewsFromOthersIsAnnounced checks that a watcher announces a change received from another
+// daemon to its assigned members and also relays it, and that other daemons only relay it.
 func TestNewsFromOthersIsAnnounced(t *testing.T) {
-	for name, one := range map[string]struct {
+	for name, test := range map[string]struct {
 		othersChosen bool
 		announced    int32
 	}{
@@ -209,19 +209,19 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				peers := &lonely{othersChosen: one.othersChosen}
+				peers := &fakePeers{othersChosen: test.othersChosen}
 				follower := startFollower(t, &scriptedSource{declared: make(chan config.Document, 1)}, peers, 500*time.Millisecond)
 				require.NoError(t, follower.Offer(config.Document{Revision: 1}, "edge-1"))
 				time.Sleep(time.Millisecond)
-				require.EqualValues(t, 1, peers.passedOn.Load())
-				require.Equal(t, one.announced, peers.announced.Load()-peers.passedOn.Load())
+				require.EqualValues(t, 1, peers.relayed.Load())
+				require.Equal(t, test.announced, peers.announced.Load()-peers.relayed.Load())
 			})
 		})
 	}
 }
 
-// TestOlderDocumentsArePassedOver offers documents in random orders, with parts that
-// are older and newer: each part in force only ever goes up.
+// TestOlderDocumentsArePassedOver offers documents in random order, with older and newer parts:
+// the version of each part in force never decreases.
 func TestOlderDocumentsArePassedOver(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		follower := NewFollower(Options{
@@ -234,7 +234,7 @@
 				Revision:  config.Revision(rapid.IntRange(0, 6).Draw(t, "revision")),
 				Directory: config.Directory{Revision: objectstore.Version(rapid.IntRange(0, 6).Draw(t, "directory"))},
 			}
-			// A document says by a service's name which revision it is of.
+			// The service name encodes the revision.
 			if offered.Revision > 0 {
 				offered.Content.Services = []config.Service{{Name: fmt.Sprintf("revision-%d", offered.Revision), RoutesOnly: true}}
 			}
@@ -246,7 +246,7 @@
 			require.Equal(t, highest, follower.Position())
 			if highest.Revision > 0 {
 				_, found := follower.options.Services.Find(fmt.Sprintf("revision-%d", highest.Revision))
-				require.True(t, found, "what requests are served by is what is said to be in force")
+				require.True(t, found, "requests are not served with the revision reported in force")
 			}
 		}
 	})
--- a/dissemination/health.go
+++ b/dissemination/health.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// sourceHealth follows whether a source answers, and logs when that changes. One
-// goroutine owns it.
+// sourceHealth tracks whether a source answers, and logs changes. It is not safe for concurrent
+// use.
 type sourceHealth struct {
-	failures int       // in a row
-	since    time.Time // begin of the first of them
+	failures     int       // consecutive
+	failingSince time.Time // start of the first failed call
 }
 
-// failed logs a call that failed, and that the source is lost if it is the first.
-func (h *sourceHealth) failed(log *slog.Logger, source Source, begun time.Time, err error) {
+// recordFailure logs a failed call; the first of a series as the loss of the source.
+func (h *sourceHealth) recordFailure(log *slog.Logger, source Source, started time.Time, err error) {
 	if h.failures == 0 {
-		h.since = begun
+		h.failingSince = started
 		log.Warn("source lost", "source", source.Name(), "error", err)
 	} else {
 		log.Info("watch failed", "source", source.Name(), "error", err)
@@ -23,11 +23,11 @@
 	h.failures++
 }
 
-// answered logs that a source that was lost answers again.
-func (h *sourceHealth) answered(log *slog.Logger, source Source) {
+// recordSuccess logs that a lost source answers again.
+func (h *sourceHealth) recordSuccess(log *slog.Logger, source Source) {
 	if h.failures == 0 {
 		return
 	}
-	log.Info("source regained", "source", source.Name(), "failures", h.failures, "lost_for", time.Since(h.since))
+	log.Info("source regained", "source", source.Name(), "failures", h.failures, "lost_for", time.Since(h.failingSince))
 	*h = sourceHealth{}
 }
--- a/dissemination/log.go
+++ b/dissemination/log.go
@@ -9,62 +9,63 @@
 	"github.com/tuliphall/tuliphall/config"
 )
 
-// namedBackends is how many changed back ends a line names.
-const namedBackends = 4
+// maxNamedBackends is the maximum number of changed back ends that a log line lists by name.
+const maxNamedBackends = 4
 
-// logInForce logs what has come into force, from whom, and what it changed. before is
-// nil where there was nothing.
-func (f *Follower) logInForce(before *config.Document, now config.Document, source string) {
+// logInForce logs the document that is now in force, its source and what it changed. before is nil
+// if there was none.
+func (f *Follower) logInForce(before *config.Document, current config.Document, source string) {
 	if before == nil {
 		before = &config.Document{}
 	}
 	attributes := []slog.Attr{
-		slog.Uint64("revision", uint64(now.Revision)), slog.Uint64("before", uint64(before.Revision)),
-		slog.String("stored", now.StoreVersion.String()), slog.String("stored_before", before.StoreVersion.String()),
-		slog.Int("routes", len(now.Content.Routes)), slog.Int("services", len(now.Content.Services)),
-		slog.String("directory", now.Directory.Revision.String()), slog.String("directory_before", before.Directory.Revision.String()),
-		slog.Int("backends", len(now.Directory.Entries)),
-		slog.String("evacuated", strings.Join(now.EvacuatedZones(), " ")), slog.String("evacuated_before", strings.Join(before.EvacuatedZones(), " ")),
+		slog.Uint64("revision", uint64(current.Revision)), slog.Uint64("before", uint64(before.Revision)),
+		slog.String("stored", current.StoreVersion.String()), slog.String("stored_before", before.StoreVersion.String()),
+		slog.Int("routes", len(current.Content.Routes)), slog.Int("services", len(current.Content.Services)),
+		slog.String("directory", current.Directory.Revision.String()), slog.String("directory_before", before.Directory.Revision.String()),
+		slog.Int("backends", len(current.Directory.Entries)),
+		slog.String("evacuated", strings.Join(current.EvacuatedZones(), " ")), slog.String("evacuated_before", strings.Join(before.EvacuatedZones(), " ")),
 	}
-	if len(now.Rollouts.Orders) > 0 || len(now.Content.Rollouts) > 0 {
-		attributes = append(attributes, slog.String("rollouts", describeRollouts(now)))
+	if len(current.Rollouts.Orders) > 0 || len(current.Content.Rollouts) > 0 {
+		attributes = append(attributes, slog.String("rollouts", describeRollouts(current)))
 	}
-	attributes = append(attributes, backendsChanged(before.Directory, now.Directory)...)
+	attributes = append(attributes, backendChanges(before.Directory, current.Directory)...)
 	f.log.LogAttrs(context.Background(), slog.LevelInfo, "in force", append(attributes, slog.String("source", source))...)
 }
 
-// describeRollouts names the rollouts and how far they are.
+// describeRollouts returns the version and phase of each rollout, sorted by service.
 func describeRollouts(document config.Document) string {
-	var told []string
-	for service, one := range document.RolloutsByService() {
-		told = append(told, service+"="+one.Version+":"+string(one.Phase))
+	var parts []string
+	for service, rollout := range document.RolloutsByService() {
+		parts = append(parts, service+"="+rollout.Version+":"+string(rollout.Phase))
 	}
-	slices.Sort(told)
-	return strings.Join(told, " ")
+	slices.Sort(parts)
+	return strings.Join(parts, " ")
 }
 
-// backendsChanged says how many back ends of a directory changed, and which, if few.
-func backendsChanged(before, now config.Directory) []slog.Attr {
-	change, known := now.ChangesAfter(before.Revision)
-	if !known || before.Revision == now.Revision {
+// backendChanges returns how many back ends of a directory changed, and their names if they are
+// few.
+func backendChanges(before, current config.Directory) []slog.Attr {
+	change, known := current.ChangesAfter(before.Revision)
+	if !known || before.Revision == current.Revision {
 		return nil
 	}
 	var changed, gone []string
-	for _, one := range change.Entries {
+	for _, entry := range change.Entries {
 		state := "ready"
-		if one.Drained {
+		if entry.Drained {
 			state = "draining"
 		}
-		changed = append(changed, one.ID+"="+state)
+		changed = append(changed, entry.ID+"="+state)
 	}
-	for _, one := range change.Tombstones {
-		gone = append(gone, one.ID)
+	for _, tombstone := range change.Tombstones {
+		gone = append(gone, tombstone.ID)
 	}
 	attributes := []slog.Attr{slog.Int("backends_changed", len(changed)), slog.Int("backends_gone", len(gone))}
-	if len(changed) > 0 && len(changed) <= namedBackends {
+	if len(changed) > 0 && len(changed) <= maxNamedBackends {
 		attributes = append(attributes, slog.String("changed", strings.Join(changed, " ")))
 	}
-	if len(gone) > 0 && len(gone) <= namedBackends {
+	if len(gone) > 0 && len(gone) <= maxNamedBackends {
 		attributes = append(attributes, slog.String("gone", strings.Join(gone, " ")))
 	}
 	return attributes
--- a/dissemination/retention.go
+++ b/dissemination/retention.go
@@ -7,8 +7,9 @@
 	"github.com/tuliphall/tuliphall/config"
 )
 
-// noteEra takes in the era of the store that a document is of. The caller holds the mutex.
-func (f *Follower) noteEra(document config.Document) {
+// observeEra records the store era of a document and starts to retain the current state if the
+// store was restored from an older backup. The caller holds the mutex.
+func (f *Follower) observeEra(document config.Document) {
 	if f.options.ObserveEra != nil {
 		f.options.ObserveEra(document.Position().Era())
 	}
@@ -20,44 +21,45 @@
 	f.log.Warn("the store came back older, what was known last is kept for a while", "era", document.Position().Era(), "era_before", present.Document.Position().Era(),
 		"backends", backends, "zones", zones, "rollouts", rollouts)
 	select {
-	case f.retained <- struct{}{}:
-	default: // the loop has not looked since the last time
+	case f.retentionChanged <- struct{}{}:
+	default: // a notification is already pending
 	}
 }
 
-// retentionLoop puts in force what the store says once what it lost is kept no longer, until ctx ends.
+// retentionLoop reapplies the document whenever retained state expires, until ctx ends.
 func (f *Follower) retentionLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-f.retained:
-		case <-f.lapse():
-			f.refresh()
+		case <-f.retentionChanged:
+		case <-f.nextExpiry():
+			f.reapply()
 		}
 	}
 }
 
-// lapse returns a channel on which it is told that something is kept no longer; nil: nothing is kept.
-func (f *Follower) lapse() <-chan time.Time {
+// nextExpiry returns a channel that receives when retained state next expires, or nil if nothing
+// is retained.
+func (f *Follower) nextExpiry() <-chan time.Time {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	now := time.Now()
-	lapses := f.retention.NextExpiry(now)
-	if lapses.IsZero() {
+	expiry := f.retention.NextExpiry(now)
+	if expiry.IsZero() {
 		f.retention = config.Retention{}
 		return nil
 	}
-	return time.After(lapses.Sub(now))
+	return time.After(expiry.Sub(now))
 }
 
-// refresh puts the document in force anew, with what is still kept.
-func (f *Follower) refresh() {
+// reapply applies the current document again, with the state that is still retained.
+func (f *Follower) reapply() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	snapshot, err := f.snapshotOf(f.retention.Apply(time.Now(), f.Document()))
+	snapshot, err := f.compile(f.retention.Apply(time.Now(), f.Document()))
 	if err != nil {
-		f.log.Error("configuration not usable without what was kept", "error", err)
+		f.log.Error("configuration not usable after retained state expired", "error", err)
 		return
 	}
 	f.options.Services.Refresh(snapshot)
--- a/dissemination/source.go
+++ b/dissemination/source.go
@@ -10,66 +10,65 @@
 	"github.com/tuliphall/tuliphall/objectstore"
 )
 
-// Source is where a part of the document comes from. A Follower uses each source
-// from one goroutine at a time.
+// Source provides a part of the document. A Follower calls each source from one goroutine at a
+// time.
 type Source interface {
-	// Name says in logs what it is.
+	// Name identifies the source in logs.
 	Name() string
-	// Required says whether requests can be served only once it has been read. Others are
-	// not read at the start.
+	// Required reports whether requests can be served only once the source has been read. Other
+	// sources are not read at the start.
 	Required() bool
-	// Relaxed says whether its watches are renewed half as often as others.
+	// Relaxed reports whether its watches are renewed half as often as those of other sources.
 	Relaxed() bool
-	// Read returns the newest there is; its other parts are empty. The error is
-	// errors.NotFound where nothing was declared yet.
+	// Read returns the newest version; the other parts of the document are empty. The error is
+	// errors.NotFound if nothing was declared yet.
 	Read(ctx context.Context) (config.Document, error)
-	// Watch blocks until there is something newer than present, or until wait
-	// has passed; then it returns present.
+	// Watch blocks until there is something newer than present, or until wait has passed; it then
+	// returns present.
 	Watch(ctx context.Context, present config.Document, wait time.Duration) (config.Document, error)
 }
 
-// longestWatch is how long one watch waits at most; it counts as one call.
-const longestWatch = 30 * time.Second
+// maxWatchDuration is the maximum duration of one watch, which counts as one call to the store.
+const maxWatchDuration = 30 * time.Second
 
-// watchLength is how long a watch waits. A watch that waits may be deaf: a store
-// that drops its history may cut it without a word. The watchers therefore renew
-// their watches in turn, one each gap, so that one of them soon hears what the
-// others miss; peers tell the rest. place is the watcher's own, from 0, among so
-// many. fresh: there was news just now, which all got at once and which begins
-// the turns anew.
-func watchLength(gap time.Duration, place, watchers int, fresh bool) time.Duration {
+// watchDuration returns how long a watch waits. A store that discards its history may drop a watch
+// without notice, so a waiting watch may miss changes. The watchers therefore renew their watches
+// in turn, one per gap, so that one of them soon receives what the others miss; peers spread the
+// change. rank is this watcher's rank, from 0, among the watchers. afterChange says that all
+// watchers have just received a change at the same time, which restarts the turns.
+func watchDuration(gap time.Duration, rank, watchers int, afterChange bool) time.Duration {
 	if gap <= 0 {
-		return longestWatch
+		return maxWatchDuration
 	}
 	turns := watchers
-	if fresh {
-		turns = place + 1
+	if afterChange {
+		turns = rank + 1
 	}
-	return min(gap*time.Duration(max(turns, 1)), longestWatch)
+	return min(gap*time.Duration(max(turns, 1)), maxWatchDuration)
 }
 
-// laterGap is how many times the gap between renewals is longer for a relaxed source. Operators give an evacuation five seconds to be in force; at twice 700 ms what
-// a deaf watch misses is heard within two, at half of the calls.
-const laterGap = 2
+// relaxedGapFactor multiplies the renewal gap of a relaxed source. Operators expect an evacuation
+// to be in force within five seconds; at twice 700 ms a change missed by a stale watch is received
+// within two seconds, with half the calls.
+const relaxedGapFactor = 2
 
-// gapOf returns the time between the renewals of two daemons' watches of a source.
-func (f *Follower) gapOf(source Source) time.Duration {
+// renewalGap returns the time between the renewals of two daemons' watches of a source.
+func (f *Follower) renewalGap(source Source) time.Duration {
 	if source.Relaxed() {
-		return laterGap * f.options.WatchGap
+		return relaxedGapFactor * f.options.WatchGap
 	}
 	return f.options.WatchGap
 }
 
-// HeadSource is the source for documents that operators write with the project's own
-// command.
+// HeadSource is the source of documents that operators write with the project's own command.
 type HeadSource struct {
 	store   objectstore.Store
 	timeout time.Duration
 	version objectstore.Version // last seen
 }
 
-// NewHeadSource returns a source on the head object of a store. timeout bounds one call
-// besides its wait.
+// NewHeadSource returns a source that reads the head object of a store. timeout bounds one call,
+// in addition to the time that a watch waits.
 func NewHeadSource(store objectstore.Store, timeout time.Duration) *HeadSource {
 	return &HeadSource{store: store, timeout: timeout}
 }
@@ -101,13 +100,13 @@
 	defer cancel()
 	object, err := h.store.Watch(ctx, config.HeadKey, h.version, wait)
 	if errors.Is(err, objectstore.ErrNotFound) && h.version == 0 {
-		return config.Document{}, nil // there is no object
+		return config.Document{}, nil // the object does not exist
 	}
 	if errors.Is(err, objectstore.ErrNotFound) {
 		return present, nil
 	}
 	if err != nil {
-		h.version = 0 // the store may come back older: the next watch returns what it has then
+		h.version = 0 // the store may be restored from an older backup: the next watch returns its version
 		return config.Document{}, err
 	}
 	document, err := config.DecodeDocument(object.Value)
--- a/dissemination/source_test.go
+++ b/dissemination/source_test.go
@@ -7,16 +7,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestWatchesAreRenewedInTurn follows the watchers for a while after news that all
-// heard at once: one of them renews its watch in every gap.
+// TestWatchesAreRenewedInTurn simulates the watchers after a change that all received at once:
+// exactly one of them renews its watch in every gap.
 func TestWatchesAreRenewedInTurn(t *testing.T) {
 	const gap = 600 * time.Millisecond
 	for _, watchers := range []int{1, 3, 13, 18, 20} {
 		renewals := make(map[time.Duration]int)
-		for place := range watchers {
+		for rank := range watchers {
 			at := time.Duration(0)
-			for fresh := true; at < 2*time.Duration(watchers)*gap; fresh = false {
-				at += watchLength(gap, place, watchers, fresh)
+			for afterChange := true; at < 2*time.Duration(watchers)*gap; afterChange = false {
+				at += watchDuration(gap, rank, watchers, afterChange)
 				renewals[at]++
 			}
 		}
@@ -26,9 +26,9 @@
 	}
 }
 
-// TestWatchLengthIsBounded keeps a watch within what a store allows.
+// TestWatchLengthIsBounded checks that a watch never exceeds the maximum duration.
 func TestWatchLengthIsBounded(t *testing.T) {
-	require.Equal(t, longestWatch, watchLength(0, 0, 18, true), "without a gap")
-	require.Equal(t, longestWatch, watchLength(time.Second, 849, 850, true))
-	require.Equal(t, time.Second, watchLength(time.Second, 0, 0, false), "a daemon that knows nobody")
+	require.Equal(t, maxWatchDuration, watchDuration(0, 0, 18, true), "without a gap")
+	require.Equal(t, maxWatchDuration, watchDuration(time.Second, 849, 850, true))
+	require.Equal(t, time.Second, watchDuration(time.Second, 0, 0, false), "a daemon that knows no other")
 }
--- a/dissemination/start.go
+++ b/dissemination/start.go
@@ -10,13 +10,13 @@
 	"github.com/tuliphall/tuliphall/wait"
 )
 
-// start reads the first configuration: from the sources, or, when one is down,
-// the newest that the peers have. It ends once requests can be served, also when
-// others brought what it takes.
-func (f *Follower) start(ctx context.Context) {
-	backoff := firstBackoff
+// loadInitial loads the first configuration from the sources or, if the store is unreachable, the
+// newest that peers have. It returns once requests can be served, also if peers delivered the
+// configuration meanwhile.
+func (f *Follower) loadInitial(ctx context.Context) {
+	backoff := initialBackoff
 	if f.options.FirstStart {
-		f.awaitFirst(ctx)
+		f.awaitFirstConfiguration(ctx)
 	}
 	for ctx.Err() == nil && !f.Serving() {
 		err := f.readSources(ctx)
@@ -25,86 +25,86 @@
 		}
 		if errors.Is(err, errors.NotFound) {
 			f.log.Info("nothing declared yet")
-			f.awaitFirst(ctx)
+			f.awaitFirstConfiguration(ctx)
 			continue
 		}
 		f.log.Warn("store not read at the start, asking peers", "error", err)
-		if f.takeFromPeers(ctx) {
+		if f.loadFromPeers(ctx) {
 			return
 		}
-		backoff = f.pause(ctx, backoff)
+		backoff = f.backOff(ctx, backoff)
 	}
 }
 
 func (f *Follower) readSources(ctx context.Context) error {
 	f.reading.Store(true)
 	defer f.reading.Store(false)
-	limited, cancel := context.WithTimeout(ctx, f.options.Timeout)
+	readCtx, cancel := context.WithTimeout(ctx, f.options.Timeout)
 	defer cancel()
 	var read config.Document
 	for _, source := range f.options.Sources {
 		if !source.Required() {
 			continue
 		}
-		document, err := source.Read(limited)
+		document, err := source.Read(readCtx)
 		if err != nil {
 			return err
 		}
 		read, _ = read.MergeNewest(document)
 	}
 	if read.Position().Era() == 0 {
-		return f.Offer(read, fromPlatform) // the store has never come back older
+		return f.Offer(read, sourcePlatform) // the store was never restored from an older backup
 	}
-	return f.Offer(f.newestOfPeers(ctx, read))
+	return f.Offer(f.newestFromPeers(ctx, read))
 }
 
-// newestOfPeers returns what a few peers have that is newer than what was read from the store, which may have come
-// back older, and the source of the result.
-func (f *Follower) newestOfPeers(ctx context.Context, read config.Document) (config.Document, string) {
-	ctx, cancel := context.WithTimeout(ctx, startPeersTimeout)
+// newestFromPeers merges what a few peers have that is newer into the document read from the
+// store, which may have been restored from an older backup. It returns the result and its source.
+func (f *Follower) newestFromPeers(ctx context.Context, read config.Document) (config.Document, string) {
+	ctx, cancel := context.WithTimeout(ctx, startupComparisonTimeout)
 	defer cancel()
-	newest := f.askPeers(ctx, read, startComparedPeers)
+	newest := f.fetchFromPeers(ctx, read, startupComparisonPeers)
 	if !read.Position().Behind(newest.Position()) {
-		return read, fromPlatform
+		return read, sourcePlatform
 	}
-	return newest, fromPeers
+	return newest, sourcePeers
 }
 
-// awaitFirst waits for the first declaration. Daemons that are chosen to watch the
-// store do so; the others wait to be told.
-func (f *Follower) awaitFirst(ctx context.Context) {
-	wait.Sleep(ctx, joinTime)
-	end := time.Now().Add(firstDeclaration)
-	for !f.Serving() && ctx.Err() == nil && time.Now().Before(end) {
-		if !f.chosen() {
-			wait.Sleep(ctx, firstBackoff)
+// awaitFirstConfiguration waits for the first configuration. Daemons selected as watchers watch
+// the store; the others wait to be notified.
+func (f *Follower) awaitFirstConfiguration(ctx context.Context) {
+	wait.Sleep(ctx, joinDelay)
+	deadline := time.Now().Add(initialConfigurationWait)
+	for !f.Serving() && ctx.Err() == nil && time.Now().Before(deadline) {
+		if !f.shouldWatch() {
+			wait.Sleep(ctx, initialBackoff)
 			continue
 		}
-		// The first source is the one that operators declare by. An error comes
-		// again with the next reading.
-		document, err := f.options.Sources[0].Watch(ctx, config.Document{}, time.Until(end))
-		if err != nil || f.Offer(document, fromPlatform) != nil || f.Revision() > 0 {
+		// Operators declare configuration through the first source. The next read reports any
+		// error again.
+		document, err := f.options.Sources[0].Watch(ctx, config.Document{}, time.Until(deadline))
+		if err != nil || f.Offer(document, sourcePlatform) != nil || f.Revision() > 0 {
 			return
 		}
 	}
 }
 
-// takeFromPeers puts the newest document of a few peers in force and says whether
-// any had one.
-func (f *Follower) takeFromPeers(ctx context.Context) bool {
-	newest := f.askPeers(ctx, config.Document{}, startPeers)
+// loadFromPeers applies the newest document of a few peers and reports whether any had one.
+func (f *Follower) loadFromPeers(ctx context.Context) bool {
+	newest := f.fetchFromPeers(ctx, config.Document{}, startupPeers)
 	if newest.Position() == (config.Position{}) {
 		return false
 	}
-	if err := f.Offer(newest, fromPeers); err != nil {
-		f.log.Error("configuration of the peers not usable", "error", err)
+	if err := f.Offer(newest, sourcePeers); err != nil {
+		f.log.Error("configuration from peers not usable", "error", err)
 		return false
 	}
 	return true
 }
 
-// askPeers returns a document with what is newer at peers, of which it asks until so many have answered.
-func (f *Follower) askPeers(ctx context.Context, newest config.Document, most int) config.Document {
+// fetchFromPeers merges what is newer at peers into a document. It queries the seeds in random
+// order until maxAnswers of them have answered.
+func (f *Follower) fetchFromPeers(ctx context.Context, newest config.Document, maxAnswers int) config.Document {
 	seeds := f.options.Seeds(ctx)
 	f.randomMu.Lock()
 	f.options.Random.Shuffle(len(seeds), func(i, j int) { seeds[i], seeds[j] = seeds[j], seeds[i] })
@@ -116,7 +116,7 @@
 			continue
 		}
 		newest, _ = newest.MergeNewest(document)
-		if answered++; answered >= most {
+		if answered++; answered >= maxAnswers {
 			break
 		}
 	}
--- a/dissemination/watch.go
+++ b/dissemination/watch.go
@@ -7,76 +7,76 @@
 	"github.com/tuliphall/tuliphall/wait"
 )
 
-// watchLoop watches a source while this daemon is chosen to.
+// watchLoop watches a source while this daemon is a watcher.
 func (f *Follower) watchLoop(ctx context.Context, source Source) {
-	backoff := firstBackoff
-	fresh := true
+	backoff := initialBackoff
+	changed := true
 	var health sourceHealth
 	for ctx.Err() == nil {
-		chosen := f.chosen()
-		f.watching.Store(chosen)
-		if !chosen {
-			f.awaitChosen(ctx)
+		watching := f.shouldWatch()
+		f.watching.Store(watching)
+		if !watching {
+			f.awaitWatcherCheck(ctx)
 			continue
 		}
-		place, watchers := f.turn()
-		begun := time.Now()
+		rank, watchers := f.renewalTurn()
+		started := time.Now()
 		before := f.Position()
-		if err := f.watch(ctx, source, watchLength(f.gapOf(source), place, watchers, fresh)); err != nil {
-			health.failed(f.log, source, begun, err)
-			backoff = f.pause(ctx, backoff)
+		if err := f.watchOnce(ctx, source, watchDuration(f.renewalGap(source), rank, watchers, changed)); err != nil {
+			health.recordFailure(f.log, source, started, err)
+			backoff = f.backOff(ctx, backoff)
 			continue
 		}
-		health.answered(f.log, source)
-		fresh = f.Position() != before
-		backoff = firstBackoff
-		if fresh {
-			// All who watch were answered at the same moment. They pause for the
-			// same time, so that they hear of the next changes together and as one.
+		health.recordSuccess(f.log, source)
+		changed = f.Position() != before
+		backoff = initialBackoff
+		if changed {
+			// All watchers received the change at the same time. They pause for the same time, so
+			// that they receive the next changes together.
 			wait.Sleep(ctx, f.options.WatchInterval)
 		} else {
-			wait.Sleep(ctx, f.options.WatchInterval-time.Since(begun))
+			wait.Sleep(ctx, f.options.WatchInterval-time.Since(started))
 		}
 	}
 }
 
-// cancelWhenNotChosen ends a watch once others are chosen to watch.
-func (f *Follower) cancelWhenNotChosen(ctx context.Context, cancel context.CancelFunc) {
-	for wait.Sleep(ctx, pollInterval) {
-		if !f.chosen() {
+// cancelWhenNotWatching cancels a watch once this daemon is no longer a watcher.
+func (f *Follower) cancelWhenNotWatching(ctx context.Context, cancel context.CancelFunc) {
+	for wait.Sleep(ctx, watcherCheckInterval) {
+		if !f.shouldWatch() {
 			cancel()
 			return
 		}
 	}
 }
 
-// watch waits for one change and puts it in force.
-func (f *Follower) watch(ctx context.Context, source Source, length time.Duration) error {
+// watchOnce waits for one change and applies it.
+func (f *Follower) watchOnce(ctx context.Context, source Source, duration time.Duration) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	if f.options.Watchers > 0 {
-		go f.cancelWhenNotChosen(ctx, cancel)
+		go f.cancelWhenNotWatching(ctx, cancel)
 	}
 	present := f.Document()
-	document, err := source.Watch(ctx, present, length)
-	if err != nil && !f.chosen() {
+	document, err := source.Watch(ctx, present, duration)
+	if err != nil && !f.shouldWatch() {
 		return nil
 	}
 	if err != nil {
 		return err
 	}
 	if document.Position() == present.Position() {
-		return nil // no news; others may have told of some meanwhile
+		return nil // unchanged; other daemons may have delivered changes meanwhile
 	}
-	return f.Offer(document, fromPlatform)
+	return f.Offer(document, sourcePlatform)
 }
 
-// pause sleeps for a random part of the backoff and returns the next one. The
-// spread keeps daemons that failed together from coming back together.
-func (f *Follower) pause(ctx context.Context, backoff time.Duration) time.Duration {
+// backOff sleeps for a random part of the backoff and returns the next one. The jitter keeps
+// daemons that failed together from retrying together.
+func (f *Follower) backOff(ctx context.Context, backoff time.Duration) time.Duration {
 	f.randomMu.Lock()
-	length := backoff/2 + time.Duration(f.options.Random.Int64N(int64(backoff)))
+	delay := backoff/2 + time.Duration(f.options.Random.Int64N(int64(backoff)))
 	f.randomMu.Unlock()
-	wait.Sleep(ctx, length)
+	wait.Sleep(ctx, delay)
 	return min(backoff*2, f.options.MaxBackoff)
 }
