--- a/peer/announce.go
+++ b/peer/announce.go
@@ -11,53 +11,52 @@
 	"github.com/tuliphall/tuliphall/peer/peerpb"
 )
 
-// purposeAnnounce is what the traffic of announcements is counted as.
+// purposeAnnounce is the purpose under which the traffic of announcements is counted.
 const purposeAnnounce = "announce"
 
 // Bounds of announcements.
 const (
-	// announceParallel is how many members are told at the same time.
-	announceParallel = 64
-	// passOn is how many members are told by a daemon that heard of a change from
-	// another one. Nearly all have been told then; this reaches those whose
-	// tellers failed.
-	passOn = 2
+	// maxParallelAnnouncements is how many members are notified in parallel.
+	maxParallelAnnouncements = 64
+	// relayFanout is how many members a daemon notifies that learned of a change from another
+	// daemon. Nearly all members know the change by then; this reaches those whose announcers
+	// failed.
+	relayFanout = 2
 )
 
-// Announce tells members of the region what is in force here, and hands over what they
-// have not got. Of the count daemons that are chosen for the duty of watching the store
-// this is one; each member is told by a few of them. It blocks until all have been told
-// or were given up on.
-func (n *Node) Announce(ctx context.Context, duty string, count int) {
+// Announce announces the current position to members of the region and delivers what they lack.
+// This daemon is one of the count selected for a key to watch the store; each member is assigned
+// to a few of them. It blocks until all assigned members were notified or their calls failed.
+func (n *Node) Announce(ctx context.Context, key string, count int) {
 	view := n.View()
-	n.announceToAll(ctx, assigned(view.region, view.self, view.holders(duty, count)))
+	n.announceToAll(ctx, announceTargets(view.region, view.self, view.chosenMembers(key, count)))
 }
 
-// Relay is Announce for news that came from another daemon: a few members are told, in
-// random order.
+// Relay announces a change received from another daemon to a few random members.
 func (n *Node) Relay(ctx context.Context) {
 	n.mutex.Lock()
-	targets := n.state.Sample(passOn, "")
+	targets := n.state.Sample(relayFanout, "")
 	n.mutex.Unlock()
 	n.announceToAll(ctx, targets)
 }
 
 func (n *Node) announceToAll(ctx context.Context, targets []membership.Member) {
-	slots := make(chan struct{}, announceParallel)
-	var waiting sync.WaitGroup
+	semaphore := make(chan struct{}, maxParallelAnnouncements)
+	var group sync.WaitGroup
 	for _, target := range targets {
-		slots <- struct{}{}
-		waiting.Go(func() {
-			defer func() { <-slots }()
+		semaphore <- struct{}{}
+		group.Go(func() {
+			defer func() { <-semaphore }()
 			if err := n.announceTo(ctx, target); err != nil {
 				n.log.Debug("announcement not delivered", "member", target.Name, "error", err)
 			}
 		})
 	}
-	waiting.Wait()
+	group.Wait()
 }
 
-// announceTo tells one member, over one connection.
+// announceTo announces the current position to one member and delivers what it lacks, over one
+// connection.
 func (n *Node) announceTo(ctx context.Context, target membership.Member) error {
 	return n.call(ctx, purposeAnnounce, target.PeerAddress, func(ctx context.Context, client peerpb.DRPCPeerClient) error {
 		reply, err := client.Announce(ctx, n.position())
@@ -88,8 +87,8 @@
 	}
 }
 
-// positioned is a message that tells what is in force at its sender.
-type positioned interface {
+// positionMessage is a message with the position of its sender.
+type positionMessage interface {
 	GetRevision() uint64
 	GetStored() uint64
 	GetDirectory() uint64
@@ -97,7 +96,7 @@
 	GetRollouts() uint64
 }
 
-func decodePosition(encoded positioned) config.Position {
+func decodePosition(encoded positionMessage) config.Position {
 	return config.Position{
 		Revision: config.Revision(encoded.GetRevision()), StoreVersion: objectstore.Version(encoded.GetStored()),
 		Directory: objectstore.Version(encoded.GetDirectory()), Evacuations: objectstore.Version(encoded.GetEvacuations()),
@@ -105,51 +104,51 @@
 	}
 }
 
-// deliveryGrace is how long a daemon that was told of news waits for it to be handed
-// over, before it asks for it.
-const deliveryGrace = 400 * time.Millisecond
+// deliveryTimeout is how long a daemon that was notified of a change waits for its delivery before
+// it requests the change itself.
+const deliveryTimeout = 400 * time.Millisecond
 
-// delivery is what another daemon has said that it hands over.
-type delivery struct {
+// pendingDelivery is a position that another daemon has announced and is about to deliver.
+type pendingDelivery struct {
 	position config.Position
-	until    time.Time // after which it is not waited for any longer
+	until    time.Time // the delivery is considered failed afterwards
 }
 
-// expect notes that a daemon is going to hand over what it has, and says whether that
-// is worth having: whether no other one is handing over as much.
-func (n *Node) expect(now time.Time, offered config.Position) bool {
+// expectDelivery records that a daemon is about to deliver the offered position. It returns false,
+// and records nothing, if another daemon is already delivering at least as much.
+func (n *Node) expectDelivery(now time.Time, offered config.Position) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	if n.expects(now, offered) {
+	if n.isDeliveryPending(now, offered) {
 		return false
 	}
 	if n.options.Configuration.Position().Behind(offered) {
-		n.expected = delivery{position: offered, until: now.Add(deliveryGrace)}
+		n.pending = pendingDelivery{position: offered, until: now.Add(deliveryTimeout)}
 	}
 	return true
 }
 
-// expects says whether as much as a position is being handed over. The caller holds
-// the mutex.
-func (n *Node) expects(now time.Time, position config.Position) bool {
-	return now.Before(n.expected.until) && !n.expected.position.Behind(position) && n.options.Configuration.Position().Behind(position)
+// isDeliveryPending reports whether a delivery of at least the given position is pending and still
+// needed. The caller holds the mutex.
+func (n *Node) isDeliveryPending(now time.Time, position config.Position) bool {
+	return now.Before(n.pending.until) && !n.pending.position.Behind(position) && n.options.Configuration.Position().Behind(position)
 }
 
 // Announce implements peerpb.DRPCPeerServer.
-func (s *server) Announce(_ context.Context, told *peerpb.Position) (*peerpb.Position, error) {
+func (s *server) Announce(_ context.Context, announced *peerpb.Position) (*peerpb.Position, error) {
 	n := s.node
 	if n.options.Configuration.Reading() {
-		return told, nil // as if it had all: it is about to
+		return announced, nil // claims to be up to date, as the initial read is in progress
 	}
-	theirs := decodePosition(told)
-	if !n.expect(time.Now(), theirs) {
-		return told, nil // another daemon hands it over just now
+	theirs := decodePosition(announced)
+	if !n.expectDelivery(time.Now(), theirs) {
+		return announced, nil // claims to be up to date, as another daemon is delivering it
 	}
 	if n.options.Configuration.Position().Behind(theirs) {
-		// The sender hands it over; should it fail to, it is asked.
-		time.AfterFunc(deliveryGrace, func() {
+		// The sender delivers the change. If it fails to, the change is fetched.
+		time.AfterFunc(deliveryTimeout, func() {
 			if n.options.Configuration.Position().Behind(theirs) {
-				n.options.Configuration.RecordNewerPeer(membership.Member{Name: told.Address, PeerAddress: told.Address}, theirs)
+				n.options.Configuration.RecordNewerPeer(membership.Member{Name: announced.Address, PeerAddress: announced.Address}, theirs)
 			}
 		})
 	}
@@ -159,7 +158,7 @@
 // Deliver implements peerpb.DRPCPeerServer.
 func (s *server) Deliver(_ context.Context, delivery *peerpb.Delivery) (*peerpb.Position, error) {
 	n := s.node
-	document, err := follow(n.options.Configuration.Document(), delivery.GetChanges())
+	document, err := applyReply(n.options.Configuration.Document(), delivery.GetChanges())
 	if err != nil {
 		return nil, err
 	}
--- a/peer/announce_test.go
+++ b/peer/announce_test.go
@@ -16,40 +16,40 @@
 	"github.com/tuliphall/tuliphall/peer/peerpb"
 )
 
-// held is the configuration of a daemon that has one position.
-type held struct {
+// fakeConfiguration is a Configuration whose directory revision is set by the test.
+type fakeConfiguration struct {
 	directory atomic.Uint64
 }
 
-func (h *held) Position() config.Position {
-	return config.Position{Revision: 1, Directory: objectstore.Version(h.directory.Load())}
+func (c *fakeConfiguration) Position() config.Position {
+	return config.Position{Revision: 1, Directory: objectstore.Version(c.directory.Load())}
 }
 
-func (*held) Document() config.Document                          { return config.Document{} }
-func (*held) Reading() bool                                      { return false }
-func (*held) Watching() bool                                     { return false }
-func (*held) RecordNewerPeer(membership.Member, config.Position) {}
-func (*held) Offer(config.Document, string) error                { return nil }
+func (*fakeConfiguration) Document() config.Document                          { return config.Document{} }
+func (*fakeConfiguration) Reading() bool                                      { return false }
+func (*fakeConfiguration) Watching() bool                                     { return false }
+func (*fakeConfiguration) RecordNewerPeer(membership.Member, config.Position) {}
+func (*fakeConfiguration) Offer(config.Document, string) error                { return nil }
 
-// TestNewsIsHandedOverOnce is told of the same news by several daemons: one of them
-// hands it over, and another one should that one fail to.
+// TestNewsIsHandedOverOnce announces the same change from several daemons: only one of them is to
+// deliver it, and another one only if the first fails to.
 func TestNewsIsHandedOverOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		configuration := &held{}
+		configuration := &fakeConfiguration{}
 		configuration.directory.Store(1)
 		node := NewNode(Options{Random: rand.New(rand.NewPCG(1, 1)), Log: slog.New(slog.DiscardHandler), Configuration: configuration})
-		announced := func(directory uint64) config.Position {
+		announce := func(directory uint64) config.Position {
 			reply, err := (&server{node: node}).Announce(t.Context(), &peerpb.Position{Revision: 1, Directory: directory})
 			require.NoError(t, err)
 			return decodePosition(reply)
 		}
-		require.EqualValues(t, 1, announced(5).Directory, "it lacks what is announced")
-		require.EqualValues(t, 5, announced(5).Directory, "another hands it over")
-		require.EqualValues(t, 1, announced(6).Directory, "this is newer")
-		time.Sleep(2 * deliveryGrace)
-		require.EqualValues(t, 1, announced(6).Directory, "it was not handed over")
+		require.EqualValues(t, 1, announce(5).Directory, "it lacks the announced revision")
+		require.EqualValues(t, 5, announce(5).Directory, "another daemon is delivering it")
+		require.EqualValues(t, 1, announce(6).Directory, "a newer revision")
+		time.Sleep(2 * deliveryTimeout)
+		require.EqualValues(t, 1, announce(6).Directory, "the delivery failed")
 		configuration.directory.Store(6)
-		require.EqualValues(t, 6, announced(6).Directory)
-		time.Sleep(2 * deliveryGrace)
+		require.EqualValues(t, 6, announce(6).Directory)
+		time.Sleep(2 * deliveryTimeout)
 	})
 }
--- a/peer/call.go
+++ b/peer/call.go
@@ -11,7 +11,7 @@
 	"github.com/tuliphall/tuliphall/peer/peerpb"
 )
 
-// What calls between daemons are for, as their traffic is counted.
+// Purposes of calls between daemons, by which their traffic is counted.
 const (
 	purposeExchange = "exchange"
 	purposeMembers  = "members"
@@ -21,22 +21,22 @@
 )
 
 // call opens a connection to a daemon, makes one call and closes it.
-func (n *Node) call(ctx context.Context, purpose, address string, make func(context.Context, peerpb.DRPCPeerClient) error) error {
+func (n *Node) call(ctx context.Context, purpose, address string, invoke func(context.Context, peerpb.DRPCPeerClient) error) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	conn, err := n.options.Meter.For(purpose).Dial(ctx, address)
 	if err != nil {
 		return errors.Annotatef(err, "daemon at %s", address)
 	}
-	wrapped := drpcconn.New(conn)
-	defer wrapped.Close()
-	return errors.Annotatef(make(ctx, peerpb.NewDRPCPeerClient(wrapped)), "daemon at %s", address)
+	client := drpcconn.New(conn)
+	defer client.Close()
+	return errors.Annotatef(invoke(ctx, peerpb.NewDRPCPeerClient(client)), "daemon at %s", address)
 }
 
-// revisionOnly asks for no changes, only for the revision in force.
+// revisionOnly requests only the revision in force, without any changes.
 const revisionOnly = ^uint64(0)
 
-// RevisionAt asks a daemon which revision it has in force.
+// RevisionAt returns the revision in force at a daemon.
 func (n *Node) RevisionAt(ctx context.Context, address string) (config.Revision, error) {
 	var revision config.Revision
 	err := n.call(ctx, purposeReach, address, func(ctx context.Context, client peerpb.DRPCPeerClient) error {
@@ -50,9 +50,8 @@
 	return revision, err
 }
 
-// FetchDocument returns a daemon's document, as far as it is newer than the one
-// given: the changes are asked for and added. A daemon without configuration
-// gives the document back as it was.
+// FetchDocument fetches the changes that a daemon has and present lacks, and returns present with
+// these changes applied. If the daemon has no configuration, present is returned unchanged.
 func (n *Node) FetchDocument(ctx context.Context, address string, present config.Document) (config.Document, error) {
 	var document config.Document
 	err := n.call(ctx, purposeChanges, address, func(ctx context.Context, client peerpb.DRPCPeerClient) error {
@@ -63,7 +62,7 @@
 		if err != nil {
 			return err
 		}
-		document, err = follow(present, reply)
+		document, err = applyReply(present, reply)
 		return err
 	})
 	return document, err
@@ -93,8 +92,8 @@
 
 func decodeMembers(encoded []*peerpb.Member) []membership.Member {
 	members := make([]membership.Member, 0, len(encoded))
-	for _, one := range encoded {
-		members = append(members, decodeMember(one))
+	for _, member := range encoded {
+		members = append(members, decodeMember(member))
 	}
 	return members
 }
--- a/peer/drains.go
+++ b/peer/drains.go
@@ -8,26 +8,25 @@
 	"github.com/tuliphall/tuliphall/peer/peerpb"
 )
 
-// Bounds of what is told of back ends that are leaving; one takes about 60 bytes.
+// Bounds on gossip about draining back ends. One record takes about 60 bytes.
 const (
-	// maxDrains bounds them in one message.
-	maxDrains = 8
-	// maxListedDrains bounds them in a list for a daemon that has just started: as many as back ends leave while a
-	// fleet of 10,000 is replaced.
+	maxDrainsPerMessage = 8
+	// maxListedDrains bounds the records in the member list for a daemon that has just started: as
+	// many back ends as drain while a fleet of 10,000 is replaced.
 	maxListedDrains = 10_000
-	// maxDrainRumors bounds those that wait to be told. Who is not told hears of it with the first answer of the
-	// back end.
-	maxDrainRumors = 10_000
+	// maxQueuedDrains bounds the records that wait to be sent. A daemon that misses one learns of
+	// the drain with the next response of the back end.
+	maxQueuedDrains = 10_000
 )
 
-// Drains is what a Node asks and tells of back ends that are leaving.
+// Drains is the Node's access to the records of draining back ends.
 type Drains = Records[drain.SignalKey, drain.Record]
 
 func drainKey(record drain.Record) drain.SignalKey { return record.SignalKey }
 
-// BroadcastDrain spreads that a back end is leaving, or is back.
+// BroadcastDrain sends a record of a back end that is draining, or no longer is, to peers.
 func (n *Node) BroadcastDrain(record drain.Record) {
-	tell(n, &n.drains, record, record.Service)
+	broadcastRecord(n, &n.drains, record, record.Service)
 }
 
 func encodeDrains(records []drain.Record) []*peerpb.Drain {
@@ -43,9 +42,9 @@
 
 func decodeDrains(encoded []*peerpb.Drain) []drain.Record {
 	records := make([]drain.Record, 0, len(encoded))
-	for _, one := range encoded {
-		key := drain.SignalKey{Key: backend.Key{Service: one.Service, Backend: one.Backend}, Source: drain.Source(one.Source)}
-		records = append(records, drain.Record{SignalKey: key, Draining: one.Draining, Started: one.Started, At: time.UnixMilli(one.At)})
+	for _, message := range encoded {
+		key := drain.SignalKey{Key: backend.Key{Service: message.Service, Backend: message.Backend}, Source: drain.Source(message.Source)}
+		records = append(records, drain.Record{SignalKey: key, Draining: message.Draining, Started: message.Started, At: time.UnixMilli(message.At)})
 	}
 	return records
 }
--- a/peer/encoding.go
+++ b/peer/encoding.go
@@ -15,37 +15,37 @@
 	"github.com/tuliphall/tuliphall/peer/peerpb"
 )
 
-// maxDecodedBytes bounds what an encoded part may unpack to.
+// maxDecodedBytes bounds the decompressed size of an encoded part.
 const maxDecodedBytes = 64 << 20
 
-// encodings keep the last encoded form of each part of the document, as many
-// daemons ask for the same one. It is safe for concurrent use.
-type encodings struct {
+// encodingCache keeps the last encoded form of each part of the document, as many daemons request
+// the same one. It is safe for concurrent use.
+type encodingCache struct {
 	mutex     sync.Mutex
-	document  encoding
-	directory encoding
-	change    changeEncoding
+	document  cachedEncoding
+	directory cachedEncoding
+	change    cachedDirectoryChange
 }
 
-// changeEncoding is the last change of the directory in encoded form: most daemons
-// lack the same one.
-type changeEncoding struct {
+// cachedDirectoryChange is the last encoded change of the directory. Most daemons lack the same
+// change.
+type cachedDirectoryChange struct {
 	after, revision objectstore.Version
 	data            []byte
 }
 
-// encoding is one part in compressed JSON.
-type encoding struct {
+// cachedEncoding is one part as compressed JSON.
+type cachedEncoding struct {
 	position config.Position
 	data     []byte
 }
 
-// of returns the part in encoded form; position tells it from other versions.
-func (e *encoding) of(position config.Position, part any) ([]byte, error) {
+// get returns the encoded part, from the cache if the position is the cached one.
+func (e *cachedEncoding) get(position config.Position, part any) ([]byte, error) {
 	if e.data != nil && e.position == position {
 		return e.data, nil
 	}
-	data, err := compress(part)
+	data, err := marshalCompressed(part)
 	if err != nil {
 		return nil, err
 	}
@@ -53,103 +53,102 @@
 	return data, nil
 }
 
-func (e *encodings) documentOf(document config.Document) ([]byte, error) {
-	document.Directory, document.Evacuations, document.Rollouts = config.Directory{}, config.Evacuations{}, config.Rollouts{} // sent by themselves
+func (e *encodingCache) encodeDocument(document config.Document) ([]byte, error) {
+	document.Directory, document.Evacuations, document.Rollouts = config.Directory{}, config.Evacuations{}, config.Rollouts{} // sent separately
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.document.of(document.Position(), document)
+	return e.document.get(document.Position(), document)
 }
 
-// changeOf returns what changed in a directory after a revision in encoded form, and
-// false where that is not known.
-func (e *encodings) changeOf(directory config.Directory, after objectstore.Version) ([]byte, bool, error) {
+// encodeDirectoryChange returns what changed in a directory after a revision, encoded, or false if
+// the changes are not known.
+func (e *encodingCache) encodeDirectoryChange(directory config.Directory, after objectstore.Version) ([]byte, bool, error) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if kept := e.change; kept.data != nil && kept.after == after && kept.revision == directory.Revision {
-		return kept.data, true, nil
+	if cached := e.change; cached.data != nil && cached.after == after && cached.revision == directory.Revision {
+		return cached.data, true, nil
 	}
 	change, known := directory.ChangesAfter(after)
 	if !known {
 		return nil, false, nil
 	}
-	data, err := compress(change)
-	e.change = changeEncoding{after: after, revision: directory.Revision, data: data}
+	data, err := marshalCompressed(change)
+	e.change = cachedDirectoryChange{after: after, revision: directory.Revision, data: data}
 	return data, true, err
 }
 
-func (e *encodings) directoryOf(directory config.Directory) ([]byte, error) {
+func (e *encodingCache) encodeDirectory(directory config.Directory) ([]byte, error) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.directory.of(config.Position{Directory: directory.Revision}, directory)
+	return e.directory.get(config.Position{Directory: directory.Revision}, directory)
 }
 
-// compress writes a part as compressed JSON.
-func compress(part any) ([]byte, error) {
+// marshalCompressed encodes a part as compressed JSON.
+func marshalCompressed(part any) ([]byte, error) {
 	plain, err := json.Marshal(part)
 	if err != nil {
-		return nil, errors.Annotate(err, "encoding for a daemon")
+		return nil, errors.Annotate(err, "encoding JSON")
 	}
-	return pack(plain)
+	return gzipCompress(plain)
 }
 
-// decompress reads what compress wrote into target.
-func decompress(data []byte, target any) error {
-	plain, err := unpack(data)
+// unmarshalCompressed decodes the result of marshalCompressed into target.
+func unmarshalCompressed(data []byte, target any) error {
+	plain, err := gzipDecompress(data)
 	if err != nil {
 		return err
 	}
-	return errors.Annotate(json.Unmarshal(plain, target), "compressed part")
+	return errors.Annotate(json.Unmarshal(plain, target), "decoding compressed JSON")
 }
 
-// packers are compressors to be used again; each holds buffers of several hundred
-// kilobytes.
-var packers = sync.Pool{New: func() any {
-	packer, err := gzip.NewWriterLevel(nil, gzip.BestSpeed)
+// gzipWriters pools compressors, as each holds buffers of several hundred kilobytes.
+var gzipWriters = sync.Pool{New: func() any {
+	writer, err := gzip.NewWriterLevel(nil, gzip.BestSpeed)
 	if err != nil {
 		panic(err) // the level is a constant
 	}
-	return packer
+	return writer
 }}
 
-func pack(plain []byte) ([]byte, error) {
+func gzipCompress(plain []byte) ([]byte, error) {
 	var buffer bytes.Buffer
-	packer := packers.Get().(*gzip.Writer)
-	defer packers.Put(packer)
-	packer.Reset(&buffer)
-	if _, err := packer.Write(plain); err != nil {
+	writer := gzipWriters.Get().(*gzip.Writer)
+	defer gzipWriters.Put(writer)
+	writer.Reset(&buffer)
+	if _, err := writer.Write(plain); err != nil {
 		return nil, errors.Annotate(err, "compressing")
 	}
-	if err := packer.Close(); err != nil {
+	if err := writer.Close(); err != nil {
 		return nil, errors.Annotate(err, "compressing")
 	}
 	return buffer.Bytes(), nil
 }
 
-func unpack(data []byte) ([]byte, error) {
+func gzipDecompress(data []byte) ([]byte, error) {
 	reader, err := gzip.NewReader(bytes.NewReader(data))
 	if err != nil {
-		return nil, errors.Annotate(err, "compressed part")
+		return nil, errors.Annotate(err, "decompressing")
 	}
 	plain, err := io.ReadAll(io.LimitReader(reader, maxDecodedBytes))
-	return plain, errors.Annotate(err, "compressed part")
+	return plain, errors.Annotate(err, "decompressing")
 }
 
-// encodeList writes what a daemon is told that asks for all.
+// encodeList encodes the list for a daemon that requests all members.
 func encodeList(list *peerpb.MemberList) (*peerpb.MembersReply, error) {
 	plain, err := proto.Marshal(list)
 	if err != nil {
-		return nil, errors.Annotate(err, "list of members")
+		return nil, errors.Annotate(err, "encoding the member list")
 	}
-	packed, err := pack(plain)
-	return &peerpb.MembersReply{List: packed}, err
+	compressed, err := gzipCompress(plain)
+	return &peerpb.MembersReply{List: compressed}, err
 }
 
-// decodeList reads what encodeList wrote.
+// decodeList decodes the result of encodeList.
 func decodeList(reply *peerpb.MembersReply) (*peerpb.MemberList, error) {
-	plain, err := unpack(reply.GetList())
+	plain, err := gzipDecompress(reply.GetList())
 	if err != nil {
-		return nil, errors.Annotate(err, "list of members")
+		return nil, errors.Annotate(err, "decoding the member list")
 	}
 	list := &peerpb.MemberList{}
-	return list, errors.Annotate(proto.Unmarshal(plain, list), "list of members")
+	return list, errors.Annotate(proto.Unmarshal(plain, list), "decoding the member list")
 }
--- a/peer/encoding_test.go
+++ b/peer/encoding_test.go
@@ -10,8 +10,8 @@
 	"github.com/tuliphall/tuliphall/config"
 )
 
-// TestDocumentIsEncodedOnce gives many daemons the same small encoding of a large
-// document, and a new one for the next revision.
+// TestDocumentIsEncodedOnce checks that repeated requests for a large document share one small
+// encoding, and that the next revision gets a new one.
 func TestDocumentIsEncodedOnce(t *testing.T) {
 	document := config.Document{Revision: 3}
 	for number := range 500 {
@@ -20,21 +20,21 @@
 			Shares: []config.Share{{Service: "prices", Weight: 1}}, Policy: "safe", Attempts: 2,
 		})
 	}
-	var kept encodings
-	first, err := kept.documentOf(document)
+	var cache encodingCache
+	first, err := cache.encodeDocument(document)
 	require.NoError(t, err)
-	again, err := kept.documentOf(document)
+	again, err := cache.encodeDocument(document)
 	require.NoError(t, err)
-	require.Same(t, &first[0], &again[0], "encoded anew")
+	require.Same(t, &first[0], &again[0], "encoded again")
 	plain, err := json.Marshal(document)
 	require.NoError(t, err)
 	require.Less(t, len(first), len(plain)/5)
 	var decoded config.Document
-	require.NoError(t, decompress(first, &decoded))
+	require.NoError(t, unmarshalCompressed(first, &decoded))
 	require.Equal(t, document, decoded)
 	document.Revision++
-	next, err := kept.documentOf(document)
+	next, err := cache.encodeDocument(document)
 	require.NoError(t, err)
 	require.NotSame(t, &first[0], &next[0])
-	require.Error(t, decompress(plain, &decoded))
+	require.Error(t, unmarshalCompressed(plain, &decoded))
 }
--- a/peer/exchange.go
+++ b/peer/exchange.go
@@ -9,60 +9,60 @@
 	"github.com/tuliphall/tuliphall/peer/peerpb"
 )
 
-// period is one heartbeat.
-func (n *Node) period(ctx context.Context) {
+// heartbeat exchanges state with the next member, or joins if no other member is known.
+func (n *Node) heartbeat(ctx context.Context) {
 	var target membership.Member
 	var found bool
-	n.change(byTime, func(now time.Time) {
+	n.updateMembers(sourceTimeout, func(now time.Time) {
 		n.state.Tick(now)
 		target, found = n.state.NextPeer()
 	})
 	if !found {
-		n.join(ctx, firstSeeds, 0)
+		n.join(ctx, initialSeedQueries, 0)
 		return
 	}
 	go n.exchangeOrSuspect(ctx, target)
 }
 
-// soonAnswered is within what time members answer heartbeats, unless something is wrong
-// with them or the way to them.
-const soonAnswered = 250 * time.Millisecond
+// slowAnswerThreshold is the time within which members answer heartbeats, unless they or the
+// network path to them are impaired.
+const slowAnswerThreshold = 250 * time.Millisecond
 
 func (n *Node) exchangeOrSuspect(ctx context.Context, target membership.Member) {
-	doubt := time.AfterFunc(soonAnswered, n.options.OnNoAnswer)
+	slowAnswer := time.AfterFunc(slowAnswerThreshold, n.options.OnNoAnswer)
 	err := n.exchange(ctx, target)
-	doubt.Stop()
+	slowAnswer.Stop()
 	if err == nil || ctx.Err() != nil {
 		return
 	}
 	n.options.OnNoAnswer()
-	if n.reachedByOthers(ctx, target) {
+	if n.pingIndirectly(ctx, target) {
 		return
 	}
 	n.log.Info("member does not answer", "member", target.Name, "zone", target.Zone, "error", err)
 	n.Suspect(target.Name)
 }
 
-// tellSome exchanges news with fanout members at once.
-func (n *Node) tellSome(ctx context.Context) {
+// gossipToPeers exchanges records with gossipFanout random members.
+func (n *Node) gossipToPeers(ctx context.Context) {
 	n.mutex.Lock()
-	targets := n.state.Sample(fanout, "")
+	targets := n.state.Sample(gossipFanout, "")
 	n.mutex.Unlock()
-	var waiting sync.WaitGroup
+	var group sync.WaitGroup
 	for _, target := range targets {
-		waiting.Go(func() {
+		group.Go(func() {
 			if err := n.exchange(ctx, target); err != nil {
-				n.log.Debug("news not delivered", "member", target.Name, "error", err)
+				n.log.Debug("gossip not delivered", "member", target.Name, "error", err)
 			}
 		})
 	}
-	waiting.Wait()
+	group.Wait()
 }
 
-// reachedByOthers asks other members whether they reach the target.
-func (n *Node) reachedByOthers(ctx context.Context, target membership.Member) bool {
+// pingIndirectly asks other members whether they can reach the target.
+func (n *Node) pingIndirectly(ctx context.Context, target membership.Member) bool {
 	n.mutex.Lock()
-	helpers := n.state.Sample(relays, target.Name)
+	helpers := n.state.Sample(indirectPingHelpers, target.Name)
 	n.mutex.Unlock()
 	for _, helper := range helpers {
 		reached := false
@@ -78,7 +78,7 @@
 	return false
 }
 
-// exchange tells a member what is new and takes in what it tells.
+// exchange sends queued updates and records to a member and processes those in its reply.
 func (n *Node) exchange(ctx context.Context, target membership.Member) error {
 	position := n.options.Configuration.Position()
 	n.mutex.Lock()
@@ -86,7 +86,7 @@
 	request := &peerpb.ExchangeRequest{
 		Sender: encodeMember(n.state.Self()), Revision: uint64(position.Revision), Stored: uint64(position.StoreVersion),
 		Directory: uint64(position.Directory), Evacuations: uint64(position.Evacuations), Rollouts: uint64(position.Rollouts),
-		Updates: encodeMembers(n.state.Updates()), Drains: encodeDrains(n.drains.next(fleet)), Digest: n.digest(), CrashingRequests: encodeCrashingRequests(n.crashingRequests.next(fleet)), Limits: encodeLimits(n.limits.next(fleet)),
+		Updates: encodeMembers(n.state.Updates()), Drains: encodeDrains(n.drains.nextRecords(fleet)), Digest: n.digest(), CrashingRequests: encodeCrashingRequests(n.crashingRequests.nextRecords(fleet)), Limits: encodeLimits(n.limits.nextRecords(fleet)),
 	}
 	n.mutex.Unlock()
 	return n.call(ctx, purposeExchange, target.PeerAddress, func(ctx context.Context, client peerpb.DRPCPeerClient) error {
@@ -94,14 +94,14 @@
 		if err != nil {
 			return err
 		}
-		n.take(ctx, reply)
+		n.receive(ctx, reply)
 		return nil
 	})
 }
 
-// told is what either side of an exchange tells.
-type told interface {
-	positioned
+// exchangeMessage is the request or the reply of an exchange.
+type exchangeMessage interface {
+	positionMessage
 	GetSender() *peerpb.Member
 	GetUpdates() []*peerpb.Member
 	GetDrains() []*peerpb.Drain
@@ -110,31 +110,31 @@
 	GetLimits() []*peerpb.BackendLimit
 }
 
-// digest tells daemons apart that know other members, or hold back other requests. The caller
-// holds the mutex.
+// digest returns a value that differs between daemons that know different members or have
+// different quarantined requests. The caller holds the mutex.
 func (n *Node) digest() uint64 {
 	return n.state.Digest() ^ n.options.Quarantine.Digest()
 }
 
-// take takes in one side of an exchange.
-func (n *Node) take(ctx context.Context, message told) {
+// receive processes the request or the reply of an exchange.
+func (n *Node) receive(ctx context.Context, message exchangeMessage) {
 	from := decodeMember(message.GetSender())
-	theirs := decodePosition(message)
-	hear(n, &n.crashingRequests, decodeCrashingRequests(message.GetCrashingRequests()))
-	hear(n, &n.limits, decodeLimits(message.GetLimits()))
-	hear(n, &n.drains, decodeDrains(message.GetDrains()))
-	sync, expected := false, false
-	n.change(from.Name, func(now time.Time) {
-		expected = n.expects(now, theirs)
+	position := decodePosition(message)
+	receiveRecords(n, &n.crashingRequests, decodeCrashingRequests(message.GetCrashingRequests()))
+	receiveRecords(n, &n.limits, decodeLimits(message.GetLimits()))
+	receiveRecords(n, &n.drains, decodeDrains(message.GetDrains()))
+	syncDue, pending := false, false
+	n.updateMembers(from.Name, func(now time.Time) {
+		pending = n.isDeliveryPending(now, position)
 		n.state.Merge(now, decodeMembers(message.GetUpdates()))
 		n.state.ReceivedFrom(now, from)
-		n.heard.Store(&now)
-		sync = n.state.SyncDue(now, message.GetDigest()^n.options.Quarantine.Digest())
+		n.lastContact.Store(&now)
+		syncDue = n.state.SyncDue(now, message.GetDigest()^n.options.Quarantine.Digest())
 	})
-	if !expected && n.options.Configuration.Position().Behind(theirs) {
-		n.options.Configuration.RecordNewerPeer(from, theirs)
+	if !pending && n.options.Configuration.Position().Behind(position) {
+		n.options.Configuration.RecordNewerPeer(from, position)
 	}
-	if sync {
-		n.syncs.Go(func() { n.sync(ctx, from) })
+	if syncDue {
+		n.background.Go(func() { n.sync(ctx, from) })
 	}
 }
--- a/peer/forming.go
+++ b/peer/forming.go
@@ -7,63 +7,63 @@
 	"github.com/tuliphall/tuliphall/membership"
 )
 
-// formingFleet is how many members must be known before dispatchers are chosen among the
-// seeds: fewer know each other as soon as they have asked one.
-const formingFleet = 7
+// minFormingFleet is how many members must be known before dispatchers are chosen among the seeds.
+// The members of a smaller fleet know each other as soon as they have queried one seed.
+const minFormingFleet = 7
 
-// formingTime is for how long after its start a daemon counts as having just started.
-// Daemons that start together know each other by then.
-const formingTime = 1200 * time.Millisecond
+// formingDuration is how long after its start a daemon counts as forming. Daemons that start
+// together know each other by then.
+const formingDuration = 1200 * time.Millisecond
 
-// seedsTime is for how long after a common start dispatchers are chosen among the seeds.
-// Callers come back together then, and a dispatcher that takes over does not know what the
-// one before has sent: by the end of this time the rush is over.
-const seedsTime = 4 * time.Second
+// seedDispatchDuration is how long after a common start dispatchers are chosen among the seeds.
+// Callers reconnect together at that time, and a dispatcher that takes over does not know what the
+// previous one has sent; the load peak is over after this duration.
+const seedDispatchDuration = 4 * time.Second
 
-// forming is what a daemon that has just started knows of the others' start. Daemons
-// that all start at once know few others at first, and each other ones, so that each
-// would choose other dispatchers. For seedsTime they choose among the seeds, which all of
-// them were told. The zero value knows nothing. The node's mutex
-// guards it.
+// forming is the state of cluster formation, as known to a daemon that has just started. Daemons
+// that all start at once first know few and different members, so each would choose different
+// dispatchers. For seedDispatchDuration they choose among the seeds, which all of them were given.
+// The zero value knows no seeds. It is guarded by the mutex of the Node.
 type forming struct {
 	started time.Time
-	// seeds are the peer addresses that this daemon was told at its start.
+	// seeds are the peer addresses given to this daemon at its start.
 	seeds []string
-	// met: a seed answered that has just started, too, or this daemon is one.
-	met bool
-	// joined: a seed answered that has run for longer. It knows the members.
-	joined bool
+	// seedForming is set if a seed that has also just started answered, or if this daemon is a
+	// seed.
+	seedForming bool
+	// seedEstablished is set if a seed that was already running answered. It knows the members.
+	seedEstablished bool
 }
 
-// lasts says whether the daemon has just started.
-func (f *forming) lasts(now time.Time) bool {
-	return now.Sub(f.started) < formingTime
+// isForming reports whether the daemon has just started.
+func (f *forming) isForming(now time.Time) bool {
+	return now.Sub(f.started) < formingDuration
 }
 
-// seedsOver says whether dispatchers are chosen among all from now on.
-func (f *forming) seedsOver(now time.Time) bool {
-	return now.Sub(f.started) >= seedsTime
+// seedDispatchOver reports whether dispatchers are from now on chosen among all members.
+func (f *forming) seedDispatchOver(now time.Time) bool {
+	return now.Sub(f.started) >= seedDispatchDuration
 }
 
-// heard notes what a seed that answered said of its own start.
-func (f *forming) heard(itsForming bool) {
-	f.met = f.met || itsForming
-	f.joined = f.joined || !itsForming
+// recordSeedAnswer records whether a seed that answered has itself just started.
+func (f *forming) recordSeedAnswer(starting bool) {
+	f.seedForming = f.seedForming || starting
+	f.seedEstablished = f.seedEstablished || !starting
 }
 
-// told notes the seeds. Where there are many, each daemon asks other ones, and nothing
-// is agreed by choosing among them.
-func (f *forming) told(seeds []string, own string) {
-	if len(seeds) <= firstSeeds {
+// setSeeds records the seeds. If there are many, each daemon queries different ones, and choosing
+// among them would not make the daemons agree.
+func (f *forming) setSeeds(seeds []string, own string) {
+	if len(seeds) <= initialSeedQueries {
 		f.seeds = seeds
 	}
-	f.met = f.met || slices.Contains(f.seeds, own)
+	f.seedForming = f.seedForming || slices.Contains(f.seeds, own)
 }
 
-// choose returns those of the members of the region that are seeds, and whether
-// dispatchers are chosen among them for now.
-func (f *forming) choose(now time.Time, region []membership.Member) (seeds []membership.Member, forming bool) {
-	if !f.met || f.joined || f.seedsOver(now) || len(region) < formingFleet {
+// dispatcherCandidates returns the members of the region that are seeds, and whether dispatchers
+// are currently chosen among them.
+func (f *forming) dispatcherCandidates(now time.Time, region []membership.Member) (seeds []membership.Member, forming bool) {
+	if !f.seedForming || f.seedEstablished || f.seedDispatchOver(now) || len(region) < minFormingFleet {
 		return nil, false
 	}
 	for _, member := range region {
--- a/peer/gossip.go
+++ b/peer/gossip.go
@@ -2,17 +2,18 @@
 
 import "time"
 
-// Records is a kind of news, as this daemon knows it: records with keys. No method blocks.
+// Records is the Node's access to records of one kind, by key. No method blocks.
 type Records[K comparable, R any] interface {
-	// Merge takes in what others tell, and returns what of it is news.
-	Merge(told []R) []R
-	// Record returns what others are to be told under a key.
+	// Merge takes in records from peers and returns those that changed something.
+	Merge(received []R) []R
+	// Record returns the record to send to peers under a key.
 	Record(key K) (R, bool)
-	// Records returns what a daemon that has just started is told, what matters most first, at most so many.
-	Records(most int) []R
+	// Records returns up to limit records for a daemon that has just started, the most important
+	// first.
+	Records(limit int) []R
 }
 
-// noRecords knows nothing.
+// noRecords is an empty Records.
 type noRecords[K comparable, R any] struct{}
 
 func (noRecords[K, R]) Merge([]R) []R { return nil }
@@ -22,60 +23,62 @@
 }
 func (noRecords[K, R]) Records(int) []R { return nil }
 
-// gossip is what daemons pass on of a kind of news in their exchanges. But for what is known, it is guarded by
-// the mutex of its Node.
+// gossip is the state of sending records of one kind to peers. All but records is guarded by the
+// mutex of the Node.
 type gossip[K comparable, R any] struct {
-	known   Records[K, R]
-	key     func(R) K // of a record
-	rumors  rumors[K]
-	most    int // records in one message
-	waiting int // most records that wait to be told
+	records    Records[K, R]
+	keyOf      func(R) K
+	rumors     rumors[K]
+	perMessage int // maximum records in one message
+	maxQueued  int // maximum records that wait to be sent
 }
 
-// newGossip returns what daemons tell of a kind of news, of which nothing is to be told yet.
-func newGossip[K comparable, R any](known Records[K, R], key func(R) K, most, waiting int) gossip[K, R] {
-	return gossip[K, R]{known: known, key: key, rumors: make(rumors[K]), most: most, waiting: waiting}
+// newGossip returns the gossip state of one kind of records, with nothing to send.
+func newGossip[K comparable, R any](records Records[K, R], keyOf func(R) K, perMessage, maxQueued int) gossip[K, R] {
+	return gossip[K, R]{records: records, keyOf: keyOf, rumors: make(rumors[K]), perMessage: perMessage, maxQueued: maxQueued}
 }
 
-// passOn lets others be told what is known under a key. The caller holds the mutex.
-func (g *gossip[K, R]) passOn(key K) {
-	if len(g.rumors) < g.waiting {
+// enqueue queues the record under a key to be sent to peers. The caller holds the mutex.
+func (g *gossip[K, R]) enqueue(key K) {
+	if len(g.rumors) < g.maxQueued {
 		g.rumors.add(key, time.Now())
 	}
 }
 
-// next returns what is put into the next message. The caller holds the mutex.
-func (g *gossip[K, R]) next(fleet int) []R {
+// nextRecords returns the records for the next message. The caller holds the mutex.
+func (g *gossip[K, R]) nextRecords(fleetSize int) []R {
 	var records []R
-	for _, key := range g.rumors.next(fleet, g.most) {
-		if record, known := g.known.Record(key); known {
+	for _, key := range g.rumors.take(fleetSize, g.perMessage) {
+		if record, known := g.records.Record(key); known {
 			records = append(records, record)
 		}
 	}
 	return records
 }
 
-// tell spreads a record of a service. The daemon that gives out its places is told first. It does not block.
-func tell[K comparable, R any](n *Node, g *gossip[K, R], record R, service string) {
+// broadcastRecord sends a record of a service to peers, to the dispatcher of the service first. It
+// does not block.
+func broadcastRecord[K comparable, R any](n *Node, g *gossip[K, R], record R, service string) {
 	n.mutex.Lock()
-	g.passOn(g.key(record))
+	g.enqueue(g.keyOf(record))
 	n.mutex.Unlock()
-	n.tellDispatcher(service)
+	n.notifyDispatcher(service)
 }
 
-// hear takes in what another daemon tells, and passes on what of it is news.
-func hear[K comparable, R any](n *Node, g *gossip[K, R], told []R) {
-	if len(told) == 0 {
+// receiveRecords merges records from another daemon and queues those that changed something to be
+// sent on.
+func receiveRecords[K comparable, R any](n *Node, g *gossip[K, R], received []R) {
+	if len(received) == 0 {
 		return
 	}
-	news := g.known.Merge(told)
-	if len(news) == 0 {
+	changed := g.records.Merge(received)
+	if len(changed) == 0 {
 		return
 	}
 	n.mutex.Lock()
-	for _, record := range news {
-		g.passOn(g.key(record))
+	for _, record := range changed {
+		g.enqueue(g.keyOf(record))
 	}
 	n.mutex.Unlock()
-	n.spreadSoon()
+	n.requestGossip()
 }
--- a/peer/join.go
+++ b/peer/join.go
@@ -10,35 +10,35 @@
 	"github.com/tuliphall/tuliphall/wait"
 )
 
-// join asks seeds for the members, so many at once, until one has answered or limit has
-// passed. Seeds may be gone. A daemon that starts together with its seeds, as after a
-// loss of all power, may ask before they listen, and a connection that is being opened
-// then is not opened for a second: therefore seeds are asked anew all the time.
-func (n *Node) join(ctx context.Context, atOnce int, limit time.Duration) {
+// join queries the seeds for the members, several in parallel, until one has answered or the
+// timeout has passed. Seeds may no longer exist. A daemon that starts together with its seeds, as
+// after a complete power failure, may query them before they listen, and a connection attempt made
+// then can take a second to succeed, so the seeds are queried again continuously.
+func (n *Node) join(ctx context.Context, parallel int, timeout time.Duration) {
 	seeds := n.shuffledSeeds(ctx)
-	for begun := time.Now(); len(seeds) > 0 && ctx.Err() == nil && time.Since(begun) <= limit; {
-		asked := seeds[:min(atOnce, len(seeds))]
-		if n.askSeeds(ctx, asked) {
+	for started := time.Now(); len(seeds) > 0 && ctx.Err() == nil && time.Since(started) <= timeout; {
+		queried := seeds[:min(parallel, len(seeds))]
+		if n.querySeeds(ctx, queried) {
 			return
 		}
-		seeds = slices.Concat(seeds[len(asked):], asked)
+		seeds = slices.Concat(seeds[len(queried):], queried)
 	}
 }
 
-// askSeeds asks seeds at once, and says whether one has answered within joinPatience.
-// What comes later is taken in as well.
-func (n *Node) askSeeds(ctx context.Context, seeds []string) bool {
+// querySeeds queries seeds in parallel and reports whether one has answered within
+// seedAnswerTimeout. Later answers are processed as well.
+func (n *Node) querySeeds(ctx context.Context, seeds []string) bool {
 	answers := make(chan error, len(seeds))
 	for _, address := range seeds {
-		n.syncs.Go(func() { answers <- n.askSeed(ctx, address) })
+		n.background.Go(func() { answers <- n.querySeed(ctx, address) })
 	}
-	patience := time.NewTimer(joinPatience)
-	defer patience.Stop()
+	timeout := time.NewTimer(seedAnswerTimeout)
+	defer timeout.Stop()
 	for range seeds {
 		select {
 		case <-ctx.Done():
 			return false
-		case <-patience.C:
+		case <-timeout.C:
 			return false
 		case err := <-answers:
 			if err == nil {
@@ -47,39 +47,39 @@
 			n.log.Debug("seed did not answer", "error", err)
 		}
 	}
-	// All have refused at once: they do not listen yet.
-	wait.Sleep(ctx, joinPause)
+	// All seeds failed immediately: they do not listen yet.
+	wait.Sleep(ctx, refusedSeedDelay)
 	return false
 }
 
-// shuffledSeeds returns the seeds but this daemon itself, in random order.
+// shuffledSeeds returns the seeds without this daemon, in random order.
 func (n *Node) shuffledSeeds(ctx context.Context) []string {
 	own := n.options.Self.PeerAddress
 	seeds := n.options.Seeds(ctx)
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.forming.told(slices.Clone(seeds), own)
+	n.forming.setSeeds(slices.Clone(seeds), own)
 	seeds = slices.DeleteFunc(seeds, func(address string) bool { return address == own })
 	n.options.Random.Shuffle(len(seeds), func(i, j int) { seeds[i], seeds[j] = seeds[j], seeds[i] })
 	return seeds
 }
 
-// askSeed asks a seed for the members, and notes whether it has just started, too.
-func (n *Node) askSeed(ctx context.Context, address string) error {
-	itsForming, err := n.askMembers(ctx, address)
+// querySeed queries a seed for the members and records whether it has itself just started.
+func (n *Node) querySeed(ctx context.Context, address string) error {
+	starting, err := n.fetchMembers(ctx, address)
 	if err != nil {
 		return err
 	}
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.forming.heard(itsForming)
+	n.forming.recordSeedAnswer(starting)
 	n.refreshView()
 	return nil
 }
 
-// askMembers asks a daemon for the members and takes them in. It says whether that one
+// fetchMembers requests the member list of a daemon and merges it. It reports whether that daemon
 // has just started.
-func (n *Node) askMembers(ctx context.Context, address string) (itsForming bool, err error) {
+func (n *Node) fetchMembers(ctx context.Context, address string) (starting bool, err error) {
 	err = n.call(ctx, purposeMembers, address, func(ctx context.Context, client peerpb.DRPCPeerClient) error {
 		reply, err := client.Members(ctx, &peerpb.MembersRequest{Sender: encodeMember(n.self())})
 		if err != nil {
@@ -89,21 +89,21 @@
 		if err != nil {
 			return err
 		}
-		itsForming = reply.GetForming()
-		n.change(address, func(now time.Time) {
+		starting = reply.GetForming()
+		n.updateMembers(address, func(now time.Time) {
 			n.state.MergeList(now, decodeMembers(list.Members))
 		})
-		hear(n, &n.crashingRequests, decodeCrashingRequests(list.CrashingRequests))
-		hear(n, &n.limits, decodeLimits(list.Limits))
-		hear(n, &n.drains, decodeDrains(list.Drains))
+		receiveRecords(n, &n.crashingRequests, decodeCrashingRequests(list.CrashingRequests))
+		receiveRecords(n, &n.limits, decodeLimits(list.Limits))
+		receiveRecords(n, &n.drains, decodeDrains(list.Drains))
 		return nil
 	})
-	return itsForming, err
+	return starting, err
 }
 
-// sync asks a daemon that knows other members for its whole list.
+// sync fetches the whole member list of a daemon whose digest differs.
 func (n *Node) sync(ctx context.Context, from membership.Member) {
-	if _, err := n.askMembers(context.WithoutCancel(ctx), from.PeerAddress); err != nil {
+	if _, err := n.fetchMembers(context.WithoutCancel(ctx), from.PeerAddress); err != nil {
 		n.log.Debug("members not synced", "member", from.Name, "error", err)
 	}
 }
--- a/peer/limits.go
+++ b/peer/limits.go
@@ -8,25 +8,24 @@
 	"github.com/tuliphall/tuliphall/peer/peerpb"
 )
 
-// Bounds of what is told of back ends that take fewer requests; one takes about 60 bytes.
+// Bounds on gossip about request limits of back ends. One record takes about 60 bytes.
 const (
-	// maxLimits bounds them in one message.
-	maxLimits = 8
-	// maxListedLimits bounds them in a list for a daemon that has just started.
+	maxLimitsPerMessage = 8
+	// maxListedLimits bounds the records in the member list for a daemon that has just started.
 	maxListedLimits = 512
-	// maxLimitRumors bounds those that wait to be told. Who is not told hears of a limit with the
-	// first answer of the back end.
-	maxLimitRumors = 1024
+	// maxQueuedLimits bounds the records that wait to be sent. A daemon that misses one learns of
+	// the limit with the next response of the back end.
+	maxQueuedLimits = 1024
 )
 
-// Limits is what a Node asks and tells of back ends that take fewer requests.
+// Limits is the Node's access to the records of back ends that limit their requests.
 type Limits = Records[backend.Key, backendlimit.Record]
 
 func limitKey(record backendlimit.Record) backend.Key { return record.Key }
 
-// BroadcastLimit spreads what a back end says of how many requests it takes.
+// BroadcastLimit sends a record of the request limit of a back end to peers.
 func (n *Node) BroadcastLimit(record backendlimit.Record) {
-	tell(n, &n.limits, record, record.Service)
+	broadcastRecord(n, &n.limits, record, record.Service)
 }
 
 func encodeLimits(records []backendlimit.Record) []*peerpb.BackendLimit {
@@ -41,10 +40,10 @@
 
 func decodeLimits(encoded []*peerpb.BackendLimit) []backendlimit.Record {
 	records := make([]backendlimit.Record, 0, len(encoded))
-	for _, one := range encoded {
+	for _, message := range encoded {
 		records = append(records, backendlimit.Record{
-			Key: backend.Key{Service: one.Service, Backend: one.Backend}, Limit: backendlimit.Limit{Limited: one.Limited, PerSecond: one.PerSecond},
-			Started: one.Started, At: time.UnixMilli(one.At),
+			Key: backend.Key{Service: message.Service, Backend: message.Backend}, Limit: backendlimit.Limit{Limited: message.Limited, PerSecond: message.PerSecond},
+			Started: message.Started, At: time.UnixMilli(message.At),
 		})
 	}
 	return records
--- a/peer/log.go
+++ b/peer/log.go
@@ -7,41 +7,41 @@
 	"github.com/tuliphall/tuliphall/membership"
 )
 
-// linesPerChange is how many members that changed at once are logged one by one.
-// More, as when a daemon starts, are logged as a count.
-const linesPerChange = 3
+// maxLoggedTransitions is how many simultaneous transitions are logged individually. More, as when
+// a daemon starts, are logged as counts.
+const maxLoggedTransitions = 3
 
-// How a daemon came to believe something of a member, where no other told it.
+// Sources of member transitions that no other member reported.
 const (
-	byTime     = "time-out"
-	byNoAnswer = "no-answer"
-	bySelf     = "self"
+	sourceTimeout  = "time-out"
+	sourceNoAnswer = "no-answer"
+	sourceSelf     = "self"
 )
 
-// logTransitions logs what is newly believed of members, and who said so.
-func (n *Node) logTransitions(changed []membership.Transition, source string) {
-	if len(changed) > linesPerChange {
-		n.logMany(changed, source)
+// logTransitions logs status changes of members and their source.
+func (n *Node) logTransitions(transitions []membership.Transition, source string) {
+	if len(transitions) > maxLoggedTransitions {
+		n.logTransitionCounts(transitions, source)
 		return
 	}
-	for _, one := range changed {
-		before := one.Before.String()
-		if one.New {
+	for _, transition := range transitions {
+		before := transition.Before.String()
+		if transition.New {
 			before = "unknown"
 		}
 		level := slog.LevelInfo
-		if one.Member.Status == membership.Dead {
+		if transition.Member.Status == membership.Dead {
 			level = slog.LevelWarn
 		}
-		n.log.LogAttrs(context.Background(), level, "member "+one.Member.Status.String(), slog.String("member", one.Member.Name),
-			slog.String("zone", one.Member.Zone), slog.String("before", before), slog.String("source", source))
+		n.log.LogAttrs(context.Background(), level, "member "+transition.Member.Status.String(), slog.String("member", transition.Member.Name),
+			slog.String("zone", transition.Member.Zone), slog.String("before", before), slog.String("source", source))
 	}
 }
 
-func (n *Node) logMany(changed []membership.Transition, source string) {
+func (n *Node) logTransitionCounts(transitions []membership.Transition, source string) {
 	counts := make(map[membership.Status]int)
-	for _, one := range changed {
-		counts[one.Member.Status]++
+	for _, transition := range transitions {
+		counts[transition.Member.Status]++
 	}
 	attributes := []slog.Attr{slog.String("source", source), slog.Int("known", len(n.View().Serving))}
 	for _, status := range []membership.Status{membership.Alive, membership.Suspect, membership.Dead, membership.Left} {
@@ -52,10 +52,9 @@
 	n.log.LogAttrs(context.Background(), slog.LevelInfo, "members changed", attributes...)
 }
 
-// noteDispatcher logs who dispatches a service, if that is another daemon than
-// before. It does not block.
-func (n *Node) noteDispatcher(service string, chosen membership.Member) {
-	before, known := n.dispatchers.Swap(service, chosen.Name)
+// recordDispatcher logs the dispatcher of a service if it has changed. It does not block.
+func (n *Node) recordDispatcher(service string, chosen membership.Member) {
+	before, known := n.lastDispatchers.Swap(service, chosen.Name)
 	if known && before == chosen.Name {
 		return
 	}
@@ -63,5 +62,5 @@
 		before = ""
 	}
 	n.log.LogAttrs(context.Background(), slog.LevelInfo, "dispatcher chosen", slog.String("service", service), slog.String("dispatcher", chosen.Name),
-		slog.String("before", before.(string)), slog.Bool("self", chosen.Name == n.options.Self.Name), slog.Int("among", len(n.View().dispatchers)))
+		slog.String("before", before.(string)), slog.Bool("self", chosen.Name == n.options.Self.Name), slog.Int("among", len(n.View().dispatcherCandidates)))
 }
--- a/peer/node.go
+++ b/peer/node.go
@@ -1,11 +1,9 @@
-// Package peer carries the messages between daemons: heartbeats with news of
-// members and drains, and configuration changes. The messages are protobuf over
-// drpc; what is in them and who sends them when is decided by package
-// membership and by this package's Node.
+// Package peer implements the messages between daemons: heartbeats with member updates and gossip
+// about back ends, and configuration changes. The messages are protobuf over drpc; packages
+// membership and peer decide what is sent, by whom and when.
 //
-// Every exchange opens a connection and closes it again. At the size of the
-// whole fleet a daemon meets a different partner nearly every time, so that kept
-// connections would mostly idle.
+// Each exchange opens a connection and closes it again. In a large fleet a daemon exchanges with a
+// different peer nearly every time, so persistent connections would be idle most of the time.
 package peer
 
 import (
@@ -32,108 +30,108 @@
 const (
 	// callTimeout bounds one call to another daemon.
 	callTimeout = 700 * time.Millisecond
-	// relays is how many others are asked to reach a member that did not answer.
-	relays = 2
-	// fanout is how many members are told at once of a drain, besides the daemon that
-	// gives out the places; each of them does the same.
-	fanout = 1
-	// spreadInterval is the least time between two tellings: drains that are heard
-	// in quick succession are told together.
-	spreadInterval = 100 * time.Millisecond
-	// firstPeriod is the time between the first heartbeats of a daemon. It doubles
-	// after every few, up to the full period. Daemons that start together thus soon
-	// know each other, and choose the same dispatchers.
-	firstPeriod      = 100 * time.Millisecond
-	beatsPerDoubling = 4
-	periodDoublings  = 4
-	// firstSeeds and laterSeeds are how many seeds a daemon asks for the members at
-	// once, when it starts and later.
-	firstSeeds = 3
-	laterSeeds = 1
-	// joinAgain is the time between further questions to a seed, of which there are
-	// joinRepeats: had all daemons started together, the seeds knew few at first.
-	joinAgain   = 350 * time.Millisecond
-	joinRepeats = 2
-	// joinPatience is after how long without an answer seeds are asked anew, and
-	// joinPause is when they are after they have refused.
-	joinPatience = 150 * time.Millisecond
-	joinPause    = 50 * time.Millisecond
-	// firstJoin is for how long a daemon that starts asks seeds before all else.
-	firstJoin = 2 * time.Second
-	// jitter is the share of the period by which each exchange is shifted.
-	jitter = 0.2
+	// indirectPingHelpers is how many other members are asked to reach a member that did not
+	// answer.
+	indirectPingHelpers = 2
+	// gossipFanout is how many members a new record is sent to at once, besides the dispatcher;
+	// each of them does the same.
+	gossipFanout = 1
+	// minGossipInterval is the minimum time between two rounds of gossip, so that records received
+	// in quick succession are sent together.
+	minGossipInterval = 100 * time.Millisecond
+	// initialPeriod is the time between the first heartbeats of a daemon. It doubles after every
+	// few heartbeats, up to the full period. Daemons that start together thus soon know each other
+	// and choose the same dispatchers.
+	initialPeriod         = 100 * time.Millisecond
+	heartbeatsPerDoubling = 4
+	periodDoublings       = 4
+	// initialSeedQueries and laterSeedQueries are how many seeds a daemon queries in parallel at
+	// its start and later.
+	initialSeedQueries = 3
+	laterSeedQueries   = 1
+	// rejoinInterval is the time between further queries of a seed, and rejoinCount their number:
+	// if all daemons started together, the seeds knew few members at first.
+	rejoinInterval = 350 * time.Millisecond
+	rejoinCount    = 2
+	// seedAnswerTimeout is after how long without an answer the next seeds are queried, and
+	// refusedSeedDelay after how long if all queried seeds failed immediately.
+	seedAnswerTimeout = 150 * time.Millisecond
+	refusedSeedDelay  = 50 * time.Millisecond
+	// initialJoinTimeout bounds how long a starting daemon queries seeds before it does anything
+	// else.
+	initialJoinTimeout = 2 * time.Second
+	// periodJitter is the maximum fraction of the period by which a heartbeat is randomly shifted.
+	periodJitter = 0.2
 )
 
-// Configuration is what a Node tells and asks about the configuration.
+// Configuration is the Node's access to the configuration of the daemon.
 type Configuration interface {
-	// Position returns the revisions in force, 0 where there is none.
+	// Position returns the revisions in force, 0 if there are none.
 	Position() config.Position
 	// Document returns the document in force.
 	Document() config.Document
-	// Watching says whether the daemon watches the store.
+	// Watching reports whether the daemon watches the store.
 	Watching() bool
-	// Reading says whether the daemon has just started and reads the store itself.
+	// Reading reports whether the daemon has just started and reads the store itself.
 	Reading() bool
 	// RecordNewerPeer notes that a member has a higher position. It must not block.
 	RecordNewerPeer(member membership.Member, position config.Position)
-	// Offer puts what is newer in a document than in the present one in force.
-	// source names the daemon it came from.
+	// Offer applies the parts of a document that are newer than the current ones. source is the
+	// name of the daemon that sent it.
 	Offer(document config.Document, source string) error
 }
 
-// Options are a Node's collaborators.
+// Options configures a Node.
 type Options struct {
 	Self          membership.Member
 	Meter         *network.Meter // opens connections to other daemons
 	Random        *rand.Rand
 	Log           *slog.Logger
 	Configuration Configuration
-	// Slots answers daemons that ask for places; nil: none are given.
+	// Slots serves permit requests of other daemons; nil: not served.
 	Slots peerpb.DRPCSlotsServer
 	// Seeds returns peer addresses of daemons that may be alive. It may block.
 	Seeds func(ctx context.Context) []string
-	// OnNoAnswer is told when a member has not answered soon, before others are asked
-	// whether they reach it; nil: nobody is. It must not block.
+	// OnNoAnswer, if set, is called when a member has not answered promptly, before others are
+	// asked whether they can reach it. It must not block.
 	OnNoAnswer func()
-	// Drains knows which back ends are leaving; nil: none is.
+	// Drains keeps the records of draining back ends; nil: none.
 	Drains Drains
-	// Quarantine has noted under which requests back ends ended; nil: nothing is noted.
+	// Quarantine keeps the records of requests that crash back ends; nil: none.
 	Quarantine Quarantine
-	// Limits knows how many requests back ends take; nil: any number.
+	// Limits keeps the records of request limits of back ends; nil: none.
 	Limits Limits
 }
 
-// Node is one daemon among its peers. It is safe for concurrent use.
+// Node is this daemon's end of the communication with its peers. It is safe for concurrent use.
 type Node struct {
-	options Options
-	log     *slog.Logger
-	spread  chan struct{} // room for one: spreading is asked for
+	options        Options
+	log            *slog.Logger
+	gossipRequests chan struct{} // buffers one request for a round of gossip
 
-	encodings encodings
-	syncs     sync.WaitGroup
-	periods   int // heartbeats so far; of Run
+	encodings  encodingCache
+	background sync.WaitGroup
+	heartbeats int // sent so far; used by Run only
 
-	mutex sync.Mutex
-	state *membership.State
-	// drains are the back ends of which others are still to be told that they are leaving, or are back.
-	drains gossip[drain.SignalKey, drain.Record]
-	// crashingRequests are those of which others are still to be told.
+	mutex            sync.Mutex
+	state            *membership.State
+	drains           gossip[drain.SignalKey, drain.Record]
 	crashingRequests gossip[quarantine.Fingerprint, quarantine.Record]
-	// limits are the back ends of which others are still to be told how many requests they take.
+	// drains, crashingRequests and limits are the records still to be sent to peers.
 	limits gossip[backend.Key, backendlimit.Record]
-	// forming is what is known of the others' start.
+	// forming is the state of cluster formation.
 	forming forming
-	// expected is what another daemon is handing over.
-	expected delivery
+	// pending is the configuration that another daemon is about to deliver.
+	pending pendingDelivery
 
-	// heard is when any other daemon was heard last.
-	heard atomic.Pointer[time.Time]
+	// lastContact is when any other daemon was last heard from.
+	lastContact atomic.Pointer[time.Time]
 
-	view        atomic.Pointer[View]
-	dispatchers sync.Map // service name to the name of the daemon last chosen
+	view            atomic.Pointer[View]
+	lastDispatchers sync.Map // service name to the name of its last known dispatcher
 }
 
-// NewNode returns a node that knows only itself.
+// NewNode returns a node that knows no other member.
 func NewNode(options Options) *Node {
 	if options.OnNoAnswer == nil {
 		options.OnNoAnswer = func() {}
@@ -148,20 +146,20 @@
 		options.Limits = noRecords[backend.Key, backendlimit.Record]{}
 	}
 	n := &Node{
-		options: options, log: logging.Part(options.Log, "membership"), spread: make(chan struct{}, 1),
-		state: membership.NewState(options.Self, options.Random), drains: newGossip(options.Drains, drainKey, maxDrains, maxDrainRumors),
-		crashingRequests: newGossip(options.Quarantine, fingerprintOf, maxCrashingRequests, maxCrashingRumors),
-		limits:           newGossip(options.Limits, limitKey, maxLimits, maxLimitRumors),
+		options: options, log: logging.Part(options.Log, "membership"), gossipRequests: make(chan struct{}, 1),
+		state: membership.NewState(options.Self, options.Random), drains: newGossip(options.Drains, drainKey, maxDrainsPerMessage, maxQueuedDrains),
+		crashingRequests: newGossip(options.Quarantine, quarantineKey, maxCrashingRequestsPerMessage, maxQueuedCrashingRequests),
+		limits:           newGossip(options.Limits, limitKey, maxLimitsPerMessage, maxQueuedLimits),
 	}
 	n.forming.started = time.Now()
-	n.heard.Store(&n.forming.started)
+	n.lastContact.Store(&n.forming.started)
 	n.refreshView()
 	return n
 }
 
-// change runs a change of the members, which source told, under the mutex,
-// refreshes the view, and logs what is new.
-func (n *Node) change(source string, apply func(now time.Time)) {
+// updateMembers applies a change of the members under the mutex, refreshes the view and logs the
+// transitions. source is who reported the change.
+func (n *Node) updateMembers(source string, apply func(now time.Time)) {
 	n.mutex.Lock()
 	before := n.state.Version()
 	apply(time.Now())
@@ -173,68 +171,68 @@
 	n.logTransitions(changed, source)
 }
 
-// Members returns every member known, this daemon included.
+// Members returns all known members, including this daemon.
 func (n *Node) Members() []membership.Member {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return append(n.state.Members(), n.state.Self())
 }
 
-// Suspect notes that a member could not be reached.
+// Suspect records that a member could not be reached.
 func (n *Node) Suspect(name string) {
 	n.options.OnNoAnswer()
-	n.change(byNoAnswer, func(now time.Time) { n.state.MarkUnreachable(now, name) })
+	n.updateMembers(sourceNoAnswer, func(now time.Time) { n.state.MarkUnreachable(now, name) })
 }
 
-// spreadSoon lets a few members be told at once, as there is news.
-func (n *Node) spreadSoon() {
+// requestGossip schedules a round of gossip, as there are new records.
+func (n *Node) requestGossip() {
 	select {
-	case n.spread <- struct{}{}:
-	default: // spreading is already asked for
+	case n.gossipRequests <- struct{}{}:
+	default: // a round is already pending
 	}
 }
 
-// tellDispatcher tells the news to the daemon that gives out the places of a service at once,
-// and to a few others soon. It does not block.
-func (n *Node) tellDispatcher(service string) {
+// notifyDispatcher sends queued records to the dispatcher of a service at once, and to a few other
+// members soon. It does not block.
+func (n *Node) notifyDispatcher(service string) {
 	if dispatcher, other := n.DispatcherOf(service); other {
-		n.syncs.Go(func() {
+		n.background.Go(func() {
 			if err := n.exchange(context.Background(), dispatcher); err != nil {
-				n.log.Debug("news not delivered", "member", dispatcher.Name, "error", err)
+				n.log.Debug("gossip not delivered", "member", dispatcher.Name, "error", err)
 			}
 		})
 	}
-	n.spreadSoon()
+	n.requestGossip()
 }
 
-// Run joins the other daemons and exchanges news until ctx ends.
+// Run joins the other daemons and exchanges state with them until ctx ends.
 func (n *Node) Run(ctx context.Context) {
-	defer n.syncs.Wait()
-	n.join(ctx, firstSeeds, firstJoin)
-	formed := time.NewTimer(seedsTime)
-	defer formed.Stop()
+	defer n.background.Wait()
+	n.join(ctx, initialSeedQueries, initialJoinTimeout)
+	seedDispatchEnd := time.NewTimer(seedDispatchDuration)
+	defer seedDispatchEnd.Stop()
 	timer := time.NewTimer(n.nextPeriod())
 	defer timer.Stop()
-	again := time.NewTicker(joinAgain)
-	defer again.Stop()
-	joins := 0
+	rejoin := time.NewTicker(rejoinInterval)
+	defer rejoin.Stop()
+	rejoins := 0
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-n.spread:
-			n.tellSome(ctx)
-			wait.Sleep(ctx, spreadInterval)
-		case <-formed.C:
+		case <-n.gossipRequests:
+			n.gossipToPeers(ctx)
+			wait.Sleep(ctx, minGossipInterval)
+		case <-seedDispatchEnd.C:
 			n.refreshDispatchers()
-		case <-again.C:
-			n.join(ctx, laterSeeds, 0)
-			if joins++; joins == joinRepeats {
-				again.Stop()
+		case <-rejoin.C:
+			n.join(ctx, laterSeedQueries, 0)
+			if rejoins++; rejoins == rejoinCount {
+				rejoin.Stop()
 			}
 		case <-timer.C:
-			n.period(ctx)
-			n.periods++
+			n.heartbeat(ctx)
+			n.heartbeats++
 			timer.Reset(n.nextPeriod())
 		}
 	}
@@ -243,10 +241,10 @@
 func (n *Node) nextPeriod() time.Duration {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	shift := (n.options.Random.Float64()*2 - 1) * jitter
+	shift := (n.options.Random.Float64()*2 - 1) * periodJitter
 	period := membership.Period
-	if doublings := n.periods / beatsPerDoubling; doublings < periodDoublings {
-		period = min(period, firstPeriod<<doublings)
+	if doublings := n.heartbeats / heartbeatsPerDoubling; doublings < periodDoublings {
+		period = min(period, initialPeriod<<doublings)
 	}
 	return time.Duration((1 + shift) * float64(period))
 }
@@ -257,8 +255,8 @@
 	return n.state.Self()
 }
 
-// Leave tells a few members that this daemon leaves.
+// Leave notifies a few members that this daemon leaves.
 func (n *Node) Leave(ctx context.Context) {
-	n.change(bySelf, func(time.Time) { n.state.Leave() })
-	n.tellSome(ctx)
+	n.updateMembers(sourceSelf, func(time.Time) { n.state.Leave() })
+	n.gossipToPeers(ctx)
 }
--- a/peer/quarantine.go
+++ b/peer/quarantine.go
@@ -5,62 +5,62 @@
 	"github.com/tuliphall/tuliphall/quarantine"
 )
 
-// Bounds of what is told of requests under which back ends ended; one takes about 200 bytes.
+// Bounds on gossip about requests that crash back ends. One record takes about 200 bytes.
 const (
-	// maxCrashingRequests bounds them in one message.
-	maxCrashingRequests = 8
-	// maxListedCrashingRequests bounds them in a list for a daemon that has just started.
+	maxCrashingRequestsPerMessage = 8
+	// maxListedCrashingRequests bounds the records in the member list for a daemon that has just
+	// started.
 	maxListedCrashingRequests = 512
-	// maxCrashingRumors bounds those that wait to be told. What is dropped comes with the next
-	// list, if the request is held back.
-	maxCrashingRumors = 1024
+	// maxQueuedCrashingRequests bounds the records that wait to be sent. A daemon that misses one
+	// receives it with the next member list, if the request is quarantined.
+	maxQueuedCrashingRequests = 1024
 )
 
-// Quarantine is what a Node asks and tells of requests under which back ends ended. No method
+// Quarantine is the Node's access to the records of requests that crash back ends. No method
 // blocks.
 type Quarantine interface {
 	Records[quarantine.Fingerprint, quarantine.Record]
-	// Digest tells daemons apart that hold back other requests.
+	// Digest returns a value that differs between daemons with different quarantined requests.
 	Digest() uint64
 }
 
-// noQuarantine notes nothing.
+// noQuarantine is a Quarantine without records.
 type noQuarantine struct {
 	noRecords[quarantine.Fingerprint, quarantine.Record]
 }
 
 func (noQuarantine) Digest() uint64 { return 0 }
 
-func fingerprintOf(record quarantine.Record) quarantine.Fingerprint { return record.Fingerprint }
+func quarantineKey(record quarantine.Record) quarantine.Fingerprint { return record.Fingerprint }
 
-// BroadcastCrashingRequest spreads what this daemon has noted of a request.
+// BroadcastCrashingRequest sends a record of a request that crashes back ends to peers.
 func (n *Node) BroadcastCrashingRequest(record quarantine.Record) {
-	tell(n, &n.crashingRequests, record, record.Service)
+	broadcastRecord(n, &n.crashingRequests, record, record.Service)
 }
 
 func encodeCrashingRequests(records []quarantine.Record) []*peerpb.CrashingRequest {
 	encoded := make([]*peerpb.CrashingRequest, 0, len(records))
 	for _, record := range records {
-		one := &peerpb.CrashingRequest{
+		message := &peerpb.CrashingRequest{
 			Fingerprint: uint64(record.Fingerprint), Service: record.Service, Request: record.Description, Cleared: int64(record.ClearedAt), Ordered: int64(record.ManualAt), Broad: record.Broad,
 		}
-		for _, ending := range record.Crashes {
-			one.Endings = append(one.Endings, &peerpb.Ending{Backend: uint64(ending.Backend), At: int64(ending.At)})
+		for _, crash := range record.Crashes {
+			message.Endings = append(message.Endings, &peerpb.Ending{Backend: uint64(crash.Backend), At: int64(crash.At)})
 		}
-		encoded = append(encoded, one)
+		encoded = append(encoded, message)
 	}
 	return encoded
 }
 
 func decodeCrashingRequests(encoded []*peerpb.CrashingRequest) []quarantine.Record {
 	records := make([]quarantine.Record, 0, len(encoded))
-	for _, one := range encoded {
+	for _, message := range encoded {
 		record := quarantine.Record{
-			Fingerprint: quarantine.Fingerprint(one.Fingerprint), Service: one.Service, Description: one.Request,
-			ClearedAt: quarantine.Timestamp(one.Cleared), ManualAt: quarantine.Timestamp(one.Ordered), Broad: one.Broad,
+			Fingerprint: quarantine.Fingerprint(message.Fingerprint), Service: message.Service, Description: message.Request,
+			ClearedAt: quarantine.Timestamp(message.Cleared), ManualAt: quarantine.Timestamp(message.Ordered), Broad: message.Broad,
 		}
-		for _, ending := range one.Endings {
-			record.Crashes = append(record.Crashes, quarantine.Crash{Backend: quarantine.BackendRun(ending.Backend), At: quarantine.Timestamp(ending.At)})
+		for _, crash := range message.Endings {
+			record.Crashes = append(record.Crashes, quarantine.Crash{Backend: quarantine.BackendRun(crash.Backend), At: quarantine.Timestamp(crash.At)})
 		}
 		records = append(records, record)
 	}
--- a/peer/rumors.go
+++ b/peer/rumors.go
@@ -6,28 +6,27 @@
 	"time"
 )
 
-// spreadFactor times the logarithm of the fleet is how often one piece of news is passed on.
+// spreadFactor times the logarithm of the fleet size is how often a record is sent.
 const spreadFactor = 3
 
-// rumors are pieces of news that are still to be passed on, by what they are about. It is not
-// safe for concurrent use.
+// rumors are the keys of records that are still to be sent to peers. It is not safe for concurrent
+// use.
 type rumors[K comparable] map[K]*rumor
 
 type rumor struct {
-	at   time.Time // of the news
+	at   time.Time // when the record changed
 	sent int
 }
 
-// add lets a piece of news be passed on anew.
+// add queues a key, or restarts its count if it is already queued.
 func (r rumors[K]) add(key K, at time.Time) {
 	r[key] = &rumor{at: at}
 }
 
-// next returns what is put into the next message, at most so much: what was passed on the fewest
-// times, the newest of that first. Each piece is passed on a number of times bounded by the
-// fleet's logarithm.
-func (r rumors[K]) next(fleet, most int) []K {
-	limit := int(math.Ceil(spreadFactor * math.Log2(float64(fleet+2))))
+// take returns up to limit keys for the next message: those sent the fewest times first, and of
+// these the newest. Each key is sent a number of times bounded by the logarithm of the fleet size.
+func (r rumors[K]) take(fleetSize, limit int) []K {
+	maxSent := int(math.Ceil(spreadFactor * math.Log2(float64(fleetSize+2))))
 	keys := make([]K, 0, len(r))
 	for key := range r {
 		keys = append(keys, key)
@@ -38,9 +37,9 @@
 		}
 		return r[b].at.Compare(r[a].at)
 	})
-	keys = keys[:min(len(keys), most)]
+	keys = keys[:min(len(keys), limit)]
 	for _, key := range keys {
-		if r[key].sent++; r[key].sent >= limit {
+		if r[key].sent++; r[key].sent >= maxSent {
 			delete(r, key)
 		}
 	}
--- a/peer/server.go
+++ b/peer/server.go
@@ -14,7 +14,7 @@
 	"github.com/tuliphall/tuliphall/peer/peerpb"
 )
 
-// Serve answers other daemons on the listener until ctx ends.
+// Serve serves calls of other daemons on the listener until ctx ends.
 func (n *Node) Serve(ctx context.Context, listener net.Listener) error {
 	mux := drpcmux.New()
 	if err := peerpb.DRPCRegisterPeer(mux, &server{node: n}); err != nil {
@@ -40,7 +40,7 @@
 // Exchange implements peerpb.DRPCPeerServer.
 func (s *server) Exchange(ctx context.Context, request *peerpb.ExchangeRequest) (*peerpb.ExchangeReply, error) {
 	n := s.node
-	n.take(ctx, request)
+	n.receive(ctx, request)
 	position := n.options.Configuration.Position()
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -48,7 +48,7 @@
 	return &peerpb.ExchangeReply{
 		Sender: encodeMember(n.state.Self()), Revision: uint64(position.Revision), Stored: uint64(position.StoreVersion),
 		Directory: uint64(position.Directory), Evacuations: uint64(position.Evacuations), Rollouts: uint64(position.Rollouts),
-		Updates: encodeMembers(n.state.Updates()), Drains: encodeDrains(n.drains.next(fleet)), Digest: n.digest(), CrashingRequests: encodeCrashingRequests(n.crashingRequests.next(fleet)), Limits: encodeLimits(n.limits.next(fleet)),
+		Updates: encodeMembers(n.state.Updates()), Drains: encodeDrains(n.drains.nextRecords(fleet)), Digest: n.digest(), CrashingRequests: encodeCrashingRequests(n.crashingRequests.nextRecords(fleet)), Limits: encodeLimits(n.limits.nextRecords(fleet)),
 	}, nil
 }
 
@@ -62,7 +62,7 @@
 func (s *server) Members(_ context.Context, request *peerpb.MembersRequest) (*peerpb.MembersReply, error) {
 	n := s.node
 	sender := decodeMember(request.Sender)
-	n.change(sender.Name, func(now time.Time) { n.state.ReceivedFrom(now, sender) })
+	n.updateMembers(sender.Name, func(now time.Time) { n.state.ReceivedFrom(now, sender) })
 	reply, err := encodeList(&peerpb.MemberList{
 		Members: encodeMembers(n.Members()), Drains: encodeDrains(n.options.Drains.Records(maxListedDrains)),
 		CrashingRequests: encodeCrashingRequests(n.options.Quarantine.Records(maxListedCrashingRequests)),
@@ -73,7 +73,7 @@
 	}
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	reply.Forming = n.forming.lasts(time.Now())
+	reply.Forming = n.forming.isForming(time.Now())
 	return reply, nil
 }
 
--- a/peer/view.go
+++ b/peer/view.go
@@ -7,18 +7,18 @@
 	"github.com/tuliphall/tuliphall/membership"
 )
 
-// View is an immutable picture of the members that take requests.
+// View is an immutable snapshot of the members that take requests.
 type View struct {
-	Serving []membership.Member // alive ones of every region, this daemon included
+	Serving []membership.Member // alive members of every region, including this daemon
 	self    string
 	region  []membership.Member
-	// dispatchers are those of the region that dispatchers are chosen among.
-	dispatchers []membership.Member
-	forming     bool     // those are the seeds
-	cache       sync.Map // service name to membership.Member
+	// dispatcherCandidates are the members of the region among which dispatchers are chosen.
+	dispatcherCandidates []membership.Member
+	forming              bool     // the candidates are the seeds
+	dispatcherCache      sync.Map // service name to membership.Member
 }
 
-// refreshView makes a new View. The caller holds the mutex or is alone.
+// refreshView rebuilds the View. The caller holds the mutex or is the constructor.
 func (n *Node) refreshView() {
 	view := &View{self: n.options.Self.Name}
 	for _, member := range n.state.Serving() {
@@ -30,56 +30,56 @@
 			view.region = append(view.region, member)
 		}
 	}
-	view.dispatchers, view.forming = n.forming.choose(time.Now(), view.region)
+	view.dispatcherCandidates, view.forming = n.forming.dispatcherCandidates(time.Now(), view.region)
 	if !view.forming {
-		view.dispatchers = membership.HighCapacity(view.region)
+		view.dispatcherCandidates = membership.HighCapacity(view.region)
 	}
 	n.view.Store(view)
 }
 
-// refreshDispatchers makes a new View, as time has passed.
+// refreshDispatchers rebuilds the View once dispatchers are no longer chosen among the seeds.
 func (n *Node) refreshDispatchers() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.refreshView()
 }
 
-// View returns the present picture of the members.
+// View returns the current view of the members.
 func (n *Node) View() *View {
 	return n.view.Load()
 }
 
-// DispatcherOf returns the daemon that dispatches a service in this region, and
-// false when it is this one. It does not block.
+// DispatcherOf returns the dispatcher of a service in this region, and false if it is this daemon.
+// It does not block.
 func (n *Node) DispatcherOf(name string) (member membership.Member, other bool) {
 	view := n.View()
-	if cached, ok := view.cache.Load(name); ok {
+	if cached, ok := view.dispatcherCache.Load(name); ok {
 		member = cached.(membership.Member)
 		return member, member.Name != view.self
 	}
-	chosen := membership.Choose(view.dispatchers, dispatchDuty+name, 1)
+	chosen := membership.Choose(view.dispatcherCandidates, dispatcherKeyPrefix+name, 1)
 	if len(chosen) == 0 {
 		return membership.Member{}, false
 	}
-	view.cache.Store(name, chosen[0])
-	n.noteDispatcher(name, chosen[0])
+	view.dispatcherCache.Store(name, chosen[0])
+	n.recordDispatcher(name, chosen[0])
 	return chosen[0], chosen[0].Name != view.self
 }
 
-// DispatchersOf returns the daemons that dispatch any of the services in any region, without
-// this one, and whether this one does. It does not block.
+// DispatchersOf returns the dispatchers of any of the services in any region, without this daemon,
+// and whether this daemon is one. It does not block.
 func (n *Node) DispatchersOf(names []string) (others []membership.Member, self bool) {
 	view := n.View()
 	regions := make(map[string][]membership.Member)
 	for _, member := range view.Serving {
 		regions[member.Region] = append(regions[member.Region], member)
 	}
-	regions[n.options.Self.Region] = view.dispatchers
+	regions[n.options.Self.Region] = view.dispatcherCandidates
 	chosen := make(map[string]bool)
 	for _, members := range regions {
 		members = membership.HighCapacity(members)
 		for _, name := range names {
-			for _, member := range membership.Choose(members, dispatchDuty+name, 1) {
+			for _, member := range membership.Choose(members, dispatcherKeyPrefix+name, 1) {
 				if member.Name != view.self && !chosen[member.Name] {
 					others = append(others, member)
 				}
@@ -90,8 +90,8 @@
 	return others, chosen[view.self]
 }
 
-// FleetSize returns how many daemons are taken for alive, this one included, and how many may be:
-// with those that were lost within a time.
+// FleetSize returns how many daemons are considered alive, including this one, and how many may be
+// alive: including those declared dead within the given time.
 func (n *Node) FleetSize(within time.Duration) (alive, all int) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -99,50 +99,52 @@
 	return alive, alive + n.state.RecentDeaths(time.Now(), within)
 }
 
-// LastContact returns when any other daemon was heard last; when this one was made, if none was.
+// LastContact returns when any other daemon was last heard from, or when this node was created if
+// none was.
 func (n *Node) LastContact() time.Time {
-	return *n.heard.Load()
+	return *n.lastContact.Load()
 }
 
-// dispatchDuty and the name of a service is by what its dispatcher is chosen.
-const dispatchDuty = "dispatch/"
+// dispatcherKeyPrefix and the name of a service form the rendezvous hashing key that selects its
+// dispatcher.
+const dispatcherKeyPrefix = "dispatch/"
 
-// Forming says whether dispatchers are chosen among the seeds for a moment, as all
-// daemons have just started.
+// Forming reports whether dispatchers are currently chosen among the seeds, as all daemons have
+// just started.
 func (n *Node) Forming() bool {
 	return n.View().forming
 }
 
-// RegionSize returns how many daemons of the region are alive, this one included.
+// RegionSize returns how many daemons of the region are alive, including this one.
 func (n *Node) RegionSize() int {
 	return len(n.View().region)
 }
 
-// holders returns the count members of the region that are chosen for a duty, or all
-// with a count of 0.
-func (v *View) holders(duty string, count int) []membership.Member {
+// chosenMembers returns the count members of the region selected for a key, or all with a count of
+// 0.
+func (v *View) chosenMembers(key string, count int) []membership.Member {
 	if count <= 0 {
 		return v.region
 	}
-	return membership.Choose(v.region, duty, count)
+	return membership.Choose(v.region, key, count)
 }
 
-// IsChosen says whether this daemon is among the count daemons of its region that
-// are chosen for a duty.
-func (n *Node) IsChosen(duty string, count int) bool {
-	_, _, chosen := n.Rank(duty, count)
+// IsChosen reports whether this daemon is among the count daemons of its region selected for a
+// key.
+func (n *Node) IsChosen(key string, count int) bool {
+	_, _, chosen := n.Rank(key, count)
 	return chosen
 }
 
-// Rank returns this daemon's place, from 0, among the count daemons of its region
-// that are chosen for a duty, and their number. With a count of 0 all are chosen.
-func (n *Node) Rank(duty string, count int) (place, of int, chosen bool) {
+// Rank returns this daemon's rank, from 0, among the count daemons of its region selected for a
+// key, and how many were selected. With a count of 0 all are selected.
+func (n *Node) Rank(key string, count int) (rank, total int, chosen bool) {
 	view := n.View()
-	holders := view.holders(duty, count)
-	for place, member := range holders {
+	chosenMembers := view.chosenMembers(key, count)
+	for index, member := range chosenMembers {
 		if member.Name == view.self {
-			return place, len(holders), true
+			return index, len(chosenMembers), true
 		}
 	}
-	return 0, len(holders), count == 0
+	return 0, len(chosenMembers), count == 0
 }
