--- a/peer/node.go
+++ b/peer/node.go
@@ -113,12 +113,12 @@
 	background sync.WaitGroup
 	heartbeats int // sent so far; used by Run only
 
-	mutex            sync.Mutex
-	state            *membership.State
+	mutex sync.Mutex
+	state *membership.State
+	// drains, crashingRequests and limits are the records still to be sent to peers.
 	drains           gossip[drain.SignalKey, drain.Record]
 	crashingRequests gossip[quarantine.Fingerprint, quarantine.Record]
-	// drains, crashingRequests and limits are the records still to be sent to peers.
-	limits gossip[backend.Key, backendlimit.Record]
+	limits           gossip[backend.Key, backendlimit.Record]
 	// forming is the state of cluster formation.
 	forming forming
 	// pending is the configuration that another daemon is about to deliver.
