--- a/dissemination/follower.go
+++ b/dissemination/follower.go
@@ -70,9 +70,9 @@
 	HasAnnouncer(ctx context.Context, key string, count int) bool
 	// RegionSize returns how many daemons of the region are alive.
 	RegionSize() int
-	// FetchDocument returns present, updated with what is newer at the daemon with the given
+	// FetchDocument returns current, updated with what is newer at the daemon with the given
 	// address.
-	FetchDocument(ctx context.Context, address string, present config.Document) (config.Document, error)
+	FetchDocument(ctx context.Context, address string, current config.Document) (config.Document, error)
 	// Announce announces the current position to the members of the region that are assigned to
 	// this daemon, one of the count selected for a key. It may block.
 	Announce(ctx context.Context, key string, count int)
@@ -222,15 +222,15 @@
 	f.observeRevision(document.Revision)
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	present := f.document.Load()
-	if present != nil {
-		newest, newer := present.MergeNewest(document)
-		if !newest.Includes(*present) || source == sourcePlatform && !document.Includes(*present) {
-			f.reportLostChanges(*present, document, source)
+	current := f.document.Load()
+	if current != nil {
+		newest, newer := current.MergeNewest(document)
+		if !newest.Includes(*current) || source == sourcePlatform && !document.Includes(*current) {
+			f.reportLostChanges(*current, document, source)
 			return nil
 		}
 		if !newer {
-			f.logOlderDocument(present.Position(), document.Position(), source)
+			f.logOlderDocument(current.Position(), document.Position(), source)
 			return nil
 		}
 		document = newest
@@ -245,15 +245,15 @@
 	if f.canServe(document) {
 		f.configuredOnce.Do(func() { close(f.configured) })
 	}
-	f.logInForce(present, document, source)
+	f.logInForce(current, document, source)
 	f.requestAnnouncement(source == sourcePlatform)
 	return nil
 }
 
 // reportLostChanges logs a document that lacks changes in force, as after a store rollback, and
 // calls OnLostChanges so that they can be written again.
-func (f *Follower) reportLostChanges(present, offered config.Document, source string) {
-	f.log.Warn("document passed over that lacks changes in force", "revision", uint64(present.Revision), "stored", present.StoreVersion.String(),
+func (f *Follower) reportLostChanges(current, offered config.Document, source string) {
+	f.log.Warn("document passed over that lacks changes in force", "revision", uint64(current.Revision), "stored", current.StoreVersion.String(),
 		"offered_revision", uint64(offered.Revision), "offered_stored", offered.StoreVersion.String(), "source", source)
 	if f.options.OnLostChanges != nil {
 		f.options.OnLostChanges()
@@ -262,17 +262,17 @@
 
 // compile builds a snapshot of a document, based on the snapshot in force if there is one.
 func (f *Follower) compile(document config.Document) (*config.Snapshot, error) {
-	if present := f.options.Services.Snapshot(); present != nil {
-		return present.Next(document)
+	if current := f.options.Services.Snapshot(); current != nil {
+		return current.Next(document)
 	}
 	return config.NewSnapshot(document)
 }
 
 // logOlderDocument logs a document that is older than the current one. Repeated offers of the same
 // document are normal, as several daemons announce it, and are not logged.
-func (f *Follower) logOlderDocument(present, offered config.Position, source string) {
-	if present.Revision > offered.Revision && offered.Revision > 0 || present.Directory > offered.Directory && offered.Directory > 0 {
-		f.log.Info("older document passed over", "revision", uint64(present.Revision), "stored", present.StoreVersion.String(), "directory", present.Directory.String(),
+func (f *Follower) logOlderDocument(current, offered config.Position, source string) {
+	if current.Revision > offered.Revision && offered.Revision > 0 || current.Directory > offered.Directory && offered.Directory > 0 {
+		f.log.Info("older document passed over", "revision", uint64(current.Revision), "stored", current.StoreVersion.String(), "directory", current.Directory.String(),
 			"offered_revision", uint64(offered.Revision), "offered_stored", offered.StoreVersion.String(), "offered_directory", offered.Directory.String(), "source", source)
 	}
 }
@@ -298,8 +298,8 @@
 
 func (f *Follower) observeRevision(revision config.Revision) {
 	for {
-		present := f.highestRevision.Load()
-		if uint64(revision) <= present || f.highestRevision.CompareAndSwap(present, uint64(revision)) {
+		current := f.highestRevision.Load()
+		if uint64(revision) <= current || f.highestRevision.CompareAndSwap(current, uint64(revision)) {
 			return
 		}
 	}
@@ -345,8 +345,8 @@
 }
 
 func (f *Follower) fetch(ctx context.Context, member membership.Member) {
-	present := f.Document()
-	document, err := f.peers.FetchDocument(ctx, member.PeerAddress, present)
+	current := f.Document()
+	document, err := f.peers.FetchDocument(ctx, member.PeerAddress, current)
 	if err != nil {
 		f.log.Debug("newer configuration not fetched", "member", member.Name, "error", err)
 		return
--- a/dissemination/follower_test.go
+++ b/dissemination/follower_test.go
@@ -67,13 +67,13 @@
 	return "script"
 }
 
-func (s *scriptedSource) Watch(ctx context.Context, present config.Document, wait time.Duration) (config.Document, error) {
+func (s *scriptedSource) Watch(ctx context.Context, current config.Document, wait time.Duration) (config.Document, error) {
 	s.watches.Add(1)
 	select {
 	case document := <-s.declared:
 		return document, nil
 	case <-time.After(wait):
-		return present, nil
+		return current, nil
 	case <-ctx.Done():
 		return config.Document{}, ctx.Err()
 	}
--- a/dissemination/retention.go
+++ b/dissemination/retention.go
@@ -13,12 +13,12 @@
 	if f.options.ObserveEra != nil {
 		f.options.ObserveEra(document.Position().Era())
 	}
-	present := f.options.Services.Snapshot()
-	if present == nil || !f.retention.Observe(time.Now(), present.Document, document) {
+	current := f.options.Services.Snapshot()
+	if current == nil || !f.retention.Observe(time.Now(), current.Document, document) {
 		return
 	}
 	backends, zones, rollouts := f.retention.Counts()
-	f.log.Warn("the store came back older, what was known last is kept for a while", "era", document.Position().Era(), "era_before", present.Document.Position().Era(),
+	f.log.Warn("the store came back older, what was known last is kept for a while", "era", document.Position().Era(), "era_before", current.Document.Position().Era(),
 		"backends", backends, "zones", zones, "rollouts", rollouts)
 	select {
 	case f.retentionChanged <- struct{}{}:
--- a/dissemination/source.go
+++ b/dissemination/source.go
@@ -23,9 +23,9 @@
 	// Read returns the newest version; the other parts of the document are empty. The error is
 	// errors.NotFound if nothing was declared yet.
 	Read(ctx context.Context) (config.Document, error)
-	// Watch blocks until there is something newer than present, or until wait has passed; it then
-	// returns present.
-	Watch(ctx context.Context, present config.Document, wait time.Duration) (config.Document, error)
+	// Watch blocks until there is something newer than current, or until wait has passed; it then
+	// returns current.
+	Watch(ctx context.Context, current config.Document, wait time.Duration) (config.Document, error)
 }
 
 // maxWatchDuration is the maximum duration of one watch, which counts as one call to the store.
@@ -95,7 +95,7 @@
 }
 
 // Watch implements Source.
-func (h *HeadSource) Watch(ctx context.Context, present config.Document, wait time.Duration) (config.Document, error) {
+func (h *HeadSource) Watch(ctx context.Context, current config.Document, wait time.Duration) (config.Document, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+h.timeout)
 	defer cancel()
 	object, err := h.store.Watch(ctx, config.HeadKey, h.version, wait)
@@ -103,7 +103,7 @@
 		return config.Document{}, nil // the object does not exist
 	}
 	if errors.Is(err, objectstore.ErrNotFound) {
-		return present, nil
+		return current, nil
 	}
 	if err != nil {
 		h.version = 0 // the store may be restored from an older backup: the next watch returns its version
--- a/dissemination/watch.go
+++ b/dissemination/watch.go
@@ -57,15 +57,15 @@
 	if f.options.Watchers > 0 {
 		go f.cancelWhenNotWatching(ctx, cancel)
 	}
-	present := f.Document()
-	document, err := source.Watch(ctx, present, duration)
+	current := f.Document()
+	document, err := source.Watch(ctx, current, duration)
 	if err != nil && !f.shouldWatch() {
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	if document.Position() == present.Position() {
+	if document.Position() == current.Position() {
 		return nil // unchanged; other daemons may have delivered changes meanwhile
 	}
 	return f.Offer(document, sourcePlatform)
--- a/peer/call.go
+++ b/peer/call.go
@@ -50,19 +50,19 @@
 	return revision, err
 }
 
-// FetchDocument fetches the changes that a daemon has and present lacks, and returns present with
-// these changes applied. If the daemon has no configuration, present is returned unchanged.
-func (n *Node) FetchDocument(ctx context.Context, address string, present config.Document) (config.Document, error) {
+// FetchDocument fetches the changes that a daemon has and current lacks, and returns current with
+// these changes applied. If the daemon has no configuration, current is returned unchanged.
+func (n *Node) FetchDocument(ctx context.Context, address string, current config.Document) (config.Document, error) {
 	var document config.Document
 	err := n.call(ctx, purposeChanges, address, func(ctx context.Context, client peerpb.DRPCPeerClient) error {
 		reply, err := client.Changes(ctx, &peerpb.ChangesRequest{
-			After: uint64(present.Revision), StoredAfter: uint64(present.StoreVersion), DirectoryAfter: uint64(present.Directory.Revision),
-			EvacuationsAfter: uint64(present.Evacuations.Revision), RolloutsAfter: uint64(present.Rollouts.Revision),
+			After: uint64(current.Revision), StoredAfter: uint64(current.StoreVersion), DirectoryAfter: uint64(current.Directory.Revision),
+			EvacuationsAfter: uint64(current.Evacuations.Revision), RolloutsAfter: uint64(current.Rollouts.Revision),
 		})
 		if err != nil {
 			return err
 		}
-		document, err = applyReply(present, reply)
+		document, err = applyReply(current, reply)
 		return err
 	})
 	return document, err
--- a/peer/changes.go
+++ b/peer/changes.go
@@ -68,63 +68,63 @@
 }
 
 // applyReply applies the changes in a reply to a document. Parts that are not newer are ignored.
-func applyReply(present config.Document, reply *peerpb.ChangesReply) (config.Document, error) {
-	next, err := applyConfiguration(present, reply)
+func applyReply(current config.Document, reply *peerpb.ChangesReply) (config.Document, error) {
+	next, err := applyConfiguration(current, reply)
 	if err != nil {
 		return config.Document{}, err
 	}
-	if evacuations := reply.Evacuations; objectstore.Version(evacuations.GetRevision()) > present.Evacuations.Revision {
+	if evacuations := reply.Evacuations; objectstore.Version(evacuations.GetRevision()) > current.Evacuations.Revision {
 		next.Evacuations = config.Evacuations{Revision: objectstore.Version(evacuations.Revision), Zones: evacuations.Zones}
 	}
-	if next.Rollouts, err = applyRollouts(present.Rollouts, reply); err != nil {
+	if next.Rollouts, err = applyRollouts(current.Rollouts, reply); err != nil {
 		return config.Document{}, err
 	}
-	next.Directory, err = applyDirectory(present.Directory, reply)
+	next.Directory, err = applyDirectory(current.Directory, reply)
 	return next, err
 }
 
-func applyRollouts(present config.Rollouts, reply *peerpb.ChangesReply) (config.Rollouts, error) {
+func applyRollouts(current config.Rollouts, reply *peerpb.ChangesReply) (config.Rollouts, error) {
 	if len(reply.Rollouts) == 0 {
-		return present, nil
+		return current, nil
 	}
 	var rollouts config.Rollouts
 	if err := unmarshalCompressed(reply.Rollouts, &rollouts); err != nil {
 		return config.Rollouts{}, errors.Annotate(err, "decoding rollouts")
 	}
-	if rollouts.Revision <= present.Revision {
-		return present, nil
+	if rollouts.Revision <= current.Revision {
+		return current, nil
 	}
 	return rollouts, nil
 }
 
-func applyDirectory(present config.Directory, reply *peerpb.ChangesReply) (config.Directory, error) {
+func applyDirectory(current config.Directory, reply *peerpb.ChangesReply) (config.Directory, error) {
 	switch {
 	case len(reply.DirectoryChange) > 0:
 		var change config.DirectoryChange
 		if err := unmarshalCompressed(reply.DirectoryChange, &change); err != nil {
 			return config.Directory{}, errors.Annotate(err, "decoding the directory change")
 		}
-		next, _, err := present.ApplyChange(change)
+		next, _, err := current.ApplyChange(change)
 		return next, err
 	case len(reply.Directory) > 0:
 		var directory config.Directory
 		err := unmarshalCompressed(reply.Directory, &directory)
 		return directory, errors.Annotate(err, "decoding the directory")
 	}
-	return present, nil
+	return current, nil
 }
 
-func applyConfiguration(present config.Document, reply *peerpb.ChangesReply) (config.Document, error) {
+func applyConfiguration(current config.Document, reply *peerpb.ChangesReply) (config.Document, error) {
 	offered := config.Position{Revision: config.Revision(reply.Revision), StoreVersion: objectstore.Version(reply.Stored)}
-	if !present.Position().BehindInConfiguration(offered) {
-		return present, nil
+	if !current.Position().BehindInConfiguration(offered) {
+		return current, nil
 	}
 	if len(reply.Document) > 0 {
 		var document config.Document
 		if err := unmarshalCompressed(reply.Document, &document); err != nil {
 			return config.Document{}, errors.Annotate(err, "decoding the document")
 		}
-		document.Directory, document.Evacuations, document.Rollouts = present.Directory, present.Evacuations, present.Rollouts
+		document.Directory, document.Evacuations, document.Rollouts = current.Directory, current.Evacuations, current.Rollouts
 		return document, nil
 	}
 	changes := make([]config.Change, len(reply.Changes))
@@ -133,7 +133,7 @@
 			return config.Document{}, errors.Annotate(err, "decoding a configuration change")
 		}
 	}
-	next, err := present.ApplyChanges(changes)
+	next, err := current.ApplyChanges(changes)
 	next.StoreVersion = offered.StoreVersion
 	return next, err
 }
