--- a/backend/conn.go
+++ b/backend/conn.go
@@ -83,7 +83,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.keeps = false
-	return framing.CheckAnswer(c.answer)
+	return framing.CheckResponse(c.answer)
 }
 
 func (c *countedConn) begunWrites() int64 {
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -80,7 +80,7 @@
 	machines  objectstore.Machines
 	client    *objectstore.Client // nil when the platform was given
 	logWriter *logging.Writer
-	logBound  *logging.Bound
+	logBound  *logging.Limiter
 	logLevel  slog.LevelVar
 	// logDecisions says whether each decision and answered request gets a line.
 	logDecisions atomic.Bool
@@ -154,9 +154,9 @@
 func (d *Daemon) startLogging(target io.Writer) {
 	chosen := d.settings.Log
 	d.logWriter = logging.NewWriter(target)
-	d.logBound = logging.NewBound(time.Now(), chosen.LinesPerSecond, chosen.BytesPerSecond)
-	d.logger = logging.New(d.logWriter, logging.Options{Level: &d.logLevel, JSON: chosen.Format == "json", Daemon: d.settings.Name, Bound: d.logBound})
-	d.log = logging.Part(d.logger, "daemon")
+	d.logBound = logging.NewLimiter(time.Now(), chosen.LinesPerSecond, chosen.BytesPerSecond)
+	d.logger = logging.New(d.logWriter, logging.Options{Level: &d.logLevel, JSON: chosen.Format == "json", Daemon: d.settings.Name, Limiter: d.logBound})
+	d.log = logging.Component(d.logger, "daemon")
 	d.applyLogSettings(chosen)
 }
 
@@ -164,7 +164,7 @@
 	d.store, d.machines = options.Store, options.Machines
 	if d.store == nil {
 		d.client = objectstore.NewClient(d.meter.For("store"), d.settings.Platform.Address, d.settings.Name)
-		d.client.SetLogger(logging.Part(d.logger, "store"))
+		d.client.SetLogger(logging.Component(d.logger, "store"))
 		d.store, d.machines = d.client, d.client
 	}
 	d.recorder = options.Rollouts
@@ -350,7 +350,7 @@
 	protocols.SetUnencryptedHTTP2(true)
 	return &http.Server{
 		Handler: handler, Protocols: protocols, ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes,
-		ErrorLog: slog.NewLogLogger(logging.Part(d.logger, "http").Handler(), slog.LevelDebug),
+		ErrorLog: slog.NewLogLogger(logging.Component(d.logger, "http").Handler(), slog.LevelDebug),
 	}
 }
 
@@ -364,11 +364,11 @@
 	chosen := d.settings.Pipelining
 	d.callers = pipelining.New(pipelining.Options{
 		Handler: d.handler, Repeatable: d.handler.Repeatable, Refuse: d.handler.RefuseAmbiguous, Closing: d.stopping.Load, IDHeader: d.dialect.RequestID, Metrics: scope,
-		PerConnection: max(chosen.Requests, 0), Total: chosen.Total, RequestBytes: chosen.RequestBytes, AnswerBytes: chosen.AnswerBytes,
+		MaxPerConnection: max(chosen.Requests, 0), MaxTotal: chosen.Total, MaxReadAheadBytes: chosen.RequestBytes, MaxBufferedBodyBytes: chosen.AnswerBytes,
 	})
 	server := d.newServer(d.callers)
 	server.ConnContext = d.callers.ConnContext
-	d.serve(server, d.callers.Listener(listener))
+	d.serve(server, d.callers.WrapListener(listener))
 }
 
 func (d *Daemon) serve(server *http.Server, listener net.Listener) {
--- a/daemon/leftout.go
+++ b/daemon/leftout.go
@@ -11,7 +11,7 @@
 // reportLeftOut logs and counts the lines that the bound of the log left out, until
 // ctx ends.
 func (d *Daemon) reportLeftOut(ctx context.Context, scope tally.Scope) {
-	logging.ReportLeftOut(ctx, d.logger, d.logBound, func(kind string, lines int) {
+	logging.ReportDropped(ctx, d.logger, d.logBound, func(kind string, lines int) {
 		scope.Tagged(map[string]string{"kind": kind}).Counter("log_lines_left_out").Inc(int64(lines))
 	})
 }
--- a/dissemination/follower.go
+++ b/dissemination/follower.go
@@ -150,7 +150,7 @@
 		options.MaxBackoff = defaultMaxBackoff
 	}
 	return &Follower{
-		options: options, log: logging.Part(options.Log, "configuration"), newerPeers: make(chan newerPeer, newerPeerQueueSize),
+		options: options, log: logging.Component(options.Log, "configuration"), newerPeers: make(chan newerPeer, newerPeerQueueSize),
 		announceRequests: make(chan struct{}, 1), relayRequests: make(chan struct{}, 1), configured: make(chan struct{}), retentionChanged: make(chan struct{}, 1),
 		failover: newFailoverWatch(len(options.Sources)),
 	}
--- a/peer/node.go
+++ b/peer/node.go
@@ -146,7 +146,7 @@
 		options.Limits = noRecords[backend.Key, backendlimit.Record]{}
 	}
 	n := &Node{
-		options: options, log: logging.Part(options.Log, "membership"), gossipRequests: make(chan struct{}, 1),
+		options: options, log: logging.Component(options.Log, "membership"), gossipRequests: make(chan struct{}, 1),
 		state: membership.NewState(options.Self, options.Random), drains: newGossip(options.Drains, drainKey, maxDrainsPerMessage, maxQueuedDrains),
 		crashingRequests: newGossip(options.Quarantine, quarantineKey, maxCrashingRequestsPerMessage, maxQueuedCrashingRequests),
 		limits:           newGossip(options.Limits, limitKey, maxLimitsPerMessage, maxQueuedLimits),
