--- a/pipelining/answer.go
+++ b/pipelining/answer.go
@@ -7,121 +7,123 @@
 	"sync"
 )
 
-// answer is the answer to a request that was started early. Its handler writes to it;
-// until its turn comes, it is kept. It implements http.ResponseWriter.
-type answer struct {
-	limit int // bytes of the body that are kept; the handler waits beyond
+// bufferedResponse is the response to a request that was started early. It buffers what the
+// handler writes until it is attached to the caller's http.ResponseWriter. It implements
+// http.ResponseWriter.
+type bufferedResponse struct {
+	maxBody int // bytes of the body that are buffered; further writes block
 
-	mutex   sync.Mutex
-	room    sync.Cond   // tells that the turn has come, or that the caller left
-	header  http.Header // the handler's, who may add trailers after the body
-	written http.Header // as it was when the handler wrote it
-	status  int         // 0: no header written yet
-	body    []byte
-	target  http.ResponseWriter // nil: its turn has not come
-	gone    bool                // the caller left
-	flushed bool                // the handler wants what it wrote to be sent at once
+	mutex           sync.Mutex
+	unblocked       sync.Cond   // signals that the response was attached or aborted
+	header          http.Header // the handler's, which may add trailers after the body
+	committedHeader http.Header // copy of header from when the handler committed it
+	status          int         // 0: no header written yet
+	body            []byte
+	target          http.ResponseWriter // nil: not attached yet
+	aborted         bool                // the response is no longer needed
+	flushRequested  bool                // the handler flushed before the response was attached
 }
 
-func newAnswer(limit int) *answer {
-	a := &answer{limit: limit, header: make(http.Header)}
-	a.room.L = &a.mutex
-	return a
+func newBufferedResponse(maxBody int) *bufferedResponse {
+	r := &bufferedResponse{maxBody: maxBody, header: make(http.Header)}
+	r.unblocked.L = &r.mutex
+	return r
 }
 
 // Header implements http.ResponseWriter.
-func (a *answer) Header() http.Header {
-	return a.header
+func (r *bufferedResponse) Header() http.Header {
+	return r.header
 }
 
-// WriteHeader implements http.ResponseWriter. Provisional answers are left out: they
-// are of no use to a caller that waits for another answer.
-func (a *answer) WriteHeader(status int) {
-	a.mutex.Lock()
-	defer a.mutex.Unlock()
+// WriteHeader implements http.ResponseWriter. Interim responses (1xx) are dropped: they are of
+// no use to a caller that still waits for the response to an earlier request.
+func (r *bufferedResponse) WriteHeader(status int) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
 	if status >= http.StatusOK {
-		a.writeHeader(status)
+		r.writeHeader(status)
 	}
 }
 
-func (a *answer) writeHeader(status int) {
-	if a.status != 0 {
+func (r *bufferedResponse) writeHeader(status int) {
+	if r.status != 0 {
 		return
 	}
-	a.status, a.written = status, a.header.Clone()
-	if a.target != nil {
-		a.sendHeader()
+	r.status, r.committedHeader = status, r.header.Clone()
+	if r.target != nil {
+		r.sendHeader()
 	}
 }
 
-func (a *answer) sendHeader() {
-	maps.Copy(a.target.Header(), a.written)
-	a.target.WriteHeader(a.status)
+func (r *bufferedResponse) sendHeader() {
+	maps.Copy(r.target.Header(), r.committedHeader)
+	r.target.WriteHeader(r.status)
 }
 
-// Write implements http.ResponseWriter. It blocks while as much as may be kept waits
-// for its turn.
-func (a *answer) Write(piece []byte) (int, error) {
-	a.mutex.Lock()
-	defer a.mutex.Unlock()
-	a.writeHeader(http.StatusOK)
-	for a.target == nil && !a.gone && len(a.body) > 0 && len(a.body)+len(piece) > a.limit {
-		a.room.Wait()
+// Write implements http.ResponseWriter. It blocks while the buffer is full and the response is
+// not attached.
+func (r *bufferedResponse) Write(data []byte) (int, error) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.writeHeader(http.StatusOK)
+	for r.target == nil && !r.aborted && len(r.body) > 0 && len(r.body)+len(data) > r.maxBody {
+		r.unblocked.Wait()
 	}
-	if a.gone {
+	if r.aborted {
 		return 0, context.Canceled
 	}
-	if a.target != nil {
-		return a.target.Write(piece)
+	if r.target != nil {
+		return r.target.Write(data)
 	}
-	a.body = append(a.body, piece...)
-	return len(piece), nil
+	r.body = append(r.body, data...)
+	return len(data), nil
 }
 
-// FlushError lets http.ResponseController flush. Before its turn there is nothing to.
-func (a *answer) FlushError() error {
-	a.mutex.Lock()
-	defer a.mutex.Unlock()
-	if a.target == nil {
-		a.flushed = true
+// FlushError implements flushing for http.ResponseController. Before the response is attached,
+// it only records that a flush was requested.
+func (r *bufferedResponse) FlushError() error {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	if r.target == nil {
+		r.flushRequested = true
 		return nil
 	}
-	return http.NewResponseController(a.target).Flush()
+	return http.NewResponseController(r.target).Flush()
 }
 
-// turn sends what was kept to the caller; what the handler writes from now on goes
-// there directly.
-func (a *answer) turn(target http.ResponseWriter) error {
-	a.mutex.Lock()
-	defer a.mutex.Unlock()
-	a.target = target
-	a.room.Broadcast()
-	if a.status == 0 {
+// attach sends what was buffered to target. Later writes of the handler go to target directly.
+func (r *bufferedResponse) attach(target http.ResponseWriter) error {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.target = target
+	r.unblocked.Broadcast()
+	if r.status == 0 {
 		return nil
 	}
-	a.sendHeader()
-	if len(a.body) == 0 {
+	r.sendHeader()
+	if len(r.body) == 0 {
 		return nil
 	}
-	_, err := target.Write(a.body)
-	a.body = nil
-	if err != nil || !a.flushed {
+	_, err := target.Write(r.body)
+	r.body = nil
+	if err != nil || !r.flushRequested {
 		return err
 	}
 	return http.NewResponseController(target).Flush()
 }
 
-// complete adds what the header got after the body: trailers. The handler has returned.
-func (a *answer) complete() {
-	a.mutex.Lock()
-	defer a.mutex.Unlock()
-	maps.Copy(a.target.Header(), a.header)
+// copyTrailers copies the headers that were set after the body. It is called after the handler
+// has returned.
+func (r *bufferedResponse) copyTrailers() {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	maps.Copy(r.target.Header(), r.header)
 }
 
-// abandon lets a handler that waits for room go: the caller left.
-func (a *answer) abandon() {
-	a.mutex.Lock()
-	defer a.mutex.Unlock()
-	a.gone = true
-	a.room.Broadcast()
+// abort makes blocked and later writes of the handler fail.
+func (r *bufferedResponse) abort() {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.aborted = true
+	r.unblocked.Broadcast()
 }
--- a/pipelining/bench_test.go
+++ b/pipelining/bench_test.go
@@ -12,8 +12,8 @@
 	"github.com/tuliphall/tuliphall/pipelining"
 )
 
-// BenchmarkOneByOne is what a request costs over loopback whose caller waits for each
-// answer, by net/http alone and read ahead.
+// BenchmarkOneByOne measures a request over loopback whose caller waits for each response
+// before it sends the next request, with net/http alone and with reading ahead.
 func BenchmarkOneByOne(b *testing.B) {
 	handler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "answer") })
 	b.Run("alone", func(b *testing.B) {
@@ -36,14 +36,14 @@
 	caller, err := net.Dial("tcp", listener.Addr().String())
 	require.NoError(b, err)
 	defer caller.Close()
-	answers := bufio.NewReader(caller)
-	request := []byte(get("/prices/today"))
+	responses := bufio.NewReader(caller)
+	request := []byte(getRequest("/prices/today"))
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := caller.Write(request); err != nil {
 			b.Fatal(err)
 		}
-		response, err := http.ReadResponse(answers, nil)
+		response, err := http.ReadResponse(responses, nil)
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/pipelining/bounds_test.go
+++ b/pipelining/bounds_test.go
@@ -15,15 +15,15 @@
 	"github.com/tuliphall/tuliphall/pipelining"
 )
 
-// TestLongAnswerWaits: no more of an answer is kept than allowed; the rest is written
-// when its turn comes.
-func TestLongAnswerWaits(t *testing.T) {
+// TestLongResponseBlocks guards against buffering more of a response than allowed: the handler
+// blocks, and the rest is written once the response is attached.
+func TestLongResponseBlocks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		long := strings.Repeat("x", 1<<20)
 		var written int
-		s := newSite(t, func(w http.ResponseWriter, r *http.Request) {
+		s := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path == "/0" {
-				time.Sleep(work)
+				time.Sleep(handlerTime)
 				return
 			}
 			for piece := range len(long) / 1024 {
@@ -33,18 +33,19 @@
 		}, nil)
 		caller := s.listener.dial()
 		defer caller.Close()
-		send(caller, gets(2))
-		time.Sleep(work / 2)
+		sendAsync(caller, getRequests(2))
+		time.Sleep(handlerTime / 2)
 		synctest.Wait()
 		require.Equal(t, 32<<10, written)
-		answers := bufio.NewReader(caller)
-		read(t, answers)
-		_, body := read(t, answers)
+		responses := bufio.NewReader(caller)
+		readResponse(t, responses)
+		_, body := readResponse(t, responses)
 		require.Equal(t, long, body)
 	})
 }
 
-// TestBounds: requests beyond the bounds wait for their turn.
+// TestBounds guards against starting more requests early than MaxPerConnection or MaxTotal
+// allow: further requests wait.
 func TestBounds(t *testing.T) {
 	for name, change := range map[string]func(*pipelining.Options){
 		"of a connection": func(o *pipelining.Options) { o.MaxPerConnection = 2 },
@@ -52,54 +53,55 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newSite(t, echo, change)
+				s := newTestServer(t, echo, change)
 				caller := s.listener.dial()
 				defer caller.Close()
-				send(caller, gets(6))
-				time.Sleep(work / 2)
-				require.Len(t, s.called(), 3)
-				answers := bufio.NewReader(caller)
+				sendAsync(caller, getRequests(6))
+				time.Sleep(handlerTime / 2)
+				require.Len(t, s.handled(), 3)
+				responses := bufio.NewReader(caller)
 				for range 6 {
-					read(t, answers)
+					readResponse(t, responses)
 				}
-				require.Equal(t, 2*work, time.Since(s.begun))
+				require.Equal(t, 2*handlerTime, time.Since(s.begin))
 			})
 		})
 	}
 }
 
-// TestReadingAheadIsBounded: a caller that sends without end is read no further than
-// allowed, and served all the same.
+// TestReadingAheadIsBounded guards against reading ahead without limit: of a caller that sends
+// 1,000 requests at once, only the allowed bytes are read ahead, and all requests are served.
 func TestReadingAheadIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, echo, func(o *pipelining.Options) { o.MaxPerConnection, o.MaxReadAheadBytes = 1, 1024 })
+		s := newTestServer(t, echo, func(o *pipelining.Options) { o.MaxPerConnection, o.MaxReadAheadBytes = 1, 1024 })
 		caller := s.listener.dial()
 		defer caller.Close()
 		const count = 1000
 		var sent int
 		go func() {
 			for number := range count {
-				n, _ := io.WriteString(caller, get(fmt.Sprintf("/%d", number)))
+				n, _ := io.WriteString(caller, getRequest(fmt.Sprintf("/%d", number)))
 				sent += n
 			}
 		}()
-		time.Sleep(work / 2)
+		time.Sleep(handlerTime / 2)
 		synctest.Wait()
 		require.Less(t, sent, 8<<10)
-		answers := bufio.NewReader(caller)
+		responses := bufio.NewReader(caller)
 		for number := range count {
-			_, body := read(t, answers)
+			_, body := readResponse(t, responses)
 			require.Equal(t, fmt.Sprintf("GET /%d ", number), body)
 		}
 	})
 }
 
-// TestStreams: the answer whose turn it is comes as it is written.
+// TestStreams guards against buffering the response that is being sent: flushed bytes and
+// trailers reach the caller at once, for a request that was started early too.
 func TestStreams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, func(w http.ResponseWriter, r *http.Request) {
+		s := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
 			for range 3 {
-				time.Sleep(work)
+				time.Sleep(handlerTime)
 				io.WriteString(w, "x")
 				http.NewResponseController(w).Flush()
 			}
@@ -107,28 +109,29 @@
 		}, nil)
 		caller := s.listener.dial()
 		defer caller.Close()
-		send(caller, gets(2))
-		answers := bufio.NewReader(caller)
+		sendAsync(caller, getRequests(2))
+		responses := bufio.NewReader(caller)
 		for range 2 {
-			response, err := http.ReadResponse(answers, nil)
+			response, err := http.ReadResponse(responses, nil)
 			require.NoError(t, err)
-			one := make([]byte, 1)
+			buffer := make([]byte, 1)
 			for range 3 {
-				_, err := io.ReadFull(response.Body, one)
+				_, err := io.ReadFull(response.Body, buffer)
 				require.NoError(t, err)
 			}
 			_, err = io.ReadAll(response.Body)
 			require.NoError(t, err)
 			require.Equal(t, "3", response.Trailer.Get("Sum"))
 		}
-		require.Equal(t, 3*work, time.Since(s.begun))
+		require.Equal(t, 3*handlerTime, time.Since(s.begin))
 	})
 }
 
-// TestHandlerPanics: the daemon outlives it, as it does with net/http alone.
+// TestHandlerPanics guards against a daemon crash: as with net/http alone, a panic of the
+// handler of a request that was started early closes only its connection.
 func TestHandlerPanics(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, func(w http.ResponseWriter, r *http.Request) {
+		s := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path == "/1" {
 				panic("fault")
 			}
@@ -137,13 +140,13 @@
 		s.server.ErrorLog = nil
 		caller := s.listener.dial()
 		defer caller.Close()
-		send(caller, gets(2))
+		sendAsync(caller, getRequests(2))
 		text, err := io.ReadAll(caller)
 		require.NoError(t, err)
 		require.Contains(t, string(text), "GET /0 ")
 		again := s.listener.dial()
 		defer again.Close()
-		send(again, get("/2"))
-		read(t, bufio.NewReader(again))
+		sendAsync(again, getRequest("/2"))
+		readResponse(t, bufio.NewReader(again))
 	})
 }
--- a/pipelining/conn.go
+++ b/pipelining/conn.go
@@ -12,52 +12,52 @@
 	"github.com/tuliphall/tuliphall/framing"
 )
 
-// conn is a caller's connection as net/http reads it. Each Read gives net/http bytes up
-// to the end of the next head at most, so that while a request without a body is being
-// answered, what has been read beyond it begins with the next request.
+// conn is a caller's connection as net/http reads it. Each Read returns bytes up to the end
+// of the next head at most, so that while a request without a body is being served, the
+// bytes that were read beyond it begin with the next request.
 //
-// net/http reads one byte in the background while a handler runs, to learn that the
-// caller leaves. Such a read does not return when there are bytes: they are kept, and
-// requests in them started, until net/http gives the read up to go on with the next
-// request. Should net/http read in another way there, requests are started later or not
-// at all, and nothing else changes.
+// While a handler runs, net/http reads one byte in the background to detect that the caller
+// closes the connection. Such a Read does not return when bytes arrive: conn buffers them and
+// starts the requests in them until net/http aborts the read to continue with the next
+// request. If a version of net/http read differently, requests would be started later or not
+// at all, and nothing else would change.
 type conn struct {
 	net.Conn
 	server *Server
 
-	mutex    sync.Mutex
-	wakeup   sync.Cond // tells of a new read deadline
-	aborted  bool      // the read deadline has passed
-	scanner  headScanner
-	preface  int  // how many bytes were as at the beginning of an HTTP/2 connection
-	plain    bool // another protocol than HTTP/1.1 is spoken, or may soon be
-	atHead   bool // the last byte that net/http got ended a head
-	head     head // of the request that net/http comes to next
-	pending  []byte
-	ahead    bool     // what is behind the present request may be started
-	finished bool     // its handler has returned
-	started  []*early // in order; the first ones in pending
-	covered  int      // bytes of pending that are those of started
-	last     bool     // nothing more is to be started
-	left     bool     // the caller left, or the connection was closed
-	cancel   context.CancelFunc
-	earlyCtx context.Context // of requests that were started; nil: none was
+	mutex           sync.Mutex
+	deadlineChanged sync.Cond // signals a new read deadline
+	aborted         bool      // the read deadline has passed
+	scanner         headScanner
+	prefaceMatched  int             // bytes of http2Preface that the connection began with; -1: it is HTTP/1
+	passThrough     bool            // another protocol than HTTP/1.1 is spoken, or may be soon
+	afterHead       bool            // the last byte that net/http read ended a head
+	head            headRecorder    // of the request that net/http comes to next
+	readAhead       []byte          // bytes that net/http has not read yet
+	mayStart        bool            // requests after the one being served may be started
+	handlerReturned bool            // the handler of the request being served has returned
+	started         []*earlyRequest // in order; their bytes come first in readAhead
+	startedBytes    int             // bytes in readAhead of the requests in started
+	lastStarted     bool            // no more requests may be started
+	closed          bool            // by either side
+	cancel          context.CancelFunc
+	earlyCtx        context.Context // of the requests started early; nil: there were none
 }
 
-func newConn(under net.Conn, server *Server) *conn {
-	c := &conn{Conn: under, server: server}
-	c.wakeup.L = &c.mutex
+func newConn(inner net.Conn, server *Server) *conn {
+	c := &conn{Conn: inner, server: server}
+	c.deadlineChanged.L = &c.mutex
 	return c
 }
 
 // Read implements net.Conn. It is called by one goroutine at a time.
 func (c *conn) Read(target []byte) (int, error) {
 	c.mutex.Lock()
-	if len(target) == 1 && c.atHead && !c.plain {
-		return c.readAhead(target)
+	if len(target) == 1 && c.afterHead && !c.passThrough {
+		return c.backgroundRead(target)
 	}
-	c.ahead = false
-	n := c.takePending(target)
+	c.mayStart = false
+	n := c.takeReadAhead(target)
 	c.mutex.Unlock()
 	if n > 0 {
 		return n, nil
@@ -66,217 +66,221 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if err != nil {
-		c.leave(err)
+		c.handleReadError(err)
 	}
-	return c.limit(target[:n]), err
+	return c.splitAfterHead(target[:n]), err
 }
 
-// takePending gives out bytes that were read ahead, and returns how many.
-func (c *conn) takePending(target []byte) int {
-	if len(c.pending) == 0 {
+// takeReadAhead moves bytes that were read ahead to target, up to the end of a head at most,
+// and returns how many.
+func (c *conn) takeReadAhead(target []byte) int {
+	if len(c.readAhead) == 0 {
 		return 0
 	}
-	n := copy(target, c.pending)
+	n := copy(target, c.readAhead)
 	if end := c.scanner.end(target[:n]); end >= 0 {
-		n, c.atHead = end, true
+		n, c.afterHead = end, true
 	} else {
-		c.atHead = false
+		c.afterHead = false
 	}
-	c.keep(target[:n])
-	c.pending = c.pending[:copy(c.pending, c.pending[n:])]
-	c.covered = max(c.covered-n, 0)
+	c.recordHead(target[:n])
+	c.readAhead = c.readAhead[:copy(c.readAhead, c.readAhead[n:])]
+	c.startedBytes = max(c.startedBytes-n, 0)
 	return n
 }
 
-// limit returns how much of what was read net/http gets now; the rest is kept.
-func (c *conn) limit(piece []byte) int {
-	c.sniff(piece)
-	end := c.scanner.end(piece)
-	c.atHead = end >= 0
+// splitAfterHead returns how many of the bytes just read net/http gets now, which is up to the
+// end of a head at most. It adds the rest to readAhead.
+func (c *conn) splitAfterHead(data []byte) int {
+	c.detectHTTP2(data)
+	end := c.scanner.end(data)
+	c.afterHead = end >= 0
 	if end < 0 {
-		end = len(piece)
+		end = len(data)
 	}
-	c.keep(piece[:end])
-	c.pending = append(c.pending, piece[end:]...)
+	c.recordHead(data[:end])
+	c.readAhead = append(c.readAhead, data[end:]...)
 	return end
 }
 
-// http2Preface begins a connection on which HTTP/2 is spoken, and no request.
+// http2Preface is how an HTTP/2 connection begins, and no HTTP/1 request does.
 const http2Preface = "PRI "
 
-// sniff finds out whether HTTP/2 is spoken. Every byte of a connection's beginning
-// passes here.
-func (c *conn) sniff(piece []byte) {
-	for _, char := range piece {
-		if c.preface < 0 || c.preface == len(http2Preface) {
+// detectHTTP2 compares the beginning of the connection with http2Preface. Every byte at the
+// beginning of the connection passes through it.
+func (c *conn) detectHTTP2(data []byte) {
+	for _, char := range data {
+		if c.prefaceMatched < 0 || c.prefaceMatched == len(http2Preface) {
 			return
 		}
-		if char != http2Preface[c.preface] {
-			c.preface = -1
+		if char != http2Preface[c.prefaceMatched] {
+			c.prefaceMatched = -1
 			return
 		}
-		c.preface++
-		c.plain = c.preface == len(http2Preface)
+		c.prefaceMatched++
+		c.passThrough = c.prefaceMatched == len(http2Preface)
 	}
 }
 
-// readAhead reads on while a request is being answered, and starts what may be. It
-// returns when net/http gives up the read, when the caller leaves, or with a byte of the
-// next request once the handler has returned. The mutex is held and is released.
-func (c *conn) readAhead(target []byte) (int, error) {
+// backgroundRead reads ahead while a request is being served, and starts the requests that may
+// be started. It returns when net/http aborts the read, when the connection ends, or with a
+// byte of the next request once the handler has returned. The mutex must be held; it is
+// released.
+func (c *conn) backgroundRead(target []byte) (int, error) {
 	defer c.mutex.Unlock()
-	c.finished = false // the read was begun for the next request
+	c.handlerReturned = false // the read was begun for the next request
 	for {
-		if c.finished && len(c.pending) > 0 {
-			return c.takePending(target), nil
+		if c.handlerReturned && len(c.readAhead) > 0 {
+			return c.takeReadAhead(target), nil
 		}
-		c.startMore()
-		if c.waitForRoom() {
+		c.startRequests()
+		if c.waitForSpace() {
 			return 0, os.ErrDeadlineExceeded
 		}
-		if err := c.readSome(target); err != nil {
-			c.leave(err)
+		if err := c.readMore(target); err != nil {
+			c.handleReadError(err)
 			return 0, err
 		}
 	}
 }
 
-// readSize is how much is read at once beyond the first byte: some requests' heads.
+// readSize is the least buffer space for a read beyond the first byte: it holds the heads of
+// several requests.
 const readSize = 2 << 10
 
-// readSome reads what the caller sends and adds it to what is pending. It blocks without
-// the mutex. A connection whose caller does not pipeline needs no memory for it: the
-// first byte is read into first.
-func (c *conn) readSome(first []byte) error {
-	length := len(c.pending)
+// readMore reads from the connection and adds the bytes to readAhead. It releases the mutex
+// while it blocks. If readAhead is empty, it reads one byte into first, so that a connection
+// whose caller does not pipeline needs no memory for a buffer.
+func (c *conn) readMore(first []byte) error {
+	length := len(c.readAhead)
 	into := first
 	if length > 0 {
-		c.pending = slices.Grow(c.pending, readSize)
-		into = c.pending[length:cap(c.pending)]
+		c.readAhead = slices.Grow(c.readAhead, readSize)
+		into = c.readAhead[length:cap(c.readAhead)]
 	}
 	c.mutex.Unlock()
 	n, err := c.Conn.Read(into)
 	c.mutex.Lock()
-	c.pending = append(c.pending, into[:n]...)
+	c.readAhead = append(c.readAhead, into[:n]...)
 	return err
 }
 
-// waitForRoom waits while as much is pending as may be, and says whether the read was
-// given up meanwhile.
-func (c *conn) waitForRoom() bool {
-	for len(c.pending) >= c.server.options.MaxReadAheadBytes && !c.aborted {
-		c.wakeup.Wait()
+// waitForSpace blocks while MaxReadAheadBytes are read ahead, and reports whether net/http
+// aborted the read.
+func (c *conn) waitForSpace() bool {
+	for len(c.readAhead) >= c.server.options.MaxReadAheadBytes && !c.aborted {
+		c.deadlineChanged.Wait()
 	}
 	return c.aborted
 }
 
 // SetReadDeadline implements net.Conn.
-func (c *conn) SetReadDeadline(at time.Time) error {
+func (c *conn) SetReadDeadline(deadline time.Time) error {
 	c.mutex.Lock()
-	c.aborted = !at.IsZero() && !time.Now().Before(at)
-	c.wakeup.Broadcast()
+	c.aborted = !deadline.IsZero() && !time.Now().Before(deadline)
+	c.deadlineChanged.Broadcast()
 	c.mutex.Unlock()
-	return c.Conn.SetReadDeadline(at)
+	return c.Conn.SetReadDeadline(deadline)
 }
 
 // Close implements net.Conn.
 func (c *conn) Close() error {
 	c.mutex.Lock()
-	c.end()
+	c.terminate()
 	c.mutex.Unlock()
 	return c.Conn.Close()
 }
 
-// leave ends the requests of a caller that has left. A read that was only given up
-// says nothing of the caller.
-func (c *conn) leave(err error) {
+// handleReadError cancels the caller's requests, unless the error is a timeout: net/http then
+// aborted the read, and the caller may still be connected.
+func (c *conn) handleReadError(err error) {
 	if timeout, ok := err.(net.Error); ok && timeout.Timeout() {
 		return
 	}
-	c.end()
+	c.terminate()
 }
 
-func (c *conn) end() {
-	c.left = true
-	c.discard()
+func (c *conn) terminate() {
+	c.closed = true
+	c.discardStarted()
 	if c.cancel != nil {
 		c.cancel()
 	}
 }
 
-// discard gives up the requests that were started and whose turn has not come.
-func (c *conn) discard() {
-	for _, one := range c.started {
-		one.abandon()
+// discardStarted aborts the requests that were started early and that net/http has not come to.
+func (c *conn) discardStarted() {
+	for _, early := range c.started {
+		early.abort()
 		c.server.release()
 	}
-	c.started, c.covered = nil, 0
+	c.started, c.startedBytes = nil, 0
 }
 
-// begin notes that net/http has come to a request, and returns it if it was started
-// already. The handler has not been called yet.
-func (c *conn) begin(r *http.Request) *early {
-	ahead := bodyless(r) && !r.Close && r.ProtoAtLeast(1, 1) && c.server.options.Repeatable(r)
+// begin is called when net/http has come to a request, before its handler. It returns the
+// request if it was started early; nil: it was not.
+func (c *conn) begin(r *http.Request) *earlyRequest {
+	mayStart := hasNoBody(r) && !r.Close && r.ProtoAtLeast(1, 1) && c.server.options.Repeatable(r)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.ahead, c.finished = ahead, false
-	c.plain = c.plain || r.Header.Get("Upgrade") != ""
-	var found *early
+	c.mayStart, c.handlerReturned = mayStart, false
+	c.passThrough = c.passThrough || r.Header.Get("Upgrade") != ""
+	var found *earlyRequest
 	if len(c.started) > 0 {
-		if c.started[0].same(r, c.server.options.IDHeader) {
+		if c.started[0].matches(r, c.server.options.IDHeader) {
 			found = c.started[0]
 			c.started = c.started[1:]
 			c.server.release()
 		} else {
-			c.discard()
+			c.discardStarted()
 		}
 	}
-	c.startMore()
+	c.startRequests()
 	return found
 }
 
-// finish notes that the handler has returned. What comes from now on may be sent by a
-// caller that has got the whole answer already: net/http comes to it at once.
+// finish is called when the handler has returned. Bytes that arrive from now on may be from a
+// caller that has already read the whole response: net/http comes to them at once.
 func (c *conn) finish() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.ahead, c.finished = false, true
+	c.mayStart, c.handlerReturned = false, true
 }
 
-// closeAfter says whether the connection can be closed after the request that is being
-// answered: none behind it has been started. If so, none will be.
+// closeAfter reports whether the connection can be closed after the request that is being
+// served, because none after it was started. If so, none will be.
 func (c *conn) closeAfter() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if len(c.started) > 0 {
 		return false
 	}
-	c.last = true
+	c.lastStarted = true
 	return true
 }
 
-// startMore starts the requests that are pending, up to the first that may not be.
-func (c *conn) startMore() {
-	for c.mayStartMore() {
+// startRequests starts the requests in readAhead, up to the first that may not be started.
+func (c *conn) startRequests() {
+	for c.mayStartNext() {
 		var scanner headScanner
-		rest := c.pending[c.covered:]
+		rest := c.readAhead[c.startedBytes:]
 		end := scanner.end(rest)
 		if end < 0 {
 			return
 		}
-		request := parse(rest[:end])
-		if request == nil || c.server.strict() && framing.CheckRequest(rest[:end]) != nil || !c.server.claim(request) {
+		request := parseHead(rest[:end])
+		if request == nil || c.server.checksHeads() && framing.CheckRequest(rest[:end]) != nil || !c.server.reserve(request) {
 			return
 		}
-		c.last = c.last || request.Close
+		c.lastStarted = c.lastStarted || request.Close
 		c.start(request)
-		c.covered += end
+		c.startedBytes += end
 	}
 }
 
-func (c *conn) mayStartMore() bool {
-	return c.ahead && c.atHead && !c.left && !c.last &&
-		len(c.pending) > c.covered && len(c.started) < c.server.options.MaxPerConnection
+func (c *conn) mayStartNext() bool {
+	return c.mayStart && c.afterHead && !c.closed && !c.lastStarted &&
+		len(c.readAhead) > c.startedBytes && len(c.started) < c.server.options.MaxPerConnection
 }
 
 func (c *conn) start(request *http.Request) {
@@ -285,7 +289,7 @@
 	}
 	ctx, cancel := context.WithCancel(c.earlyCtx)
 	request.RemoteAddr = c.RemoteAddr().String()
-	one := newEarly(request.WithContext(ctx), cancel, c.server.options)
-	c.started = append(c.started, one)
-	go one.run(c.server.options.Handler)
+	early := newEarlyRequest(request.WithContext(ctx), cancel, c.server.options)
+	c.started = append(c.started, early)
+	go early.run(c.server.options.Handler)
 }
--- a/pipelining/framing_test.go
+++ b/pipelining/framing_test.go
@@ -14,11 +14,11 @@
 	"github.com/tuliphall/tuliphall/pipelining"
 )
 
-// transcript is what a caller that sends these bytes and nothing more gets, and what the
-// handler was asked for.
-func transcript(t *testing.T, sent []byte, perConnection int) (answers string, calls []string) {
+// transcript returns the responses to a caller that sends these bytes and nothing more, and
+// the requests that the handler got.
+func transcript(t *testing.T, sent []byte, perConnection int) (responses string, calls []string) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, func(w http.ResponseWriter, r *http.Request) {
+		s := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
 			w.Header()["Date"] = nil
 			echo(w, r)
 		}, func(o *pipelining.Options) { o.MaxPerConnection = perConnection })
@@ -30,55 +30,57 @@
 		text, _ := io.ReadAll(caller)
 		caller.Close()
 		synctest.Wait()
-		answers, calls = string(text), s.called()
+		responses, calls = string(text), s.handled()
 	})
-	return answers, calls
+	return responses, calls
 }
 
-// framings are streams that a server and a back end might divide differently.
+// framings are streams that a server and a back end might divide into requests differently.
 var framings = map[string]string{
-	"two lengths":             get("/a") + "POST /b HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\nabcd" + get("/c"),
-	"length and chunked":      get("/a") + "POST /b HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + get("/c"),
-	"get with a body":         get("/a") + "GET /b HTTP/1.1\r\nHost: h\r\nContent-Length: 40\r\n\r\n" + get("/hidden") + get("/c"),
-	"get with chunks":         get("/a") + "GET /b HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nabcd\r\n0\r\n\r\n" + get("/c"),
-	"bare line feeds":         "GET /a HTTP/1.1\nHost: h\n\nGET /b HTTP/1.1\nHost: h\n\n" + get("/c"),
-	"mixed line ends":         "GET /a HTTP/1.1\r\nHost: h\n\r\nGET /b HTTP/1.1\nHost: h\r\n\n" + get("/c"),
-	"space in a name":         get("/a") + "GET /b HTTP/1.1\r\nHost : h\r\nContent-Length : 3\r\n\r\n" + get("/c"),
-	"folded line":             get("/a") + "GET /b HTTP/1.1\r\nHost: h\r\n Content-Length: 3\r\n\r\n" + get("/c"),
-	"no host":                 get("/a") + "GET /b HTTP/1.1\r\n\r\n" + get("/c"),
-	"two hosts":               get("/a") + "GET /b HTTP/1.1\r\nHost: h\r\nHost: i\r\n\r\n" + get("/c"),
-	"bad host":                get("/a") + "GET /b HTTP/1.1\r\nHost: h h\r\n\r\n" + get("/c"),
-	"absolute target":         get("/a") + "GET http://h/b HTTP/1.1\r\nHost: h\r\n\r\n" + get("/c"),
-	"bad value":               get("/a") + "GET /b HTTP/1.1\r\nHost: h\r\nX: a\x01b\r\n\r\n" + get("/c"),
-	"empty lines between":     get("/a") + "\r\n" + get("/b"),
-	"after a body":            "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nab\r\n" + get("/b") + get("/c"),
-	"empty lines in a body":   "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\n\r\n\r\n" + get("/b") + get("/c"),
-	"options of the server":   get("/a") + "OPTIONS * HTTP/1.1\r\nHost: h\r\n\r\n" + get("/b") + get("/c"),
-	"expect":                  get("/a") + "GET /b HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\n\r\n" + get("/c"),
-	"expect something else":   get("/a") + "GET /b HTTP/1.1\r\nHost: h\r\nExpect: more\r\n\r\n" + get("/c"),
-	"upgrade":                 get("/a") + "GET /b HTTP/1.1\r\nHost: h\r\nConnection: Upgrade\r\nUpgrade: x\r\n\r\n" + get("/c"),
-	"too long":                get("/a") + "GET /b HTTP/1.1\r\nHost: h\r\nX: " + strings.Repeat("x", 2<<20) + "\r\n\r\n" + get("/c"),
-	"old version":             get("/a") + "GET /b HTTP/1.0\r\nHost: h\r\n\r\n" + get("/c"),
-	"old version kept":        get("/a") + "GET /b HTTP/1.0\r\nHost: h\r\nConnection: keep-alive\r\n\r\n" + get("/c"),
-	"unknown version":         get("/a") + "GET /b HTTP/3.0\r\nHost: h\r\n\r\n" + get("/c"),
-	"head":                    get("/a") + "HEAD /b HTTP/1.1\r\nHost: h\r\n\r\n" + get("/c"),
-	"not a request":           get("/a") + "\x00\x01\x02" + get("/c"),
-	"cut":                     get("/a") + "GET /b HTTP/1.1\r\nHos",
-	"long head in the middle": get("/a") + "GET /b HTTP/1.1\r\nHost: h\r\nX: " + strings.Repeat("x", 4095) + "\r\n\r\n" + get("/c"),
+	"two lengths":             getRequest("/a") + "POST /b HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\nabcd" + getRequest("/c"),
+	"length and chunked":      getRequest("/a") + "POST /b HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + getRequest("/c"),
+	"get with a body":         getRequest("/a") + "GET /b HTTP/1.1\r\nHost: h\r\nContent-Length: 40\r\n\r\n" + getRequest("/hidden") + getRequest("/c"),
+	"get with chunks":         getRequest("/a") + "GET /b HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nabcd\r\n0\r\n\r\n" + getRequest("/c"),
+	"bare line feeds":         "GET /a HTTP/1.1\nHost: h\n\nGET /b HTTP/1.1\nHost: h\n\n" + getRequest("/c"),
+	"mixed line ends":         "GET /a HTTP/1.1\r\nHost: h\n\r\nGET /b HTTP/1.1\nHost: h\r\n\n" + getRequest("/c"),
+	"space in a name":         getRequest("/a") + "GET /b HTTP/1.1\r\nHost : h\r\nContent-Length : 3\r\n\r\n" + getRequest("/c"),
+	"folded line":             getRequest("/a") + "GET /b HTTP/1.1\r\nHost: h\r\n Content-Length: 3\r\n\r\n" + getRequest("/c"),
+	"no host":                 getRequest("/a") + "GET /b HTTP/1.1\r\n\r\n" + getRequest("/c"),
+	"two hosts":               getRequest("/a") + "GET /b HTTP/1.1\r\nHost: h\r\nHost: i\r\n\r\n" + getRequest("/c"),
+	"bad host":                getRequest("/a") + "GET /b HTTP/1.1\r\nHost: h h\r\n\r\n" + getRequest("/c"),
+	"absolute target":         getRequest("/a") + "GET http://h/b HTTP/1.1\r\nHost: h\r\n\r\n" + getRequest("/c"),
+	"bad value":               getRequest("/a") + "GET /b HTTP/1.1\r\nHost: h\r\nX: a\x01b\r\n\r\n" + getRequest("/c"),
+	"empty lines between":     getRequest("/a") + "\r\n" + getRequest("/b"),
+	"after a body":            "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nab\r\n" + getRequest("/b") + getRequest("/c"),
+	"empty lines in a body":   "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\n\r\n\r\n" + getRequest("/b") + getRequest("/c"),
+	"options of the server":   getRequest("/a") + "OPTIONS * HTTP/1.1\r\nHost: h\r\n\r\n" + getRequest("/b") + getRequest("/c"),
+	"expect":                  getRequest("/a") + "GET /b HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\n\r\n" + getRequest("/c"),
+	"expect something else":   getRequest("/a") + "GET /b HTTP/1.1\r\nHost: h\r\nExpect: more\r\n\r\n" + getRequest("/c"),
+	"upgrade":                 getRequest("/a") + "GET /b HTTP/1.1\r\nHost: h\r\nConnection: Upgrade\r\nUpgrade: x\r\n\r\n" + getRequest("/c"),
+	"too long":                getRequest("/a") + "GET /b HTTP/1.1\r\nHost: h\r\nX: " + strings.Repeat("x", 2<<20) + "\r\n\r\n" + getRequest("/c"),
+	"old version":             getRequest("/a") + "GET /b HTTP/1.0\r\nHost: h\r\n\r\n" + getRequest("/c"),
+	"old version kept":        getRequest("/a") + "GET /b HTTP/1.0\r\nHost: h\r\nConnection: keep-alive\r\n\r\n" + getRequest("/c"),
+	"unknown version":         getRequest("/a") + "GET /b HTTP/3.0\r\nHost: h\r\n\r\n" + getRequest("/c"),
+	"head":                    getRequest("/a") + "HEAD /b HTTP/1.1\r\nHost: h\r\n\r\n" + getRequest("/c"),
+	"not a request":           getRequest("/a") + "\x00\x01\x02" + getRequest("/c"),
+	"cut":                     getRequest("/a") + "GET /b HTTP/1.1\r\nHos",
+	"long head in the middle": getRequest("/a") + "GET /b HTTP/1.1\r\nHost: h\r\nX: " + strings.Repeat("x", 4095) + "\r\n\r\n" + getRequest("/c"),
 }
 
-// sameAsAlone checks that a caller gets what net/http alone gives it, byte for byte, and
-// that the handler is asked for the same.
-func sameAsAlone(t *testing.T, sent []byte) {
-	alone, aloneCalls := transcript(t, sent, 0)
-	together, togetherCalls := transcript(t, sent, 16)
-	require.Equal(t, alone, together)
-	require.ElementsMatch(t, aloneCalls, togetherCalls)
+// requireSameAsSequential checks that the responses with pipelining equal those of net/http
+// alone byte for byte, and that the handler gets the same requests.
+func requireSameAsSequential(t *testing.T, sent []byte) {
+	sequential, sequentialCalls := transcript(t, sent, 0)
+	pipelined, pipelinedCalls := transcript(t, sent, 16)
+	require.Equal(t, sequential, pipelined)
+	require.ElementsMatch(t, sequentialCalls, pipelinedCalls)
 }
 
+// TestFraming guards against request smuggling: pipelining must not divide a stream into other
+// requests than net/http does.
 func TestFraming(t *testing.T) {
 	for name, sent := range framings {
-		t.Run(name, func(t *testing.T) { sameAsAlone(t, []byte(sent)) })
+		t.Run(name, func(t *testing.T) { requireSameAsSequential(t, []byte(sent)) })
 	}
 }
 
@@ -90,8 +92,8 @@
 	}
 	f.Fuzz(func(t *testing.T, sent []byte) {
 		if bytes.HasPrefix(sent, []byte("PRI ")) {
-			return // another protocol
+			return // HTTP/2
 		}
-		sameAsAlone(t, sent)
+		requireSameAsSequential(t, sent)
 	})
 }
--- a/pipelining/head.go
+++ b/pipelining/head.go
@@ -10,68 +10,68 @@
 	"golang.org/x/net/http/httpguts"
 )
 
-// headScanner finds where the heads of requests end in a stream that comes in pieces.
-// As net/http does, it takes a line feed with or without a carriage return before it
-// for the end of a line. The zero value stands inside a line.
+// headScanner finds the ends of request heads in a stream that is read in pieces. Like
+// net/http, it accepts a line feed with or without a preceding carriage return as the end
+// of a line. The zero value is positioned inside a line.
 type headScanner struct {
 	line lineState
 }
 
-// lineState is what has been seen of the present line.
+// lineState is what the current line consists of so far.
 type lineState int
 
 const (
-	someText       lineState = iota // more than a carriage return
-	nothing                         // the line has just begun
-	carriageReturn                  // only that
+	lineText  lineState = iota // more than a carriage return
+	lineEmpty                  // nothing
+	lineCR                     // a carriage return
 )
 
-// end returns the length of data up to the end of the first empty line, or -1. What it
-// was given up to there is taken as passed.
+// end returns the length of data up to the end of the first empty line, or -1 if there is
+// none. It consumes data up to there.
 func (s *headScanner) end(data []byte) int {
-	passed := 0
+	consumed := 0
 	for {
-		rest := data[passed:]
+		rest := data[consumed:]
 		length := bytes.IndexByte(rest, '\n')
 		if length < 0 {
-			s.pass(rest)
+			s.advance(rest)
 			return -1
 		}
-		s.pass(rest[:length])
-		passed += length + 1
-		empty := s.line != someText
-		s.line = nothing
+		s.advance(rest[:length])
+		consumed += length + 1
+		empty := s.line != lineText
+		s.line = lineEmpty
 		if empty {
-			s.line = someText // the next head may not begin with an empty line
-			return passed
+			s.line = lineText // the next head may not begin with an empty line
+			return consumed
 		}
 	}
 }
 
-// pass takes in a part of a line.
-func (s *headScanner) pass(part []byte) {
+// advance consumes a part of a line.
+func (s *headScanner) advance(part []byte) {
 	switch {
 	case len(part) == 0:
-	case s.line == nothing && len(part) == 1 && part[0] == '\r':
-		s.line = carriageReturn
+	case s.line == lineEmpty && len(part) == 1 && part[0] == '\r':
+		s.line = lineCR
 	default:
-		s.line = someText
+		s.line = lineText
 	}
 }
 
-// parse reads the head of a request. It returns nil for all that may not be started
-// early whatever it asks for: what net/http refuses or closes the connection for, and
-// what has a body or changes the protocol.
-func parse(head []byte) *http.Request {
+// parseHead parses the head of a request. It returns nil for each request that may not be
+// started early whatever its method and target are: one that net/http rejects or closes the
+// connection for, or that has a body or changes the protocol.
+func parseHead(head []byte) *http.Request {
 	request, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(head)))
-	if err != nil || request.ProtoMajor != 1 || request.ProtoMinor != 1 || !bodyless(request) {
+	if err != nil || request.ProtoMajor != 1 || request.ProtoMinor != 1 || !hasNoBody(request) {
 		return nil
 	}
 	if !strings.HasPrefix(request.RequestURI, "/") || request.Host == "" || !httpguts.ValidHostHeader(request.Host) {
 		return nil
 	}
 	for name, values := range request.Header {
-		if changesConnection[name] || !validField(name, values) {
+		if unsupportedHeaders[name] || !validField(name, values) {
 			return nil
 		}
 	}
@@ -79,8 +79,8 @@
 	return request
 }
 
-// changesConnection are the headers that ask for more than an answer.
-var changesConnection = map[string]bool{"Upgrade": true, "Expect": true, "Trailer": true, "Http2-Settings": true}
+// unsupportedHeaders are the headers that ask for more than a response.
+var unsupportedHeaders = map[string]bool{"Upgrade": true, "Expect": true, "Trailer": true, "Http2-Settings": true}
 
 // validField checks what net/http's server checks beyond http.ReadRequest.
 func validField(name string, values []string) bool {
@@ -90,7 +90,7 @@
 	return !slices.ContainsFunc(values, func(value string) bool { return !httpguts.ValidHeaderFieldValue(value) })
 }
 
-// bodyless says whether nothing of a request follows its head.
-func bodyless(request *http.Request) bool {
+// hasNoBody reports whether the request ends with its head.
+func hasNoBody(request *http.Request) bool {
 	return request.ContentLength == 0 && len(request.TransferEncoding) == 0
 }
--- a/pipelining/pipelining.go
+++ b/pipelining/pipelining.go
@@ -10,46 +10,47 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Options are what a Server is built from.
+// Options configure a Server.
 type Options struct {
-	// Handler serves each request. It is called by several goroutines for requests of
-	// one connection, with a http.ResponseWriter that flushes but cannot be hijacked
-	// for those that are started early.
+	// Handler serves each request. Several goroutines call it for requests of one
+	// connection. For requests that are started early, the http.ResponseWriter supports
+	// flushing but not hijacking.
 	Handler http.Handler
-	// Repeatable says whether a request may be served twice, so that it may be started
-	// before those ahead of it are answered. It must not block.
+	// Repeatable reports whether a request may be served twice, so that it may be started
+	// before the requests ahead of it have their responses. It must not block.
 	Repeatable func(*http.Request) bool
-	// Closing says whether connections are to be closed as soon as nothing that was
+	// Closing reports whether connections are to be closed as soon as no request that was
 	// started on them is left. It must not block.
 	Closing func() bool
-	// Refuse answers a request whose head must not be served, and says why; it is called
-	// instead of Handler, and the connection is closed behind it. nil: none is refused.
+	// Refuse responds to a request that is refused because of its head; cause is the
+	// reason. It is called instead of Handler, and the connection is closed after it. nil:
+	// heads are not checked.
 	Refuse func(w http.ResponseWriter, r *http.Request, cause error)
-	// IDHeader is the header that tells requests apart.
+	// IDHeader is the header that holds the id of a request.
 	IDHeader string
-	// Metrics get the number of requests that were started early; nil: none do.
+	// Metrics count the requests that were started early; nil: they are not counted.
 	Metrics tally.Scope
 
-	// MaxPerConnection is how many requests of a connection may be started early; 0: none.
+	// MaxPerConnection is the maximum number of requests of a connection that are started
+	// early; 0: none.
 	MaxPerConnection int
-	// MaxTotal is how many requests of all connections may be.
+	// MaxTotal is the maximum number for all connections together.
 	MaxTotal int
-	// MaxReadAheadBytes bounds what is read ahead on a connection.
+	// MaxReadAheadBytes limits the bytes that are read ahead on a connection.
 	MaxReadAheadBytes int
-	// MaxBufferedBodyBytes bounds what is kept of the body of an answer until its turn comes.
+	// MaxBufferedBodyBytes limits the buffered body of a response to a request that was
+	// started early.
 	MaxBufferedBodyBytes int
 }
 
-// Server is the handler of a http.Server, and makes the listener that it serves. The
-// http.Server must have ConnContext as its own.
+// Server is the handler of a http.Server and wraps its listener. The http.Server must use
+// the Server's ConnContext.
 type Server struct {
 	options Options
 	started tally.Counter
-	waiting atomic.Int64 // started early, and their turn has not come
-
+	pending atomic.Int64 // requests started early that net/http has not come to
 }
 
-// New returns a server.
 func New(options Options) *Server {
 	if options.Metrics == nil {
 		options.Metrics = tally.NoopScope
@@ -57,7 +58,7 @@
 	return &Server{options: options, started: options.Metrics.Counter("pipelined_requests")}
 }
 
-// listener hands out connections that are read ahead.
+// listener wraps accepted connections in conn.
 type listener struct {
 	net.Listener
 	server *Server
@@ -72,15 +73,15 @@
 	return newConn(accepted, l.server), nil
 }
 
-// WrapListener returns the listener to serve.
-func (s *Server) WrapListener(under net.Listener) net.Listener {
-	return &listener{Listener: under, server: s}
+// WrapListener returns the listener that the http.Server must serve.
+func (s *Server) WrapListener(inner net.Listener) net.Listener {
+	return &listener{Listener: inner, server: s}
 }
 
-// connKey is the key of a request's connection in its context.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
-// ConnContext is to be the http.Server's.
+// ConnContext is the ConnContext function for the http.Server.
 func (s *Server) ConnContext(ctx context.Context, accepted net.Conn) context.Context {
 	if c, ok := accepted.(*conn); ok {
 		return context.WithValue(ctx, connKey{}, c)
@@ -95,9 +96,9 @@
 		s.options.Handler.ServeHTTP(w, r)
 		return
 	}
-	started := c.begin(r)
+	early := c.begin(r)
 	defer c.finish()
-	if cause := c.malformed(r); cause != nil {
+	if cause := c.checkHead(r); cause != nil {
 		w.Header().Set("Connection", "close")
 		s.options.Refuse(w, r, cause)
 		return
@@ -105,19 +106,19 @@
 	if s.options.Closing() && c.closeAfter() {
 		w.Header().Set("Connection", "close")
 	}
-	if started != nil {
-		started.deliver(r.Context(), w)
+	if early != nil {
+		early.deliver(r.Context(), w)
 		return
 	}
 	s.options.Handler.ServeHTTP(w, r)
 }
 
-// claim says whether a request may be started early, and if so counts it.
-func (s *Server) claim(request *http.Request) bool {
+// reserve reports whether a request may be started early, and if so counts it as pending.
+func (s *Server) reserve(request *http.Request) bool {
 	if s.options.Closing() || !s.options.Repeatable(request) {
 		return false
 	}
-	if s.waiting.Add(1) > int64(s.options.MaxTotal) {
+	if s.pending.Add(1) > int64(s.options.MaxTotal) {
 		s.release()
 		return false
 	}
@@ -125,22 +126,23 @@
 	return true
 }
 
-// release notes that the turn of a request has come, or that it was given up.
+// release is called when net/http has come to a request that was started early, or when the
+// request was discarded.
 func (s *Server) release() {
-	s.waiting.Add(-1)
+	s.pending.Add(-1)
 }
 
-// drainInterval is how often Drain looks. What it waits for takes as long as a back end
-// takes for a request, tens of milliseconds and more.
+// drainInterval is the polling interval of Drain. Requests take as long as their back ends,
+// tens of milliseconds and more.
 const drainInterval = 5 * time.Millisecond
 
-// Drain blocks until no request that was started early waits for its turn, or ctx is
-// done. It is called while Closing says true, before http.Server.Shutdown, which closes
-// connections after the present answer.
+// Drain blocks until net/http has come to all requests that were started early, or ctx is
+// done. It is called while Closing returns true, before http.Server.Shutdown, which closes
+// connections after the current response.
 func (s *Server) Drain(ctx context.Context) {
 	ticker := time.NewTicker(drainInterval)
 	defer ticker.Stop()
-	for s.waiting.Load() > 0 {
+	for s.pending.Load() > 0 {
 		select {
 		case <-ctx.Done():
 			return
--- a/pipelining/pipelining_test.go
+++ b/pipelining/pipelining_test.go
@@ -12,47 +12,50 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestTogether: 16 requests sent at once take as long as one, and are answered in order.
+// TestTogether guards against serving pipelined requests one after the other: 16 requests sent
+// at once take as long as one, and the responses come in order.
 func TestTogether(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, echo, nil)
+		s := newTestServer(t, echo, nil)
 		caller := s.listener.dial()
 		defer caller.Close()
-		send(caller, gets(16))
-		answers := bufio.NewReader(caller)
+		sendAsync(caller, getRequests(16))
+		responses := bufio.NewReader(caller)
 		for number := range 16 {
-			_, body := read(t, answers)
+			_, body := readResponse(t, responses)
 			require.Equal(t, fmt.Sprintf("GET /%d ", number), body)
 		}
-		require.Equal(t, work, time.Since(s.begun))
+		require.Equal(t, handlerTime, time.Since(s.begin))
 	})
 }
 
-// TestTogetherInPieces: also where the bytes come one by one, and later.
+// TestTogetherInPieces does the same with bytes that arrive one by one, and with a request that
+// arrives later.
 func TestTogetherInPieces(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, echo, nil)
+		s := newTestServer(t, echo, nil)
 		caller := s.listener.dial()
 		defer caller.Close()
 		go func() {
-			for _, char := range []byte(gets(3)) {
+			for _, char := range []byte(getRequests(3)) {
 				caller.Write([]byte{char})
 			}
-			time.Sleep(work / 2)
-			send(caller, gets(1))
+			time.Sleep(handlerTime / 2)
+			sendAsync(caller, getRequests(1))
 		}()
-		answers := bufio.NewReader(caller)
+		responses := bufio.NewReader(caller)
 		for number := range 3 {
-			_, body := read(t, answers)
+			_, body := readResponse(t, responses)
 			require.Equal(t, fmt.Sprintf("GET /%d ", number), body)
-			require.Equal(t, work, time.Since(s.begun))
+			require.Equal(t, handlerTime, time.Since(s.begin))
 		}
-		read(t, answers)
-		require.Equal(t, work+work/2, time.Since(s.begun))
+		readResponse(t, responses)
+		require.Equal(t, handlerTime+handlerTime/2, time.Since(s.begin))
 	})
 }
 
-// TestWhatMayNotBeRepeatedWaits: for all before it, and all behind it for it.
+// TestWhatMayNotBeRepeatedWaits guards against starting a request early that may not be
+// repeated, or one behind it: it waits for all before it, and those behind it wait for it.
 func TestWhatMayNotBeRepeatedWaits(t *testing.T) {
 	for name, middle := range map[string]string{
 		"with a body":    "POST /m HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nabcd",
@@ -61,112 +64,114 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newSite(t, echo, nil)
+				s := newTestServer(t, echo, nil)
 				caller := s.listener.dial()
 				defer caller.Close()
-				send(caller, get("/a")+get("/b")+middle+get("/c")+get("/d"))
-				answers := bufio.NewReader(caller)
+				sendAsync(caller, getRequest("/a")+getRequest("/b")+middle+getRequest("/c")+getRequest("/d"))
+				responses := bufio.NewReader(caller)
 				for range 5 {
-					read(t, answers)
+					readResponse(t, responses)
 				}
-				require.Equal(t, []time.Duration{0, 0, work, 2 * work, 2 * work},
-					[]time.Duration{s.began("GET /a"), s.began("GET /b"), s.began("POST /m"), s.began("GET /c"), s.began("GET /d")})
+				require.Equal(t, []time.Duration{0, 0, handlerTime, 2 * handlerTime, 2 * handlerTime},
+					[]time.Duration{s.startOf("GET /a"), s.startOf("GET /b"), s.startOf("POST /m"), s.startOf("GET /c"), s.startOf("GET /d")})
 			})
 		})
 	}
 }
 
-// TestBodyBetweenHeads: a body that looks like a request is no request.
+// TestBodyBetweenHeads guards against taking a body that looks like a request for a request.
 func TestBodyBetweenHeads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, echo, nil)
+		s := newTestServer(t, echo, nil)
 		caller := s.listener.dial()
 		defer caller.Close()
-		hidden := get("/hidden")
-		send(caller, get("/a")+fmt.Sprintf("POST /m HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", 2*len(hidden), hidden+hidden)+get("/b"))
-		answers := bufio.NewReader(caller)
+		hidden := getRequest("/hidden")
+		sendAsync(caller, getRequest("/a")+fmt.Sprintf("POST /m HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", 2*len(hidden), hidden+hidden)+getRequest("/b"))
+		responses := bufio.NewReader(caller)
 		for range 3 {
-			read(t, answers)
+			readResponse(t, responses)
 		}
-		require.Equal(t, []string{"GET /a", "POST /m", "GET /b"}, s.called())
+		require.Equal(t, []string{"GET /a", "POST /m", "GET /b"}, s.handled())
 	})
 }
 
-// TestNothingBehindTheEnd: what is sent behind a request that closes the connection is
-// not started.
+// TestNothingBehindTheEnd guards against starting requests behind one that closes the
+// connection.
 func TestNothingBehindTheEnd(t *testing.T) {
 	for name, sent := range map[string]string{
-		"first":  "GET /a HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n" + get("/z"),
-		"second": get("/b") + "GET /a HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n" + get("/z"),
-		"old":    "GET /a HTTP/1.0\r\nHost: h\r\n\r\n" + get("/z"),
+		"first":  "GET /a HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n" + getRequest("/z"),
+		"second": getRequest("/b") + "GET /a HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n" + getRequest("/z"),
+		"old":    "GET /a HTTP/1.0\r\nHost: h\r\n\r\n" + getRequest("/z"),
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newSite(t, echo, nil)
+				s := newTestServer(t, echo, nil)
 				caller := s.listener.dial()
 				defer caller.Close()
-				send(caller, sent)
+				sendAsync(caller, sent)
 				_, err := io.ReadAll(caller)
 				require.NoError(t, err)
-				require.NotContains(t, s.called(), "GET /z")
-				require.Contains(t, s.called(), "GET /a")
+				require.NotContains(t, s.handled(), "GET /z")
+				require.Contains(t, s.handled(), "GET /a")
 			})
 		})
 	}
 }
 
-// TestStopAnswersWhatBegan: a planned stop answers all that was started, closes the
-// connection with the last of them, and starts nothing more.
+// TestStopAnswersWhatBegan guards against a planned stop that loses started requests: all of
+// them get their responses, the last response closes the connection, and no request is started
+// any more.
 func TestStopAnswersWhatBegan(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, echo, nil)
+		s := newTestServer(t, echo, nil)
 		caller := s.listener.dial()
 		defer caller.Close()
-		send(caller, gets(4))
-		time.Sleep(work / 2)
+		sendAsync(caller, getRequests(4))
+		time.Sleep(handlerTime / 2)
 		s.close()
-		send(caller, get("/late"))
+		sendAsync(caller, getRequest("/late"))
 		stopped := make(chan struct{})
 		go func() {
 			defer close(stopped)
-			s.callers.Drain(t.Context())
+			s.pipelined.Drain(t.Context())
 			s.server.Shutdown(t.Context())
 		}()
-		answers := bufio.NewReader(caller)
+		responses := bufio.NewReader(caller)
 		for number := range 4 {
-			response, _ := read(t, answers)
-			require.Equal(t, number == 3, response.Close, "answer %d", number)
+			response, _ := readResponse(t, responses)
+			require.Equal(t, number == 3, response.Close, "response %d", number)
 		}
-		_, err := answers.ReadByte()
+		_, err := responses.ReadByte()
 		require.Equal(t, io.EOF, err)
 		<-stopped
-		require.Len(t, s.called(), 4)
+		require.Len(t, s.handled(), 4)
 	})
 }
 
-// TestCallerLeaves: all its requests end at once, those that wait for their turn too.
+// TestCallerLeaves guards against requests that go on after their caller closed the connection:
+// all are canceled at once, also those whose responses are buffered.
 func TestCallerLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, echo, nil)
+		s := newTestServer(t, echo, nil)
 		caller := s.listener.dial()
-		send(caller, gets(5))
-		time.Sleep(work / 4)
+		sendAsync(caller, getRequests(5))
+		time.Sleep(handlerTime / 4)
 		caller.Close()
 		synctest.Wait()
-		require.Len(t, s.left, 5)
-		for call, at := range s.left {
-			require.Equal(t, work/4, at, call)
+		require.Len(t, s.canceled, 5)
+		for call, at := range s.canceled {
+			require.Equal(t, handlerTime/4, at, call)
 		}
 	})
 }
 
-// TestOneFails: a refused or slow request leaves the others as they are.
+// TestOneFails guards against a refused or slow request that affects the others.
 func TestOneFails(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, func(w http.ResponseWriter, r *http.Request) {
+		s := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
 			switch r.URL.Path {
 			case "/0":
-				time.Sleep(10 * work)
+				time.Sleep(10 * handlerTime)
 			case "/2":
 				w.Header().Set("Retry-After", "0.1")
 				w.WriteHeader(http.StatusServiceUnavailable)
@@ -176,10 +181,10 @@
 		}, nil)
 		caller := s.listener.dial()
 		defer caller.Close()
-		send(caller, gets(4))
-		answers := bufio.NewReader(caller)
+		sendAsync(caller, getRequests(4))
+		responses := bufio.NewReader(caller)
 		for number := range 4 {
-			response, body := read(t, answers)
+			response, body := readResponse(t, responses)
 			if number == 2 {
 				require.Equal(t, http.StatusServiceUnavailable, response.StatusCode)
 				require.Equal(t, "0.1", response.Header.Get("Retry-After"))
@@ -187,15 +192,15 @@
 			}
 			require.Equal(t, fmt.Sprintf("GET /%d ", number), body)
 		}
-		require.Equal(t, 11*work, time.Since(s.begun))
+		require.Equal(t, 11*handlerTime, time.Since(s.begin))
 	})
 }
 
-// TestBrokenOff: an answer that a handler breaks off closes the connection where it
-// stands, after those before it.
+// TestBrokenOff guards against completing a response whose handler aborted it: the connection
+// is closed within that response, after the responses before it.
 func TestBrokenOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, func(w http.ResponseWriter, r *http.Request) {
+		s := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path == "/1" {
 				w.Header().Set("Content-Length", "100")
 				io.WriteString(w, "part")
@@ -205,11 +210,11 @@
 		}, nil)
 		caller := s.listener.dial()
 		defer caller.Close()
-		send(caller, gets(3))
-		answers := bufio.NewReader(caller)
-		_, body := read(t, answers)
+		sendAsync(caller, getRequests(3))
+		responses := bufio.NewReader(caller)
+		_, body := readResponse(t, responses)
 		require.Equal(t, "GET /0 ", body)
-		response, err := http.ReadResponse(answers, nil)
+		response, err := http.ReadResponse(responses, nil)
 		if err == nil {
 			_, err = io.ReadAll(response.Body)
 		}
--- a/pipelining/site_test.go
+++ b/pipelining/site_test.go
@@ -17,18 +17,18 @@
 	"github.com/tuliphall/tuliphall/pipelining"
 )
 
-// pipeListener hands out connections in memory.
-type pipeListener struct {
+// memoryListener accepts in-memory connections.
+type memoryListener struct {
 	connections chan net.Conn
 	closed      chan struct{}
 	once        sync.Once
 }
 
-func newPipeListener() *pipeListener {
-	return &pipeListener{connections: make(chan net.Conn), closed: make(chan struct{})}
+func newMemoryListener() *memoryListener {
+	return &memoryListener{connections: make(chan net.Conn), closed: make(chan struct{})}
 }
 
-func (l *pipeListener) Accept() (net.Conn, error) {
+func (l *memoryListener) Accept() (net.Conn, error) {
 	select {
 	case accepted := <-l.connections:
 		return accepted, nil
@@ -37,125 +37,125 @@
 	}
 }
 
-func (l *pipeListener) Close() error {
+func (l *memoryListener) Close() error {
 	l.once.Do(func() { close(l.closed) })
 	return nil
 }
 
-func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
+func (l *memoryListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-func (l *pipeListener) dial() net.Conn {
+func (l *memoryListener) dial() net.Conn {
 	near, far := net.Pipe()
 	l.connections <- far
 	return near
 }
 
-// work is what the handler is asked for by the path: /TIME answers after that time.
-const work = 100 * time.Millisecond
+// handlerTime is how long echo takes.
+const handlerTime = 100 * time.Millisecond
 
-// site is a server whose handler notes what it is asked and when.
-type site struct {
-	t        *testing.T
-	begun    time.Time
-	server   *http.Server
-	callers  *pipelining.Server
-	listener *pipeListener
+// testServer is a server that records which requests its handler gets and when.
+type testServer struct {
+	t         *testing.T
+	begin     time.Time
+	server    *http.Server
+	pipelined *pipelining.Server
+	listener  *memoryListener
 
-	mutex   sync.Mutex
-	calls   []string                 // in the order of their beginning
-	at      map[string]time.Duration // when each call began
-	left    map[string]time.Duration // when the caller of each was found to have left
-	closing bool
+	mutex     sync.Mutex
+	calls     []string                 // in the order of their start
+	startedAt map[string]time.Duration // by call
+	canceled  map[string]time.Duration // when the context of each call ended during the call
+	closing   bool
 }
 
-func newSite(t *testing.T, handler http.HandlerFunc, change func(*pipelining.Options)) *site {
-	s := &site{t: t, begun: time.Now(), at: make(map[string]time.Duration), left: make(map[string]time.Duration)}
+func newTestServer(t *testing.T, handler http.HandlerFunc, change func(*pipelining.Options)) *testServer {
+	s := &testServer{t: t, begin: time.Now(), startedAt: make(map[string]time.Duration), canceled: make(map[string]time.Duration)}
 	options := pipelining.Options{
-		Handler: s.noting(handler), IDHeader: "Request-Id",
+		Handler: s.recording(handler), IDHeader: "Request-Id",
 		Repeatable: func(r *http.Request) bool { return r.Method == http.MethodGet },
 		Closing:    s.isClosing, MaxPerConnection: 16, MaxTotal: 256, MaxReadAheadBytes: 64 << 10, MaxBufferedBodyBytes: 32 << 10,
 	}
 	if change != nil {
 		change(&options)
 	}
-	s.callers, s.listener = pipelining.New(options), newPipeListener()
-	s.server = &http.Server{Handler: s.callers, ConnContext: s.callers.ConnContext}
-	go s.server.Serve(s.callers.WrapListener(s.listener))
+	s.pipelined, s.listener = pipelining.New(options), newMemoryListener()
+	s.server = &http.Server{Handler: s.pipelined, ConnContext: s.pipelined.ConnContext}
+	go s.server.Serve(s.pipelined.WrapListener(s.listener))
 	t.Cleanup(func() { s.server.Close() })
 	return s
 }
 
-func (s *site) isClosing() bool {
+func (s *testServer) isClosing() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.closing
 }
 
-func (s *site) close() {
+func (s *testServer) close() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.closing = true
 }
 
-func (s *site) noting(next http.Handler) http.Handler {
+func (s *testServer) recording(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		call := r.Method + " " + r.URL.Path
 		s.mutex.Lock()
 		s.calls = append(s.calls, call)
-		s.at[call] = time.Since(s.begun)
+		s.startedAt[call] = time.Since(s.begin)
 		s.mutex.Unlock()
 		defer context.AfterFunc(r.Context(), func() {
 			s.mutex.Lock()
 			defer s.mutex.Unlock()
-			s.left[call] = time.Since(s.begun)
+			s.canceled[call] = time.Since(s.begin)
 		})()
 		next.ServeHTTP(w, r)
 	})
 }
 
-func (s *site) began(call string) time.Duration {
+func (s *testServer) startOf(call string) time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	at, ok := s.at[call]
-	require.True(s.t, ok, "%s did not begin", call)
+	at, ok := s.startedAt[call]
+	require.True(s.t, ok, "%s did not start", call)
 	return at
 }
 
-func (s *site) called() []string {
+func (s *testServer) handled() []string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return append([]string(nil), s.calls...)
 }
 
-// echo answers after the work with the method and path.
+// echo responds after handlerTime with the method, path and body.
 func echo(w http.ResponseWriter, r *http.Request) {
 	select {
-	case <-time.After(work):
+	case <-time.After(handlerTime):
 	case <-r.Context().Done():
 	}
 	body, _ := io.ReadAll(r.Body)
 	fmt.Fprintf(w, "%s %s %s", r.Method, r.URL.Path, body)
 }
 
-func get(path string) string {
+func getRequest(path string) string {
 	return "GET " + path + " HTTP/1.1\r\nHost: h\r\n\r\n"
 }
 
-func gets(count int) string {
+func getRequests(count int) string {
 	var text strings.Builder
 	for number := range count {
-		text.WriteString(get(fmt.Sprintf("/%d", number)))
+		text.WriteString(getRequest(fmt.Sprintf("/%d", number)))
 	}
 	return text.String()
 }
 
-// send writes without waiting for the server to read.
-func send(to io.Writer, text string) {
+// sendAsync writes without waiting for the server to read.
+func sendAsync(to io.Writer, text string) {
 	go io.WriteString(to, text)
 }
 
-// read reads one answer whole.
-func read(t *testing.T, from *bufio.Reader) (*http.Response, string) {
+// readResponse reads a whole response.
+func readResponse(t *testing.T, from *bufio.Reader) (*http.Response, string) {
 	response, err := http.ReadResponse(from, nil)
 	require.NoError(t, err)
 	body, err := io.ReadAll(response.Body)
--- a/pipelining/strict.go
+++ b/pipelining/strict.go
@@ -7,70 +7,70 @@
 	"github.com/tuliphall/tuliphall/framing"
 )
 
-// maxHead is how much is kept of what net/http was given, which holds the head of the next
-// request: net/http's bound on heads of 64 KiB, and what it reads beyond.
-const maxHead = 72 << 10
+// maxRecorded is the number of recorded bytes that hold the head of the next request:
+// net/http's limit of 64 KiB for heads, and what it reads beyond.
+const maxRecorded = 72 << 10
 
-// head keeps the head of the request that net/http comes to next, as net/http is given it: no
-// read goes on behind the end of a head. The zero value stands at the beginning of a
-// connection.
-type head struct {
-	kept []byte
-	body int64 // bytes that are still to come of the body of the request before
-	// chunked: the request before has a body that ends with an empty line, and the head
-	// begins behind that.
-	chunked bool
+// headRecorder records the head of the request that net/http comes to next, from the bytes
+// that net/http reads: no read continues past the end of a head. The zero value is positioned
+// at the beginning of a connection.
+type headRecorder struct {
+	recorded []byte
+	bodyLeft int64 // bytes of the previous request's body that are still to be read
+	// afterChunked: the previous request has a chunked body, which ends with an empty line;
+	// the head begins after that line.
+	afterChunked bool
 }
 
-// add takes in what net/http is given.
-func (h *head) add(piece []byte) {
-	skipped := min(h.body, int64(len(piece)))
-	h.body -= skipped
-	piece = piece[skipped:]
-	if excess := len(h.kept) + len(piece) - maxHead; excess > 0 {
-		h.kept = h.kept[:copy(h.kept, h.kept[min(excess, len(h.kept)):])]
-		piece = piece[max(len(piece)-maxHead, 0):]
+// record records bytes that net/http reads.
+func (h *headRecorder) record(data []byte) {
+	skipped := min(h.bodyLeft, int64(len(data)))
+	h.bodyLeft -= skipped
+	data = data[skipped:]
+	if excess := len(h.recorded) + len(data) - maxRecorded; excess > 0 {
+		h.recorded = h.recorded[:copy(h.recorded, h.recorded[min(excess, len(h.recorded)):])]
+		data = data[max(len(data)-maxRecorded, 0):]
 	}
-	h.kept = append(h.kept, piece...)
+	h.recorded = append(h.recorded, data...)
 }
 
-// take returns the head of the request that net/http has come to, and begins with the next
-// one. The result is valid until the next call of add.
-func (h *head) take(r *http.Request) []byte {
-	kept := h.kept
-	if h.chunked {
-		kept = kept[behindEmptyLine(kept):]
+// take returns the head of r, the request that net/http has come to, and begins to record the
+// next one. The result is valid until the next call of record.
+func (h *headRecorder) take(r *http.Request) []byte {
+	head := h.recorded
+	if h.afterChunked {
+		head = head[afterLastEmptyLine(head):]
 	}
-	*h = head{kept: h.kept[:0], body: max(r.ContentLength, 0), chunked: r.ContentLength < 0}
-	return kept
+	*h = headRecorder{recorded: h.recorded[:0], bodyLeft: max(r.ContentLength, 0), afterChunked: r.ContentLength < 0}
+	return head
 }
 
-// behindEmptyLine returns where the last empty line ends, but for that at the end; 0 where
-// there is none.
-func behindEmptyLine(kept []byte) int {
-	for end := len(bytes.TrimRight(kept, "\r\n")); ; {
-		line := bytes.LastIndexByte(kept[:end], '\n')
+// afterLastEmptyLine returns the offset after the last empty line, apart from the one at the
+// end of data; 0: there is none.
+func afterLastEmptyLine(data []byte) int {
+	for end := len(bytes.TrimRight(data, "\r\n")); ; {
+		line := bytes.LastIndexByte(data[:end], '\n')
 		if line < 0 {
 			return 0
 		}
-		if before := bytes.TrimSuffix(kept[:line], []byte{'\r'}); bytes.HasSuffix(before, []byte{'\n'}) {
+		if before := bytes.TrimSuffix(data[:line], []byte{'\r'}); bytes.HasSuffix(before, []byte{'\n'}) {
 			return line + 1
 		}
 		end = line
 	}
 }
 
-// keep takes in what net/http is given, where heads are checked.
-func (c *conn) keep(piece []byte) {
-	if c.server.strict() && !c.plain {
-		c.head.add(piece)
+// recordHead records bytes that net/http reads, if heads are checked.
+func (c *conn) recordHead(data []byte) {
+	if c.server.checksHeads() && !c.passThrough {
+		c.head.record(data)
 	}
 }
 
-// malformed says why the head of the request that net/http has come to must not be served;
-// nil: it may be.
-func (c *conn) malformed(r *http.Request) error {
-	if !c.server.strict() {
+// checkHead returns why the request that net/http has come to must be refused because of its
+// head; nil: it may be served.
+func (c *conn) checkHead(r *http.Request) error {
+	if !c.server.checksHeads() {
 		return nil
 	}
 	c.mutex.Lock()
@@ -78,7 +78,6 @@
 	return framing.CheckRequest(c.head.take(r))
 }
 
-// strict says whether heads are checked.
-func (s *Server) strict() bool {
+func (s *Server) checksHeads() bool {
 	return s.options.Refuse != nil
 }
