--- a/framing/framing.go
+++ b/framing/framing.go
@@ -1,12 +1,12 @@
-// Package framing refuses heads of HTTP/1 messages that another server might read
-// otherwise than net/http does.
+// Package framing rejects heads of HTTP/1 messages that another server might parse
+// differently from net/http.
 //
-// net/http accepts several things that RFC 9112 lets a recipient refuse: lines that end
-// with a line feed alone, headers that are continued on the next line, and a message with
-// both a Content-Length and a Transfer-Encoding. Whoever stands before or behind the load
-// balancer may take such a message for one that ends elsewhere, and what follows for a
-// request of its own (request smuggling). Nothing is parsed here: net/http does that. What
-// is refused would else be served.
+// net/http accepts several things that RFC 9112 lets a recipient reject: lines that end
+// with a line feed alone, headers that are continued on the next line, and messages with
+// both a Content-Length and a Transfer-Encoding. A proxy in front of the load balancer or a
+// back end behind it may determine another end of such a message and take the bytes that
+// follow for a separate request (request smuggling). This package does not parse messages:
+// net/http does. It rejects messages that would otherwise be served.
 package framing
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/juju/errors"
 )
 
-// The reasons for which a head is refused.
+// The reasons for rejecting a head.
 const (
 	ErrBareLF                    = errors.ConstError("a line of the head ends with a line feed alone")
 	ErrBareCR                    = errors.ConstError("a carriage return stands within a line of the head")
@@ -25,17 +25,17 @@
 	ErrSpaceBeforeColon          = errors.ConstError("a header's name ends with a space")
 )
 
-// Names of the headers that say where a message ends.
+// Names of the headers that determine the end of a message, in lower case.
 const (
 	contentLength    = "content-length"
 	transferEncoding = "transfer-encoding"
 )
 
-// CheckRequest says why the head of a request must not be served; nil: it may be. The head
-// begins with its first line and ends with an empty one.
+// CheckRequest returns why a request must be rejected because of its head; nil: it may be
+// served. The head begins with the request line and ends with an empty line.
 func CheckRequest(head []byte) error {
-	var first []byte
-	lengths, transfers := false, false
+	var requestLine []byte
+	hasLength, hasTransferEncoding := false, false
 	for rest := head; len(rest) > 0; {
 		line, after, ended := bytes.Cut(rest, []byte{'\n'})
 		rest = after
@@ -44,8 +44,8 @@
 			return ErrBareLF
 		case bytes.IndexByte(line[:len(line)-1], '\r') >= 0:
 			return ErrBareCR
-		case first == nil:
-			first = line
+		case requestLine == nil:
+			requestLine = line
 			continue
 		case line[0] == ' ' || line[0] == '\t':
 			return ErrLineFolding
@@ -54,25 +54,25 @@
 		if trimmed := bytes.TrimRight(name, " \t"); len(trimmed) < len(name) {
 			return ErrSpaceBeforeColon
 		}
-		lengths = lengths || is(name, contentLength)
-		transfers = transfers || is(name, transferEncoding)
+		hasLength = hasLength || nameEquals(name, contentLength)
+		hasTransferEncoding = hasTransferEncoding || nameEquals(name, transferEncoding)
 	}
 	switch {
-	case lengths && transfers:
+	case hasLength && hasTransferEncoding:
 		return ErrLengthAndTransferEncoding
-	case transfers && !bytes.HasSuffix(first, []byte(" HTTP/1.1\r")):
+	case hasTransferEncoding && !bytes.HasSuffix(requestLine, []byte(" HTTP/1.1\r")):
 		return ErrTransferEncodingVersion
 	}
 	return nil
 }
 
-// CheckResponse says why an answer must not be passed on; nil: it may be. What was read of it
-// may hold heads of interim answers before its own, and a part of its body.
-func CheckResponse(read []byte) error {
+// CheckResponse returns why a response must not be forwarded; nil: it may be. data is what was
+// read of it: it may begin with heads of interim responses and end with a part of the body.
+func CheckResponse(data []byte) error {
 	for {
-		head, after, ended := cutHead(read)
+		head, after, ended := cutHead(data)
 		if ended && isInterim(head) {
-			read = after
+			data = after
 			continue
 		}
 		if hasHeader(head, contentLength) && hasHeader(head, transferEncoding) {
@@ -82,51 +82,52 @@
 	}
 }
 
-// HeadLength returns how many bytes of what was read of an answer belong to its head and to
-// those of interim answers before it, and false while the head is not whole.
-func HeadLength(read []byte) (int, bool) {
-	for rest := read; ; {
+// HeadLength returns the length of the head of a response, including the heads of interim
+// responses before it, and false if the head is incomplete. data is what was read of the
+// response.
+func HeadLength(data []byte) (int, bool) {
+	for rest := data; ; {
 		head, after, ended := cutHead(rest)
 		if !ended {
 			return 0, false
 		}
 		rest = after
 		if !isInterim(head) {
-			return len(read) - len(after), true
+			return len(data) - len(after), true
 		}
 	}
 }
 
-// cutHead cuts what was read after its first empty line.
-func cutHead(read []byte) (head, after []byte, ended bool) {
-	for at := 0; ; {
-		length := bytes.IndexByte(read[at:], '\n')
+// cutHead splits data at its first empty line; ended reports whether there is one.
+func cutHead(data []byte) (head, after []byte, ended bool) {
+	for offset := 0; ; {
+		length := bytes.IndexByte(data[offset:], '\n')
 		if length < 0 {
-			return read, nil, false
+			return data, nil, false
 		}
-		if line := bytes.TrimRight(read[at:at+length], "\r"); len(line) == 0 {
-			return read[:at], read[at+length+1:], true
+		if line := bytes.TrimRight(data[offset:offset+length], "\r"); len(line) == 0 {
+			return data[:offset], data[offset+length+1:], true
 		}
-		at += length + 1
+		offset += length + 1
 	}
 }
 
-// isInterim says whether the head is one of the answers (1xx) that come before the answer.
+// isInterim reports whether the head is that of an interim response (1xx).
 func isInterim(head []byte) bool {
 	_, status, found := bytes.Cut(head, []byte{' '})
 	return found && len(status) > 0 && status[0] == '1'
 }
 
-func hasHeader(head []byte, wanted string) bool {
+func hasHeader(head []byte, want string) bool {
 	for line := range bytes.Lines(head) {
-		if name, _, found := bytes.Cut(line, []byte{':'}); found && is(name, wanted) {
+		if name, _, found := bytes.Cut(line, []byte{':'}); found && nameEquals(name, want) {
 			return true
 		}
 	}
 	return false
 }
 
-// is says whether a header's name is the wanted one, which is in lower case.
-func is(name []byte, wanted string) bool {
-	return len(name) == len(wanted) && bytes.EqualFold(name, []byte(wanted))
+// nameEquals reports whether a header name equals want, which is in lower case, ignoring case.
+func nameEquals(name []byte, want string) bool {
+	return len(name) == len(want) && bytes.EqualFold(name, []byte(want))
 }
--- a/framing/framing_test.go
+++ b/framing/framing_test.go
@@ -10,10 +10,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// heads are heads of requests, and why they are refused.
+// heads are request heads and the errors for which they are rejected.
 var heads = []struct {
 	head string
-	why  error
+	want error
 }{
 	{"GET / HTTP/1.1\r\nHost: a\r\n\r\n", nil},
 	{"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\n", nil},
@@ -33,13 +33,13 @@
 }
 
 func TestCheckRequest(t *testing.T) {
-	for _, one := range heads {
-		require.Equal(t, one.why, CheckRequest([]byte(one.head)), "%q", one.head)
+	for _, test := range heads {
+		require.Equal(t, test.want, CheckRequest([]byte(test.head)), "%q", test.head)
 	}
 }
 
-func TestCheckAnswer(t *testing.T) {
-	for read, why := range map[string]error{
+func TestCheckResponse(t *testing.T) {
+	for data, want := range map[string]error{
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok":                                                                         nil,
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nContent-Length: 3\r\n":                                        nil,
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Length: 2\r\n\r\n":                                             ErrLengthAndTransferEncoding,
@@ -48,28 +48,28 @@
 		"HTTP/1.1 103 Early Hints\r\nContent-Length: 2\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0": nil,
 		"": nil,
 	} {
-		require.Equal(t, why, CheckResponse([]byte(read)), "%q", read)
+		require.Equal(t, want, CheckResponse([]byte(data)), "%q", data)
 	}
 }
 
 func TestHeadLength(t *testing.T) {
 	const interim, final = "HTTP/1.1 103 Early Hints\r\n\r\n", "HTTP/1.1 200 OK\r\nA: b\r\n\r\n"
-	for read, want := range map[string]int{"": 0, interim: 0, final[:20]: 0, final: len(final), interim + final + "body\r\n\r\n": len(interim + final)} {
-		length, whole := HeadLength([]byte(read))
-		require.Equal(t, want, length, "%q", read)
-		require.Equal(t, want > 0, whole, "%q", read)
+	for data, want := range map[string]int{"": 0, interim: 0, final[:20]: 0, final: len(final), interim + final + "body\r\n\r\n": len(interim + final)} {
+		length, complete := HeadLength([]byte(data))
+		require.Equal(t, want, length, "%q", data)
+		require.Equal(t, want > 0, complete, "%q", data)
 	}
 }
 
-// strictly reads a head as RFC 9112 asks a strict recipient to: lines end with CRLF, none
-// is continued, and one header at the most says where the body ends. It shares nothing with
-// the code that is tested.
-func strictly(head string) bool {
+// isStrict reports whether a head is valid for a strict recipient by RFC 9112: lines end with
+// CRLF, none is continued, and at most one header determines the end of the body. It shares no
+// code with the package.
+func isStrict(head string) bool {
 	lines := strings.Split(head, "\r\n")
 	if len(lines) < 3 || lines[len(lines)-1] != "" || lines[len(lines)-2] != "" || strings.ContainsAny(strings.Join(lines, ""), "\r\n") {
 		return false
 	}
-	framed := 0
+	framingHeaders := 0 // bit set: 1 is Transfer-Encoding, 2 is Content-Length
 	for _, line := range lines[1 : len(lines)-2] {
 		name, _, found := strings.Cut(line, ":")
 		if !found || name != strings.Trim(name, " \t") {
@@ -80,19 +80,20 @@
 			if !strings.HasSuffix(lines[0], "HTTP/1.1") {
 				return false
 			}
-			framed |= 1
+			framingHeaders |= 1
 		case "content-length":
-			framed |= 2
+			framingHeaders |= 2
 		}
 	}
-	return framed < 3
+	return framingHeaders < 3
 }
 
-// FuzzCheckRequest compares what is accepted with what a strict reading accepts: of the heads
-// that net/http serves, none that is read strictly is refused, and none other is accepted.
+// FuzzCheckRequest guards against accepting an ambiguous head or rejecting a valid one: of the
+// heads that net/http serves, CheckRequest accepts those that are valid for a strict recipient,
+// and no others.
 func FuzzCheckRequest(f *testing.F) {
-	for _, one := range heads {
-		f.Add([]byte(one.head))
+	for _, test := range heads {
+		f.Add([]byte(test.head))
 	}
 	f.Fuzz(func(t *testing.T, stream []byte) {
 		reader := bytes.NewReader(stream)
@@ -102,8 +103,8 @@
 		}
 		head := stream[:len(stream)-reader.Len()-buffered.Buffered()]
 		if !bytes.HasSuffix(head, []byte("\n")) {
-			return // net/http read on into the body
+			return // net/http also read from the body
 		}
-		require.Equal(t, strictly(string(head)), CheckRequest(head) == nil, "%q", head)
+		require.Equal(t, isStrict(string(head)), CheckRequest(head) == nil, "%q", head)
 	})
 }
