--- a/logging/handler.go
+++ b/logging/handler.go
@@ -6,29 +6,29 @@
 	"log/slog"
 )
 
-// Component returns a logger whose messages begin with the part's name.
-func Component(logger *slog.Logger, part string) *slog.Logger {
-	return slog.New(&prefixHandler{next: logger.Handler(), prefix: part + ": "})
+// Component returns a logger that prefixes messages with the name of a component.
+func Component(logger *slog.Logger, name string) *slog.Logger {
+	return slog.New(&prefixHandler{next: logger.Handler(), prefix: name + ": "})
 }
 
-// Routine returns a logger for lines of requests that went well, which are the first
-// to be left out when there are too many.
+// Routine returns a logger for lines of requests that succeeded. The Limiter drops them before
+// other lines.
 func Routine(logger *slog.Logger) *slog.Logger {
-	return slog.New(routine(logger.Handler()))
+	return slog.New(asRoutine(logger.Handler()))
 }
 
-// routine returns a handler whose lines count as routine, where there is a bound.
-func routine(handler slog.Handler) slog.Handler {
+// asRoutine returns the handler with the lines of its limitHandler, if any, marked as routine.
+func asRoutine(handler slog.Handler) slog.Handler {
 	switch handler := handler.(type) {
 	case *prefixHandler:
-		return &prefixHandler{next: routine(handler.next), prefix: handler.prefix}
-	case *boundHandler:
-		return &boundHandler{next: handler.next, bound: handler.bound, routine: true}
+		return &prefixHandler{next: asRoutine(handler.next), prefix: handler.prefix}
+	case *limitHandler:
+		return &limitHandler{next: handler.next, limiter: handler.limiter, routine: true}
 	}
 	return handler
 }
 
-// prefixHandler puts a prefix before each message.
+// prefixHandler adds a prefix to each message.
 type prefixHandler struct {
 	next   slog.Handler
 	prefix string
@@ -55,48 +55,48 @@
 	return &prefixHandler{next: h.next.WithGroup(name), prefix: h.prefix}
 }
 
-// boundHandler leaves out lines beyond a bound. The kind of a line is its message.
-type boundHandler struct {
+// limitHandler drops lines that its Limiter does not allow. The kind of a line is its message.
+type limitHandler struct {
 	next    slog.Handler
-	bound   *Limiter
+	limiter *Limiter
 	routine bool
 }
 
 // Enabled implements slog.Handler.
-func (h *boundHandler) Enabled(ctx context.Context, level slog.Level) bool {
+func (h *limitHandler) Enabled(ctx context.Context, level slog.Level) bool {
 	return h.next.Enabled(ctx, level)
 }
 
 // Handle implements slog.Handler.
-func (h *boundHandler) Handle(ctx context.Context, record slog.Record) error {
-	if !h.bound.Allow(record.Time, record.Message, h.routine) {
+func (h *limitHandler) Handle(ctx context.Context, record slog.Record) error {
+	if !h.limiter.Allow(record.Time, record.Message, h.routine) {
 		return nil
 	}
 	err := h.next.Handle(ctx, record)
 	if err != nil {
-		h.bound.RecordDropped(record.Message, 1)
+		h.limiter.RecordDropped(record.Message, 1)
 	}
 	return err
 }
 
 // WithAttrs implements slog.Handler.
-func (h *boundHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return &boundHandler{next: h.next.WithAttrs(attrs), bound: h.bound, routine: h.routine}
+func (h *limitHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
+	return &limitHandler{next: h.next.WithAttrs(attrs), limiter: h.limiter, routine: h.routine}
 }
 
 // WithGroup implements slog.Handler.
-func (h *boundHandler) WithGroup(name string) slog.Handler {
-	return &boundHandler{next: h.next.WithGroup(name), bound: h.bound, routine: h.routine}
+func (h *limitHandler) WithGroup(name string) slog.Handler {
+	return &limitHandler{next: h.next.WithGroup(name), limiter: h.limiter, routine: h.routine}
 }
 
-// spender takes the bytes of each line from a bound.
-type spender struct {
-	bound *Limiter
-	next  io.Writer
+// byteCounter takes the bytes of each line from the limit of a Limiter.
+type byteCounter struct {
+	limiter *Limiter
+	next    io.Writer
 }
 
 // Write implements io.Writer.
-func (s *spender) Write(line []byte) (int, error) {
-	s.bound.ConsumeBytes(len(line))
-	return s.next.Write(line)
+func (c *byteCounter) Write(line []byte) (int, error) {
+	c.limiter.ConsumeBytes(len(line))
+	return c.next.Write(line)
 }
--- a/logging/logging.go
+++ b/logging/logging.go
@@ -1,10 +1,9 @@
-// Package logging writes structured logs without ever holding up the request
-// path.
+// Package logging writes structured logs without blocking the request path.
 //
-// Lines go through a bounded queue to one goroutine. A Bound keeps them within so
-// many lines and bytes a second; what it or a full queue leaves out is counted by
-// kind, in a line each second and in a metric. Each part of the daemon logs with its
-// own prefix, such as "routing: ".
+// Lines go through a bounded queue to one goroutine. A Limiter limits the lines and bytes
+// per second; lines that it or a full queue drops are counted by kind, in a log line each
+// second and in a metric. Each component of the daemon logs with its own prefix, such as
+// "routing: ".
 package logging
 
 import (
@@ -16,41 +15,40 @@
 	"github.com/juju/errors"
 )
 
-// queueLines is how many lines may wait to be written.
+// queueLines is the capacity of the queue.
 const queueLines = 8192
 
-// Lines that come in quick succession are written at once: a write costs far more
-// than the making of a line.
+// Lines are written in batches, because a write costs far more than formatting a line.
 const (
-	// lingerTime is how long a line waits for others. A daemon that is killed loses
-	// the lines of that time.
+	// lingerTime is how long a line waits for further lines. A daemon that is killed
+	// loses the lines of that time.
 	lingerTime = 100 * time.Millisecond
-	// batchBytes is the most that is written at once, but for a longer line: what reads
-	// the lines may cut what is longer.
+	// batchBytes is the maximum size of a batch, apart from a single longer line: readers
+	// of the log may truncate longer writes.
 	batchBytes = 8 << 10
 )
 
-// Writer is an io.Writer that never blocks. Each Write is one line.
+// Writer is an io.Writer that does not block. Each Write is one line.
 type Writer struct {
-	target  io.Writer
-	lines   chan []byte
-	batch   []byte        // of the goroutine, kept from write to write
-	closing chan struct{} // closed when the lines that wait are the last
-	done    chan struct{}
-	once    sync.Once
+	target    io.Writer
+	lines     chan []byte
+	batch     []byte        // buffer of the goroutine, reused for each batch
+	closing   chan struct{} // closed when no more lines follow those in the queue
+	done      chan struct{}
+	closeOnce sync.Once
 }
 
-// NewWriter returns a writer in front of target and starts its goroutine.
+// NewWriter returns a writer to target and starts its goroutine.
 func NewWriter(target io.Writer) *Writer {
 	w := &Writer{target: target, lines: make(chan []byte, queueLines), closing: make(chan struct{}), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// ErrQueueFull says that a line was dropped, as too many wait to be written.
-const ErrQueueFull = errors.ConstError("the queue of the log is full")
+// ErrQueueFull is returned for a line that was dropped because the queue is full.
+const ErrQueueFull = errors.ConstError("log queue is full")
 
-// Write implements io.Writer. A full queue drops the line, and the error is
+// Write implements io.Writer. If the queue is full, it drops the line and returns
 // ErrQueueFull.
 func (w *Writer) Write(line []byte) (int, error) {
 	select {
@@ -75,7 +73,7 @@
 	}
 }
 
-// linger waits for further lines, unless the writer is being closed.
+// linger waits lingerTime for further lines, or until the writer is closed.
 func (w *Writer) linger() {
 	select {
 	case <-w.closing:
@@ -83,8 +81,9 @@
 	}
 }
 
-// write hands a line, if there is one, and all that wait to the target, in batches of
-// whole lines. There is no other place to report a log that cannot be written.
+// write writes the line first, which may be nil, and all lines in the queue to the target, in
+// batches of whole lines. It ignores errors: there is nowhere to report a log that cannot be
+// written.
 func (w *Writer) write(first []byte) {
 	batch := append(w.batch[:0], first...)
 	for {
@@ -106,26 +105,25 @@
 	}
 }
 
-// Close writes the lines that wait and ends the goroutine. Lines that come later are
-// lost.
+// Close writes the lines in the queue and ends the goroutine. Later lines are lost.
 func (w *Writer) Close() {
-	w.once.Do(func() { close(w.closing) })
+	w.closeOnce.Do(func() { close(w.closing) })
 	<-w.done
 }
 
-// Options are a logger's settings.
+// Options configure a logger.
 type Options struct {
 	Level   slog.Leveler // nil: info
 	JSON    bool
-	Daemon  string   // name of the daemon, noted on each line
-	Limiter *Limiter // nil: none
+	Daemon  string   // name of the daemon, added to each line
+	Limiter *Limiter // nil: lines are not limited
 }
 
 // New returns a logger that writes to w.
 func New(w io.Writer, options Options) *slog.Logger {
 	handlerOptions := &slog.HandlerOptions{Level: options.Level, ReplaceAttr: plainErrors}
 	if options.Limiter != nil {
-		w = &spender{bound: options.Limiter, next: w}
+		w = &byteCounter{limiter: options.Limiter, next: w}
 	}
 	var handler slog.Handler = slog.NewTextHandler(w, handlerOptions)
 	if options.JSON {
@@ -133,16 +131,16 @@
 	}
 	handler = handler.WithAttrs([]slog.Attr{slog.String("daemon", options.Daemon)})
 	if options.Limiter != nil {
-		handler = &boundHandler{next: handler, bound: options.Limiter}
+		handler = &limitHandler{next: handler, limiter: options.Limiter}
 	}
 	return slog.New(handler)
 }
 
-// plainErrors logs an error by its text. Handlers would print where it was made as
-// well, which takes several lines.
+// plainErrors replaces an error by its message. Handlers would also print its stack trace,
+// which takes several lines.
 func plainErrors(_ []string, attribute slog.Attr) slog.Attr {
 	if attribute.Value.Kind() != slog.KindAny {
-		return attribute // nothing is boxed on the way of most attributes
+		return attribute // most attributes return here, without an allocation by Any
 	}
 	if err, ok := attribute.Value.Any().(error); ok {
 		attribute.Value = slog.StringValue(err.Error())
--- a/logging/logging_test.go
+++ b/logging/logging_test.go
@@ -15,7 +15,8 @@
 	"github.com/tuliphall/tuliphall/logging"
 )
 
-// TestErrorsAreLoggedByTheirText keeps an error to its text, on one line.
+// TestErrorsAreLoggedByTheirText guards against stack traces in the log: an error is logged as
+// its message, on one line.
 func TestErrorsAreLoggedByTheirText(t *testing.T) {
 	for _, json := range []bool{false, true} {
 		var written bytes.Buffer
@@ -27,40 +28,40 @@
 	}
 }
 
-// TestStuckTargetHoldsNobodyUp logs to a pipe that nobody reads: lines are dropped,
-// and writing does not block.
+// TestStuckTargetHoldsNobodyUp guards against blocking on a target that accepts no data, here a
+// pipe that is not read: lines are dropped, and logging does not block.
 func TestStuckTargetHoldsNobodyUp(t *testing.T) {
 	reader, target := io.Pipe()
 	writer := logging.NewWriter(target)
 	logger := logging.New(writer, logging.Options{Daemon: "edge-1"})
-	begun := time.Now()
+	begin := time.Now()
 	for range 20000 {
 		logger.Info("line")
 	}
-	require.Less(t, time.Since(begun), 5*time.Second)
+	require.Less(t, time.Since(begin), 5*time.Second)
 	go func() { _, _ = io.Copy(io.Discard, reader) }()
 	writer.Close()
 }
 
-// countedWrites counts what is written to it.
-type countedWrites struct {
+// countingWriter counts and collects what is written to it.
+type countingWriter struct {
 	mutex  sync.Mutex
 	writes int
 	text   bytes.Buffer
 }
 
-func (c *countedWrites) Write(data []byte) (int, error) {
+func (c *countingWriter) Write(data []byte) (int, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.writes++
 	return c.text.Write(data)
 }
 
-// TestLinesAreWrittenTogether logs many lines in quick succession, and all of them
-// are there after the end.
+// TestLinesAreWrittenTogether guards against a write per line: lines in quick succession are
+// written in few batches, and all of them are written after Close.
 func TestLinesAreWrittenTogether(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		target := &countedWrites{}
+		target := &countingWriter{}
 		writer := logging.NewWriter(target)
 		logger := logging.New(writer, logging.Options{Daemon: "edge-1"})
 		for range 50 {
@@ -77,23 +78,24 @@
 	})
 }
 
-// wholeLines is a target that wants whole lines, few enough in each write.
-type wholeLines struct {
-	countedWrites
-	broken []int // lengths of writes that are too long or end within a line
+// batchChecker is a target that records writes that break the rules for batches.
+type batchChecker struct {
+	countingWriter
+	invalid []int // lengths of writes that are too long or end within a line
 }
 
 // Write implements io.Writer.
-func (w *wholeLines) Write(data []byte) (int, error) {
+func (w *batchChecker) Write(data []byte) (int, error) {
 	if len(data) > 8<<10 || data[len(data)-1] != '\n' {
-		w.broken = append(w.broken, len(data))
+		w.invalid = append(w.invalid, len(data))
 	}
-	return w.countedWrites.Write(data)
+	return w.countingWriter.Write(data)
 }
 
-// TestWritesAreBounded logs much at once: each write is of whole lines and at most 8 KiB.
+// TestWritesAreBounded guards against writes that readers of the log truncate: each write
+// consists of whole lines and has at most 8 KiB.
 func TestWritesAreBounded(t *testing.T) {
-	target := &wholeLines{}
+	target := &batchChecker{}
 	writer := logging.NewWriter(target)
 	logger := logging.New(writer, logging.Options{Daemon: "edge-1"})
 	const lines = 2000
@@ -101,15 +103,15 @@
 		logger.Info("line", "number", number, "text", strings.Repeat("x", number%300))
 	}
 	writer.Close()
-	require.Empty(t, target.broken)
+	require.Empty(t, target.invalid)
 	require.Equal(t, lines, bytes.Count(target.text.Bytes(), []byte("\n")))
 	require.Greater(t, target.writes, 10)
 }
 
-// TestLinesAfterTheEndAreLost logs while and after the writer is closed, as a signal
-// that comes late does.
+// TestLinesAfterTheEndAreLost guards against a panic or deadlock when lines are logged after
+// Close, as for a signal that arrives late.
 func TestLinesAfterTheEndAreLost(t *testing.T) {
-	target := &countedWrites{}
+	target := &countingWriter{}
 	writer := logging.NewWriter(target)
 	logger := logging.New(writer, logging.Options{Daemon: "edge-1"})
 	logger.Info("before")
--- a/resultcode/problem.go
+++ b/resultcode/problem.go
@@ -13,7 +13,7 @@
 // ProblemType is the media type of a problem body (RFC 9457).
 const ProblemType = "application/problem+json"
 
-// Problem is the JSON body of an answer that the load balancer itself wrote.
+// Problem is the JSON body of a response that the load balancer itself generates.
 type Problem struct {
 	Type      string   `json:"type"`
 	Title     string   `json:"title"`
@@ -24,11 +24,11 @@
 	RequestID string   `json:"request_id,omitempty"`
 }
 
-// Failure is a result code with its particulars, as an error.
+// Failure is an error with a result code.
 type Failure struct {
 	Code       Code
 	Detail     string
-	RetryAfter time.Duration // 0: no advice is given
+	RetryAfter time.Duration // 0: Retry-After is not sent
 }
 
 // Error returns the code's name and the detail.
@@ -36,9 +36,9 @@
 	return f.Code.String() + ": " + f.Detail
 }
 
-// AsFailure returns the failure that an error is, nil for no error. Any other error
-// becomes a failure of the given code with the error's text.
-func AsFailure(err error, otherwise Code) *Failure {
+// AsFailure returns the Failure in err's chain, or nil if err is nil. Any other error becomes a
+// Failure with defaultCode and the message of err.
+func AsFailure(err error, defaultCode Code) *Failure {
 	if err == nil {
 		return nil
 	}
@@ -46,29 +46,28 @@
 	if errors.As(err, &failure) {
 		return failure
 	}
-	return &Failure{Code: otherwise, Detail: err.Error()}
+	return &Failure{Code: defaultCode, Detail: err.Error()}
 }
 
-// retryAfter spells the advice in seconds, whole ones unless fractions are
-// understood.
-func (f *Failure) retryAfter(fractions bool) string {
-	if fractions {
+// formatRetryAfter formats RetryAfter in seconds, rounded up to whole seconds unless fractional
+// is set.
+func (f *Failure) formatRetryAfter(fractional bool) string {
+	if fractional {
 		return strconv.FormatFloat(f.RetryAfter.Seconds(), 'f', 3, 64)
 	}
 	return strconv.Itoa(int(math.Ceil(f.RetryAfter.Seconds())))
 }
 
-// Write sends the failure as a problem answer. The caller must not have
-// written anything to w before. fractions says whether a fraction of a second is
-// understood as the time to come back.
-func (f *Failure) Write(w http.ResponseWriter, requestID string, fractions bool) {
+// Write sends the failure as a problem response. Nothing may have been written to w before.
+// fractional states whether the client accepts fractions of a second in Retry-After.
+func (f *Failure) Write(w http.ResponseWriter, requestID string, fractional bool) {
 	info := f.Code.Info()
 	header := w.Header()
 	header.Set("Content-Type", ProblemType)
 	header.Set(HeaderCode, strconv.Itoa(int(f.Code)))
 	header.Set(HeaderRun, string(info.Run))
 	if f.RetryAfter > 0 {
-		header.Set("Retry-After", f.retryAfter(fractions))
+		header.Set("Retry-After", f.formatRetryAfter(fractional))
 	}
 	w.WriteHeader(info.Status)
 	body := Problem{
@@ -80,6 +79,6 @@
 		Run:       info.Run,
 		RequestID: requestID,
 	}
-	// A caller that has gone cannot be told; there is nobody to report to.
+	// The error is ignored: it means that the caller has closed the connection.
 	_ = json.NewEncoder(w).Encode(body)
 }
--- a/resultcode/resultcode.go
+++ b/resultcode/resultcode.go
@@ -1,31 +1,31 @@
-// Package resultcode numbers every way a request can end inside the load
-// balancer, and says of each whether a back end ran the request.
+// Package resultcode defines a numeric code for each result of a request in the load
+// balancer, and whether a back end ran the request.
 //
-// A caller reads the code and the run state from the headers HeaderCode and
-// HeaderRun, and from the problem body (RFC 9457) of a refusal. The table in
-// docs/result-codes.md lists the same codes; a test keeps the two equal.
+// Callers get the code and the run state in the headers HeaderCode and HeaderRun, and in
+// the problem body (RFC 9457) of a refusal. The table in docs/result-codes.md lists the
+// same codes; a test compares the two.
 package resultcode
 
 import "net/http"
 
-// HeaderCode carries the number of the result code on every answer.
+// HeaderCode is the header of every response that holds the result code.
 const HeaderCode = "Tuliphall-Code"
 
-// HeaderRun carries the run state on every answer: run, not-run or unknown.
+// HeaderRun is the header of every response that holds the run state: run, not-run or unknown.
 const HeaderRun = "Tuliphall-Run"
 
-// RunState says whether a back end ran the request.
+// RunState is whether a back end ran the request.
 type RunState string
 
-// The run states. NotRun is a promise: no byte of the request reached a back
-// end that acted on it. Unknown is said when that cannot be known.
+// The run states. NotRun is a guarantee: no byte of the request reached a back end that
+// acted on it. Unknown means that neither run state can be guaranteed.
 const (
 	Run     RunState = "run"
 	NotRun  RunState = "not-run"
 	Unknown RunState = "unknown"
 )
 
-// Code is the number of one result.
+// Code is a result code.
 type Code int
 
 // The result codes. 1xxx: answered. 2xxx: not run. 3xxx: outcome unknown.
@@ -61,8 +61,8 @@
 	CallerGoneAfterSend Code = 3006
 )
 
-// MissingConfiguration says whether a daemon that answers so did not run the request for want of a
-// configuration, a service or back ends, which another daemon may know.
+// MissingConfiguration reports whether the code means that a daemon did not run the request
+// because it has no configuration, service or back ends for it, which another daemon may have.
 func (c Code) MissingConfiguration() bool {
 	switch c {
 	case NoService, NoBackend, NotConfigured:
@@ -71,12 +71,12 @@
 	return false
 }
 
-// Info describes a code for callers and for the documentation.
+// Info describes a result code for callers and for the documentation.
 type Info struct {
 	Code   Code
 	Name   string
 	Run    RunState
-	Status int // HTTP status sent with the code; 0 when the back end's is kept
+	Status int // HTTP status sent with the code; 0: the status of the back end is forwarded
 	Title  string
 }
 
@@ -112,13 +112,12 @@
 	{CallerGoneAfterSend, "caller-gone-after-send", Unknown, 499, "The caller left after the request was sent."},
 }
 
-// Table returns every code in ascending order.
+// Table returns all codes in ascending order.
 func Table() []Info {
 	return append([]Info(nil), table...)
 }
 
-// Info returns the description of the code; an unlisted code is described as
-// an unknown outcome.
+// Info returns the description of the code. An unlisted code has the run state Unknown.
 func (c Code) Info() Info {
 	for _, info := range table {
 		if info.Code == c {
--- a/resultcode/resultcode_test.go
+++ b/resultcode/resultcode_test.go
@@ -11,20 +11,19 @@
 	"github.com/tuliphall/tuliphall/resultcode"
 )
 
-// TestTableInDocs keeps docs/result-codes.md equal to the code.
+// TestTableInDocs guards against the table in docs/result-codes.md differing from the code.
 func TestTableInDocs(t *testing.T) {
 	text, err := os.ReadFile("../docs/result-codes.md")
 	require.NoError(t, err)
 	rows := regexp.MustCompile(`(?m)^\| (\d+) \| .*$`).FindAllString(string(text), -1)
-	var wanted []string
+	var want []string
 	for _, info := range resultcode.Table() {
-		wanted = append(wanted, fmt.Sprintf("| %d | %s | %s | %d | %s |", info.Code, info.Name, info.Run, info.Status, info.Title))
+		want = append(want, fmt.Sprintf("| %d | %s | %s | %d | %s |", info.Code, info.Name, info.Run, info.Status, info.Title))
 	}
-	require.Equal(t, wanted, rows)
+	require.Equal(t, want, rows)
 }
 
-// TestRunStateFollowsNumber checks that the thousands of a code say whether the
-// request ran.
+// TestRunStateFollowsNumber guards against a code whose first digit does not match its run state.
 func TestRunStateFollowsNumber(t *testing.T) {
 	states := map[resultcode.Code]resultcode.RunState{1: resultcode.Run, 2: resultcode.NotRun, 3: resultcode.Unknown}
 	for _, info := range resultcode.Table() {
