--- a/explain/cause.go
+++ b/explain/cause.go
@@ -13,52 +13,53 @@
 
 // Cause is why a request ended as it did.
 type Cause struct {
-	// Kind groups requests with the same cause: short, without names.
+	// Kind is a short text without names, equal for requests with the same cause.
 	Kind string
-	// Subject names the daemon, back end or service concerned.
+	// Subject is the name of the daemon, back end, service or tenant concerned.
 	Subject string
-	// Description says it for a person.
+	// Description describes the cause to operators.
 	Description string
-	// Assumption is what was believed wrongly, or not known; empty: nothing.
+	// Assumption is what a daemon assumed or did not know at that time, which may have been
+	// wrong; empty: nothing is known of that.
 	Assumption string
 }
 
-// kindOwnFailure is an answer of a back end that says that it failed.
-const kindOwnFailure = "back end's own failure"
+// kindBackendFailure is the kind of a response with which a back end reports its own failure.
+const kindBackendFailure = "back end's own failure"
 
-// outcomeOf returns which line of a request says how it ended, that of the daemon which it reached first; -1:
-// none does.
-func outcomeOf(story []Line) int {
-	return slices.IndexFunc(story, Line.isOutcome)
+// outcomeIndex returns the index of the first outcome line, which is that of the daemon that the request reached first;
+// -1: there is none.
+func outcomeIndex(lines []Line) int {
+	return slices.IndexFunc(lines, Line.isOutcome)
 }
 
-// causeOf finds the cause from a request's lines, in order.
-func (l *Log) causeOf(story []Line) Cause {
-	end := outcomeOf(story)
+// determineCause determines the cause from the ordered lines of a request.
+func (l *Log) determineCause(lines []Line) Cause {
+	end := outcomeIndex(lines)
 	if end < 0 {
-		return l.unfinished(story[len(story)-1])
+		return l.causeWithoutOutcome(lines[len(lines)-1])
 	}
-	outcome := story[end]
+	outcome := lines[end]
 	switch outcome.Message {
 	case messageAnswered:
 		if outcome.Status == http.StatusGatewayTimeout {
-			return l.slowBackend(outcome, story[:end])
+			return l.slowBackendCause(outcome, lines[:end])
 		}
-		cause := answered(outcome)
-		cause.Assumption = l.newerElsewhere(outcome.Daemon, outcome.Time)
+		cause := answeredCause(outcome)
+		cause.Assumption = l.newerRevisionElsewhere(outcome.Daemon, outcome.Time)
 		return cause
 	case messageBrokenOff:
-		return l.brokenOff(outcome)
+		return l.brokenOffCause(outcome)
 	}
 	switch code := resultcode.Code(outcome.Code); code {
 	case resultcode.NoService:
-		return l.unknownRoute(outcome)
+		return l.unknownRouteCause(outcome)
 	case resultcode.NotConfigured:
-		return l.notConfigured(outcome)
+		return l.notConfiguredCause(outcome)
 	case resultcode.QueueFull, resultcode.WaitExpired, resultcode.DeadlineTooShort:
-		return l.overloaded(outcome)
+		return l.overloadedCause(outcome)
 	case resultcode.NoBackend:
-		return l.noBackend(outcome)
+		return l.noBackendCause(outcome)
 	case resultcode.BackendsPaused:
 		return Cause{
 			Kind: "back ends asked for a pause", Subject: outcome.Service,
@@ -81,12 +82,12 @@
 			Description: fmt.Sprintf("The tenant asked for more than its rate and burst (%s), as %s counted; the request has not run. See tuliphall tenants.", outcome.Cause, outcome.RefusedBy),
 		}
 	case resultcode.ConnectFailed, resultcode.ConnectionBroken, resultcode.BackendRefused, resultcode.AnswerUnverifiable:
-		return l.brokenBackend(outcome)
+		return l.brokenBackendCause(outcome)
 	case resultcode.DeadlineExceeded, resultcode.CallerGoneAfterSend:
-		return l.slowBackend(outcome, story[:end])
+		return l.slowBackendCause(outcome, lines[:end])
 	case resultcode.CallerGone:
 		if outcome.Sent > 0 {
-			return l.notOpened(outcome)
+			return l.notConnectedCause(outcome)
 		}
 		return Cause{Kind: "caller left while it waited", Subject: outcome.Service, Description: fmt.Sprintf("The caller left after %s, before a place at a back end was free.", outcome.Total)}
 	default:
@@ -94,21 +95,21 @@
 	}
 }
 
-// unfinished is a request without an outcome line.
-func (l *Log) unfinished(last Line) Cause {
-	if started, ok := l.next(last.Daemon, last.Time, messageStarted); ok {
+// causeWithoutOutcome handles a request without an outcome line.
+func (l *Log) causeWithoutOutcome(last Line) Cause {
+	if started, ok := l.nextLine(last.Daemon, last.Time, messageStarted); ok {
 		return Cause{
 			Kind: "daemon ended", Subject: last.Daemon,
-			Description: fmt.Sprintf("%s ended with the request in flight, without a planned stop, and started again at %s. Lines of its last 100 ms may be lost.", last.Daemon, clock(started.Time)),
+			Description: fmt.Sprintf("%s ended with the request in flight, without a planned stop, and started again at %s. Lines of its last 100 ms may be lost.", last.Daemon, formatTime(started.Time)),
 		}
 	}
 	return Cause{Kind: "no outcome logged", Subject: last.Daemon, Description: "No line tells how it ended: " + last.Daemon + " had not finished it when its log ends, or ended for good."}
 }
 
-func answered(outcome Line) Cause {
+func answeredCause(outcome Line) Cause {
 	if outcome.Status >= http.StatusInternalServerError {
 		return Cause{
-			Kind: kindOwnFailure, Subject: outcome.Backend,
+			Kind: kindBackendFailure, Subject: outcome.Backend,
 			Description: fmt.Sprintf("Back end %s ran it and answered with status %d of its own.", outcome.Backend, outcome.Status),
 		}
 	}
@@ -118,46 +119,46 @@
 	}
 }
 
-func (l *Log) brokenOff(outcome Line) Cause {
+func (l *Log) brokenOffCause(outcome Line) Cause {
 	if outcome.Side == "caller" {
 		return Cause{Kind: "caller left during the answer", Subject: outcome.Service, Description: "The caller's connection ended while the answer was passed on: " + outcome.Cause + "."}
 	}
 	return Cause{
 		Kind: "back end broke its answer off", Subject: string(outcome.Backends),
-		Description: fmt.Sprintf("Back end %s began an answer and did not finish it (%s), so the caller's was broken off too.%s", outcome.Backends, outcome.Cause, l.othersAt(outcome)),
+		Description: fmt.Sprintf("Back end %s began an answer and did not finish it (%s), so the caller's was broken off too.%s", outcome.Backends, outcome.Cause, l.otherRequestsAt(outcome)),
 	}
 }
 
-func (l *Log) unknownRoute(outcome Line) Cause {
+func (l *Log) unknownRouteCause(outcome Line) Cause {
 	cause := Cause{Kind: "route unknown", Subject: outcome.Daemon}
-	own, _ := l.last(outcome.Daemon, outcome.Time, messageInForce)
-	cause.Assumption = l.newerElsewhere(outcome.Daemon, outcome.Time)
+	own, _ := l.lastLine(outcome.Daemon, outcome.Time, messageInForce)
+	cause.Assumption = l.newerRevisionElsewhere(outcome.Daemon, outcome.Time)
 	if cause.Assumption == "" {
 		cause.Description = fmt.Sprintf("No route matches (%s). %s had revision %d, as all others.", outcome.Cause, outcome.Daemon, own.Revision)
 		return cause
 	}
 	cause.Kind = "route not known yet"
-	cause.Description = fmt.Sprintf("No route matched (%s) in revision %d, which %s had in force since %s.", outcome.Cause, own.Revision, outcome.Daemon, clock(own.Time))
+	cause.Description = fmt.Sprintf("No route matched (%s) in revision %d, which %s had in force since %s.", outcome.Cause, own.Revision, outcome.Daemon, formatTime(own.Time))
 	return cause
 }
 
-func (l *Log) notConfigured(outcome Line) Cause {
+func (l *Log) notConfiguredCause(outcome Line) Cause {
 	cause := Cause{Kind: "daemon had no configuration yet", Subject: outcome.Daemon, Description: outcome.Daemon + " had no configuration yet."}
-	if started, ok := l.last(outcome.Daemon, outcome.Time, messageStarted); ok {
+	if started, ok := l.lastLine(outcome.Daemon, outcome.Time, messageStarted); ok {
 		cause.Description = fmt.Sprintf("%s had started %s before and had no configuration yet.", outcome.Daemon, Duration(outcome.Time.Sub(started.Time)))
 	}
-	if lost, ok := l.last(outcome.Daemon, outcome.Time, messageSourceLost); ok {
+	if lost, ok := l.lastLine(outcome.Daemon, outcome.Time, messageSourceLost); ok {
 		cause.Assumption = "The store did not answer: " + lost.Error
 	}
 	return cause
 }
 
-func (l *Log) overloaded(outcome Line) Cause {
+func (l *Log) overloadedCause(outcome Line) Cause {
 	load := l.loadAround(outcome.Service, outcome.Time)
 	cause := Cause{
 		Kind: "service overloaded", Subject: outcome.Service,
 		Description: fmt.Sprintf("Every place of %s was taken (%s, %s); it was refused without being run, to come back after %s. Within %s, %d requests of the service were refused and %d answered.",
-			outcome.Service, outcome.Name, outcome.Cause, outcome.RetryAfter, near, load.refused, load.answered),
+			outcome.Service, outcome.Name, outcome.Cause, outcome.RetryAfter, correlationWindow, load.refused, load.answered),
 	}
 	switch {
 	case strings.Contains(outcome.Cause, routing.PhraseEvacuated):
@@ -167,90 +168,91 @@
 	case strings.Contains(outcome.Cause, routing.PhraseLimited):
 		cause.Kind = "service overloaded while back ends ask for fewer requests"
 	}
-	giver := outcome.RefusedBy
-	if giver == "" {
-		giver = outcome.Daemon
+	refuser := outcome.RefusedBy
+	if refuser == "" {
+		refuser = outcome.Daemon
 	}
-	for _, chosen := range l.around(giver, outcome.Time, messageDispatcher) {
+	for _, chosen := range l.linesAround(refuser, outcome.Time, messageDispatcher) {
 		if chosen.Service == outcome.Service {
 			cause.Kind = "service overloaded as its dispatcher changed"
-			cause.Assumption = fmt.Sprintf("%s gave out the places; it had taken %s for the dispatcher at %s, and %q before.", giver, chosen.Dispatcher, clock(chosen.Time), chosen.Previous)
+			cause.Assumption = fmt.Sprintf("%s gave out the places; it had taken %s for the dispatcher at %s, and %q before.", refuser, chosen.Dispatcher, formatTime(chosen.Time), chosen.Previous)
 		}
 	}
-	if ejected := l.around(giver, outcome.Time, messageEjected); len(ejected) > 0 && cause.Assumption == "" {
-		cause.Assumption = fmt.Sprintf("%s had left out %d back ends for failing around then, %s first.", giver, len(ejected), ejected[0].Backend)
+	if ejected := l.linesAround(refuser, outcome.Time, messageEjected); len(ejected) > 0 && cause.Assumption == "" {
+		cause.Assumption = fmt.Sprintf("%s had left out %d back ends for failing around then, %s first.", refuser, len(ejected), ejected[0].Backend)
 	}
 	return cause
 }
 
-func (l *Log) noBackend(outcome Line) Cause {
+func (l *Log) noBackendCause(outcome Line) Cause {
 	cause := Cause{Kind: "no back end takes requests", Subject: outcome.Service, Description: fmt.Sprintf("No back end of %s takes requests, as %s knew: all leave, or none is listed.", outcome.Service, outcome.Daemon)}
 	if strings.Contains(outcome.Cause, routing.PhraseEvacuated) {
 		cause.Kind = "zones evacuated"
 		cause.Description = fmt.Sprintf("No back end of %s takes requests, as %s knew: %s.", outcome.Service, outcome.Daemon, outcome.Cause)
 	}
-	if own, ok := l.last(outcome.Daemon, outcome.Time, messageInForce); ok {
-		cause.Assumption = fmt.Sprintf("%s had revision %d and %s back ends in all since %s.", outcome.Daemon, own.Revision, own.Backends, clock(own.Time))
+	if own, ok := l.lastLine(outcome.Daemon, outcome.Time, messageInForce); ok {
+		cause.Assumption = fmt.Sprintf("%s had revision %d and %s back ends in all since %s.", outcome.Daemon, own.Revision, own.Backends, formatTime(own.Time))
 	}
 	return cause
 }
 
-func (l *Log) brokenBackend(outcome Line) Cause {
-	last := lastOf(outcome)
+func (l *Log) brokenBackendCause(outcome Line) Cause {
+	last := lastBackend(outcome)
 	kinds := map[resultcode.Code]string{
 		resultcode.ConnectFailed: "back end not reached", resultcode.ConnectionBroken: "back end broke the connection",
 		resultcode.BackendRefused: "back ends refused", resultcode.AnswerUnverifiable: "back end's answer not whole or not its own",
 	}
 	return Cause{
 		Kind: kinds[resultcode.Code(outcome.Code)], Subject: last,
-		Description: fmt.Sprintf("%s (%s). It was sent %d times, to %s; %s.%s", resultcode.Code(outcome.Code).Info().Title, outcome.Cause, outcome.Sent, outcome.Backends, runSentence(outcome), l.othersAt(outcome)),
+		Description: fmt.Sprintf("%s (%s). It was sent %d times, to %s; %s.%s", resultcode.Code(outcome.Code).Info().Title, outcome.Cause, outcome.Sent, outcome.Backends, describeRun(outcome), l.otherRequestsAt(outcome)),
 	}
 }
 
-// notOpened is a request whose caller left while a connection was being opened.
-func (l *Log) notOpened(outcome Line) Cause {
-	last := lastOf(outcome)
+// notConnectedCause handles a request whose caller left while a connection was being opened.
+func (l *Log) notConnectedCause(outcome Line) Cause {
+	last := lastBackend(outcome)
 	return Cause{
 		Kind: "back end not reached", Subject: last,
-		Description: fmt.Sprintf("No connection to back end %s was opened before the caller left after %s; it has not run.%s", last, outcome.Total, l.othersAt(outcome)),
+		Description: fmt.Sprintf("No connection to back end %s was opened before the caller left after %s; it has not run.%s", last, outcome.Total, l.otherRequestsAt(outcome)),
 	}
 }
 
-// lastOf returns the last back end that a request was sent to.
-func lastOf(outcome Line) string {
-	tried := outcome.tried()
-	if len(tried) == 0 {
+// lastBackend returns the last back end that a request was sent to, or the service if there is none.
+func lastBackend(outcome Line) string {
+	backends := outcome.backends()
+	if len(backends) == 0 {
 		return outcome.Service
 	}
-	return tried[len(tried)-1]
+	return backends[len(backends)-1]
 }
 
-func runSentence(outcome Line) string {
+func describeRun(outcome Line) string {
 	if outcome.Run == string(resultcode.NotRun) {
 		return "it has not run"
 	}
 	return "whether it ran is not known"
 }
 
-// othersAt says what became of other requests at the last back end around then.
-func (l *Log) othersAt(outcome Line) string {
+// otherRequestsAt describes the outcomes of other requests at the last back end within correlationWindow.
+func (l *Log) otherRequestsAt(outcome Line) string {
 	answered, failed := 0, 0
-	last := lastOf(outcome)
+	last := lastBackend(outcome)
 	for _, line := range l.byBackend[last] {
 		switch {
-		case line.Request == outcome.Request || distance(line.Time, outcome.Time) > near:
+		case line.Request == outcome.Request || distance(line.Time, outcome.Time) > correlationWindow:
 		case line.Message == messageAnswered:
 			answered++
 		default:
 			failed++
 		}
 	}
-	return fmt.Sprintf(" Within %s, %s answered %d others and failed %d.", near, last, answered, failed)
+	return fmt.Sprintf(" Within %s, %s answered %d others and failed %d.", correlationWindow, last, answered, failed)
 }
 
-// slowBackend is a request that ran out of time at back ends.
-func (l *Log) slowBackend(outcome Line, before []Line) Cause {
-	last := lastOf(outcome)
+// slowBackendCause handles a request that ran out of time while back ends ran it. before are the
+// lines before its outcome.
+func (l *Log) slowBackendCause(outcome Line, before []Line) Cause {
+	last := lastBackend(outcome)
 	sent := outcome.Time.Add(-time.Duration(outcome.Total))
 	cause := Cause{Kind: "back end too slow", Subject: last}
 	for _, line := range before {
@@ -259,7 +261,7 @@
 			cause.Assumption = fmt.Sprintf("%s chose %s among %d by a report %s old, with %s left.", line.Dispatcher, line.Backend, line.Candidates, line.ReportAge, line.Remaining)
 		}
 	}
-	how, silent := l.answersSince(last, sent, outcome.Time)
+	description, silent := l.describeResponses(last, sent, outcome.Time)
 	if silent {
 		cause.Kind = "back end silent"
 	}
@@ -270,13 +272,13 @@
 	if resultcode.Code(outcome.Code) == resultcode.CallerGoneAfterSend {
 		ended = "the caller left"
 	}
-	cause.Description = fmt.Sprintf("No answer came from %s before %s after %s; %s.", outcome.Backends, ended, outcome.Total, how)
+	cause.Description = fmt.Sprintf("No answer came from %s before %s after %s; %s.", outcome.Backends, ended, outcome.Total, description)
 	return cause
 }
 
-// answersSince says how a back end answered others while a request was there, and
-// whether it had fallen silent: it answered nobody in the second half of that time.
-func (l *Log) answersSince(backend string, sent, end time.Time) (how string, silent bool) {
+// describeResponses describes how a back end responded to other requests while a request was
+// there, and reports whether it was silent: it responded to none in the second half of that time.
+func (l *Log) describeResponses(backend string, sent, end time.Time) (description string, silent bool) {
 	var last, slowest Line
 	for _, line := range l.byBackend[backend] {
 		if line.Message != messageAnswered || line.Time.After(end) {
@@ -293,12 +295,12 @@
 		return backend + " answered nobody before", true
 	}
 	if last.Time.Before(sent.Add(end.Sub(sent) / 2)) {
-		return fmt.Sprintf("%s answered nobody after %s", backend, clock(last.Time)), true
+		return fmt.Sprintf("%s answered nobody after %s", backend, formatTime(last.Time)), true
 	}
 	return fmt.Sprintf("%s answered others meanwhile, the slowest after %s with a slowdown of %g", backend, slowest.Latency, slowest.Slowdown), false
 }
 
-// clock is how times of day are written.
-func clock(at time.Time) string {
+// formatTime formats a time of day.
+func formatTime(at time.Time) string {
 	return at.UTC().Format("15:04:05.000")
 }
--- a/explain/doc.go
+++ b/explain/doc.go
@@ -1,11 +1,11 @@
-// Package explain tells from the logs of many daemons how a request ended and why.
+// Package explain determines from the logs of many daemons how a request ended and why.
 //
-// A daemon writes a line for each decision that touches a request and for each change
-// of what it believes. Read gathers the lines of any number of daemons in a Log; Explain
-// finds those of one request, tells its story in order, and names a cause from them and
-// from what daemons believed around that time. Summarize groups all failed requests by
-// cause. Nothing but the logs is asked.
+// A daemon logs each decision about a request and each change of the state that it bases
+// decisions on. Read collects the lines of any number of daemons in a Log. Explain finds the
+// lines of one request, orders them, and determines a cause from them and from the state
+// that daemons logged around that time. Summarize groups all failed requests by cause. Logs
+// are the only input.
 //
-// Lines of one daemon are in order. Those of different daemons are compared by time of
-// day, which may be off by seconds: only spans of seconds are drawn from that.
+// Lines of one daemon are in order. Lines of different daemons are compared by their time,
+// and clocks may differ by seconds: only intervals of seconds are derived from that.
 package explain
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -13,23 +13,23 @@
 	Request string
 	Lines   []Line
 	Cause   Cause
-	// BackendSignals is what daemons knew of the back ends that the request was sent to, where that might have kept it away.
+	// BackendSignals describe what daemons knew of draining and pauses of the back ends that the request was sent to.
 	BackendSignals []string
 }
 
-// Explain explains a request. The error is errors.NotFound where no line has its id.
+// Explain explains the request with an id. The error is errors.NotFound if no line has the id.
 func (l *Log) Explain(request string) (Explanation, error) {
-	story := l.story(request)
-	if len(story) == 0 {
-		return Explanation{}, errors.NotFoundf("request %s in %d lines: it never reached a daemon whose log this is, or its lines were left out; it", request, l.lines)
+	lines := l.linesOf(request)
+	if len(lines) == 0 {
+		return Explanation{}, errors.NotFoundf("request %s in %d lines: it never reached a daemon whose log was read, or its lines were dropped; it", request, l.lines)
 	}
-	return Explanation{Request: request, Lines: story, Cause: l.causeOf(story), BackendSignals: l.knownOf(story)}, nil
+	return Explanation{Request: request, Lines: lines, Cause: l.determineCause(lines), BackendSignals: l.backendSignals(lines)}, nil
 }
 
-// Print writes the explanation for a person.
+// Print writes the explanation as text for operators.
 func (e Explanation) Print(out io.Writer) error {
 	for _, line := range e.Lines {
-		if _, err := fmt.Fprintf(out, "%s  %-20s  %s\n", clock(line.Time), line.Daemon, line.summary()); err != nil {
+		if _, err := fmt.Fprintf(out, "%s  %-20s  %s\n", formatTime(line.Time), line.Daemon, line.summary()); err != nil {
 			return err
 		}
 	}
@@ -37,15 +37,15 @@
 	if err == nil && e.Cause.Assumption != "" {
 		_, err = fmt.Fprintf(out, "Believed: %s\n", e.Cause.Assumption)
 	}
-	for _, known := range e.BackendSignals {
+	for _, signal := range e.BackendSignals {
 		if err == nil {
-			_, err = fmt.Fprintf(out, "Known: %s\n", known)
+			_, err = fmt.Fprintf(out, "Known: %s\n", signal)
 		}
 	}
 	return err
 }
 
-// summary is a line in a few words.
+// summary returns a short text for the line.
 func (l Line) summary() string {
 	switch l.Message {
 	case messageChosen:
@@ -65,36 +65,36 @@
 	return l.Message + " " + l.Cause + l.Error
 }
 
-// Group is the failed requests with one cause.
+// Group summarizes the failed requests with one kind of cause.
 type Group struct {
 	Kind     string
 	Requests int
 	Example  Explanation
-	First    Line // outcome of the first, by its daemon's clock
-	Last     Line
-	// TopSubject is where most of them were, and how many.
+	First    Line // last line of the earliest request, by its daemon's clock
+	Last     Line // last line of the latest request
+	// TopSubject is the most frequent subject.
 	TopSubject string
-	TopCount   int
+	TopCount   int // requests with TopSubject
 
-	places map[string]int
+	subjects map[string]int // requests by subject
 }
 
-// Summarize explains every request that failed, and groups them by cause, the largest
-// group first.
+// Summarize explains all failed requests and groups them by kind of cause, the largest group
+// first.
 func (l *Log) Summarize() []Group {
 	groups := make(map[string]*Group)
 	for _, request := range l.requests {
-		one, err := l.Explain(request)
-		if err != nil || one.Cause.Kind == "answered" {
+		explanation, err := l.Explain(request)
+		if err != nil || explanation.Cause.Kind == "answered" {
 			continue
 		}
-		group, known := groups[one.Cause.Kind]
-		end := one.Lines[len(one.Lines)-1]
-		if !known {
-			group = &Group{Kind: one.Cause.Kind, Example: one, First: end, Last: end, places: make(map[string]int)}
-			groups[one.Cause.Kind] = group
+		group, found := groups[explanation.Cause.Kind]
+		end := explanation.Lines[len(explanation.Lines)-1]
+		if !found {
+			group = &Group{Kind: explanation.Cause.Kind, Example: explanation, First: end, Last: end, subjects: make(map[string]int)}
+			groups[explanation.Cause.Kind] = group
 		}
-		group.take(one, end)
+		group.add(explanation, end)
 	}
 	sorted := make([]Group, 0, len(groups))
 	for _, group := range groups {
@@ -109,7 +109,7 @@
 	return sorted
 }
 
-func (g *Group) take(one Explanation, end Line) {
+func (g *Group) add(explanation Explanation, end Line) {
 	g.Requests++
 	if end.Time.Before(g.First.Time) {
 		g.First = end
@@ -117,8 +117,8 @@
 	if end.Time.After(g.Last.Time) {
 		g.Last = end
 	}
-	g.places[one.Cause.Subject]++
-	if count := g.places[one.Cause.Subject]; count > g.TopCount {
-		g.TopSubject, g.TopCount = one.Cause.Subject, count
+	g.subjects[explanation.Cause.Subject]++
+	if count := g.subjects[explanation.Cause.Subject]; count > g.TopCount {
+		g.TopSubject, g.TopCount = explanation.Cause.Subject, count
 	}
 }
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -13,9 +13,9 @@
 	"github.com/tuliphall/tuliphall/explain"
 )
 
-// text makes a log of lines in JSON. A line is the second at which it was written, its
-// daemon, its message, and further fields as JSON.
-func text(lines ...string) string {
+// jsonLog returns a log in JSON. Each line is given as "TIME|DAEMON|MESSAGE|FIELDS": the time
+// since 12:00, and further fields in JSON.
+func jsonLog(lines ...string) string {
 	var log strings.Builder
 	for _, line := range lines {
 		parts := strings.SplitN(line, "|", 4)
@@ -33,10 +33,10 @@
 	return log.String()
 }
 
-func read(t *testing.T, texts ...string) *explain.Log {
+func readLogs(t *testing.T, logs ...string) *explain.Log {
 	log := explain.NewLog()
-	for _, one := range texts {
-		require.NoError(t, explain.Read(strings.NewReader(one), log))
+	for _, text := range logs {
+		require.NoError(t, explain.Read(strings.NewReader(text), log))
 	}
 	return log
 }
@@ -46,14 +46,14 @@
 	failed = `"request":"r1","service":"s","class":"c","refused_by":"d2","revision":5,`
 )
 
-// TestCauses names the cause of each way in which a request ends.
+// TestCauses guards against a wrong cause for any outcome of a request.
 func TestCauses(t *testing.T) {
-	for _, one := range []struct {
-		name     string
-		lines    []string
-		kind, at string
-		sentence string
-		belief   string
+	for _, test := range []struct {
+		name          string
+		lines         []string
+		kind, subject string
+		description   string
+		assumption    string
 	}{
 		{"answered", []string{"1s|d1|routing: chosen|" + chosen, `1.2s|d1|frontend: answered|"request":"r1","code":1000,"service":"s","backend":"b1","status":200,"backend_latency":150000000,"total":200000000`},
 			"answered", "b1", "b1 answered after 150ms; 50ms were spent", ""},
@@ -106,36 +106,36 @@
 		{"no end", []string{"1s|d1|routing: chosen|" + chosen}, "no outcome logged", "d1", "No line tells", ""},
 		{"any other", []string{"1s|d1|frontend: failed|" + failed + `"code":2011,"cause":"store down"`}, "store-unavailable", "d1", "store down", ""},
 	} {
-		t.Run(one.name, func(t *testing.T) {
-			explained, err := read(t, text(one.lines...)).Explain("r1")
+		t.Run(test.name, func(t *testing.T) {
+			explanation, err := readLogs(t, jsonLog(test.lines...)).Explain("r1")
 			require.NoError(t, err)
-			require.Equal(t, one.kind, explained.Cause.Kind)
-			require.Equal(t, one.at, explained.Cause.Subject)
-			require.Contains(t, explained.Cause.Description, one.sentence)
-			require.Contains(t, explained.Cause.Assumption, one.belief)
-			if one.belief == "" {
-				require.NotContains(t, explained.Cause.Assumption, "around then")
+			require.Equal(t, test.kind, explanation.Cause.Kind)
+			require.Equal(t, test.subject, explanation.Cause.Subject)
+			require.Contains(t, explanation.Cause.Description, test.description)
+			require.Contains(t, explanation.Cause.Assumption, test.assumption)
+			if test.assumption == "" {
+				require.NotContains(t, explanation.Cause.Assumption, "around then")
 			}
 			var printed bytes.Buffer
-			require.NoError(t, explained.Print(&printed))
-			require.Contains(t, printed.String(), "Cause: "+one.kind)
+			require.NoError(t, explanation.Print(&printed))
+			require.Contains(t, printed.String(), "Cause: "+test.kind)
 		})
 	}
 }
 
-// TestStoryOfSeveralDaemons keeps the order of each daemon, whatever its clock says of
-// the others', and takes lines behind what a collector puts before them.
+// TestStoryOfSeveralDaemons guards against mixing up lines of daemons whose clocks differ: the
+// lines of each daemon stay in order. It also reads lines to which a log collector added a prefix.
 func TestStoryOfSeveralDaemons(t *testing.T) {
-	entry := "2.5 node-a " + strings.ReplaceAll(text(
+	prefixed := "2.5 node-a " + strings.ReplaceAll(jsonLog(
 		`1s|d1|routing: forwarded|"request":"r1","service":"s","dispatcher":"d2"`,
 		`1.3s|d1|frontend: answered|"request":"r1","service":"s","backend":"b1","status":200`), "\n{", "\n2.5 node-a {")
-	dispatcher := text("1.2s|d2|routing: chosen|"+chosen, `1.1s|d2|frontend: answered|"request":"r1","service":"s","backend":"b1","status":200`)
-	log := read(t, dispatcher, entry, "no line\n{\"a\": 1}\n")
+	dispatcher := jsonLog("1.2s|d2|routing: chosen|"+chosen, `1.1s|d2|frontend: answered|"request":"r1","service":"s","backend":"b1","status":200`)
+	log := readLogs(t, dispatcher, prefixed, "no line\n{\"a\": 1}\n")
 	require.Equal(t, 4, log.LineCount())
-	explained, err := log.Explain("r1")
+	explanation, err := log.Explain("r1")
 	require.NoError(t, err)
 	var order []string
-	for _, line := range explained.Lines {
+	for _, line := range explanation.Lines {
 		order = append(order, line.Daemon+" "+line.Message)
 	}
 	require.Equal(t, []string{
@@ -145,24 +145,24 @@
 	require.ErrorIs(t, err, errors.NotFound)
 }
 
-// TestTextForm reads lines as a person is shown them.
+// TestTextForm reads lines in the text format.
 func TestTextForm(t *testing.T) {
-	explained, err := read(t, `x time=2026-01-01T12:00:01Z level=INFO msg="frontend: failed" daemon=d1 request=12e4 code=2005 name=wait-expired run=not-run cause="waited 31ms" retry_after=100ms service=s sent=0 backends="" total=34.939697ms refused_by=d2 revision=5
+	explanation, err := readLogs(t, `x time=2026-01-01T12:00:01Z level=INFO msg="frontend: failed" daemon=d1 request=12e4 code=2005 name=wait-expired run=not-run cause="waited 31ms" retry_after=100ms service=s sent=0 backends="" total=34.939697ms refused_by=d2 revision=5
 `).Explain("12e4")
 	require.NoError(t, err)
-	require.Equal(t, "service overloaded", explained.Cause.Kind)
-	require.Equal(t, 34939697*time.Nanosecond, time.Duration(explained.Lines[0].Total))
-	require.Equal(t, uint64(5), explained.Lines[0].Revision)
+	require.Equal(t, "service overloaded", explanation.Cause.Kind)
+	require.Equal(t, 34939697*time.Nanosecond, time.Duration(explanation.Lines[0].Total))
+	require.Equal(t, uint64(5), explanation.Lines[0].Revision)
 }
 
-// TestSummary groups failed requests by cause.
+// TestSummary guards against wrong groups of failed requests, counts and order included.
 func TestSummary(t *testing.T) {
 	var lines []string
 	for number, backend := range []string{"b1", "b2", "b1"} {
 		lines = append(lines, fmt.Sprintf(`%ds|d1|frontend: failed|"request":"r%d","service":"s","code":3001,"sent":1,"backends":"%s"`, number, number, backend))
 	}
 	lines = append(lines, `9s|d1|frontend: failed|"request":"r9","service":"s","code":2015`, `9s|d1|frontend: answered|"request":"r10","service":"s","backend":"b1","status":200`)
-	groups := read(t, text(lines...)).Summarize()
+	groups := readLogs(t, jsonLog(lines...)).Summarize()
 	require.Len(t, groups, 2)
 	require.Equal(t, 3, groups[0].Requests)
 	require.Equal(t, "b1", groups[0].TopSubject)
@@ -172,38 +172,38 @@
 	require.Equal(t, "caller left while it waited", groups[1].Kind)
 }
 
-// TestWhatWasKnownOfABackend tells from a request's id whether its daemon knew that the back end was leaving, since when
-// and from whom, and of a pause that it had asked for.
+// TestWhatWasKnownOfABackend guards against wrong statements about what a daemon knew: that the back end was draining,
+// since when and from which source, and that it had asked for a pause.
 func TestWhatWasKnownOfABackend(t *testing.T) {
 	const answered = `1.2s|d1|frontend: answered|"request":"r1","code":1000,"service":"s","backend":"b1","status":200`
-	heard := func(at, daemon, backend, from, request string) string {
+	draining := func(at, daemon, backend, from, request string) string {
 		return fmt.Sprintf(`%s|%s|drains: back end is leaving|"service":"s","backend":%q,"source":"back end","heard_from":%q,"by_request":%q`, at, daemon, backend, from, request)
 	}
-	for name, one := range map[string]struct {
+	for name, test := range map[string]struct {
 		lines []string
 		known string
 	}{
 		"nobody said so":        {},
-		"of another back end":   {lines: []string{heard("0.5s", "d1", "b2", "daemon", "")}},
-		"another daemon knew":   {lines: []string{heard("0.5s", "d2", "b1", "back end", "r0")}},
-		"it knew by an answer":  {lines: []string{heard("0.5s", "d1", "b1", "back end", "r0")}, known: "d1 knew since 12:00:00.500 that b1 was leaving, by the back end, heard from a back end, with the answer to request r0."},
-		"it knew by a daemon":   {lines: []string{heard("0.5s", "d1", "b1", "daemon", "")}, known: "d1 knew since 12:00:00.500 that b1 was leaving, by the back end, heard from a daemon."},
-		"it heard so later":     {lines: []string{heard("1.5s", "d1", "b1", "daemon", "")}, known: "d1 did not know yet that b1 was leaving; it heard so at 12:00:01.500, by the back end, from a daemon."},
-		"the back end was back": {lines: []string{heard("0.5s", "d1", "b1", "daemon", ""), `0.7s|d1|drains: back end is back|"service":"s","backend":"b1"`}},
+		"of another back end":   {lines: []string{draining("0.5s", "d1", "b2", "daemon", "")}},
+		"another daemon knew":   {lines: []string{draining("0.5s", "d2", "b1", "back end", "r0")}},
+		"it knew by an answer":  {lines: []string{draining("0.5s", "d1", "b1", "back end", "r0")}, known: "d1 knew since 12:00:00.500 that b1 was leaving, by the back end, heard from a back end, with the answer to request r0."},
+		"it knew by a daemon":   {lines: []string{draining("0.5s", "d1", "b1", "daemon", "")}, known: "d1 knew since 12:00:00.500 that b1 was leaving, by the back end, heard from a daemon."},
+		"it heard so later":     {lines: []string{draining("1.5s", "d1", "b1", "daemon", "")}, known: "d1 did not know yet that b1 was leaving; it heard so at 12:00:01.500, by the back end, from a daemon."},
+		"the back end was back": {lines: []string{draining("0.5s", "d1", "b1", "daemon", ""), `0.7s|d1|drains: back end is back|"service":"s","backend":"b1"`}},
 		"in a pause":            {lines: []string{`0.5s|d1|pushback: back end asks for a pause|"service":"s","backend":"b1","lasts":4000000000,"by_request":"r0"`}, known: "d1 had been asked by b1 at 12:00:00.500 for a pause of 4s, with the answer to request r0."},
 		"after a pause":         {lines: []string{`0.5s|d1|pushback: back end asks for a pause|"service":"s","backend":"b1","lasts":400000000,"by_request":"r0"`}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			explained, err := read(t, text(append(one.lines, "1s|d1|routing: chosen|"+chosen, answered)...)).Explain("r1")
+			explanation, err := readLogs(t, jsonLog(append(test.lines, "1s|d1|routing: chosen|"+chosen, answered)...)).Explain("r1")
 			require.NoError(t, err)
-			if one.known == "" {
-				require.Empty(t, explained.BackendSignals)
+			if test.known == "" {
+				require.Empty(t, explanation.BackendSignals)
 				return
 			}
-			require.Equal(t, []string{one.known}, explained.BackendSignals)
+			require.Equal(t, []string{test.known}, explanation.BackendSignals)
 			var printed bytes.Buffer
-			require.NoError(t, explained.Print(&printed))
-			require.Contains(t, printed.String(), "Known: "+one.known)
+			require.NoError(t, explanation.Print(&printed))
+			require.Contains(t, printed.String(), "Known: "+test.known)
 		})
 	}
 }
--- a/explain/late.go
+++ b/explain/late.go
@@ -9,8 +9,8 @@
 	"github.com/tuliphall/tuliphall/routing"
 )
 
-// Kinds of cause of an answer that came after its objective. The first that fits counts: what could have been
-// decided otherwise goes before what happened to the request.
+// Kinds of cause of a response later than its objective. The first that applies is used: causes that another decision
+// could have avoided precede those that no decision could.
 const (
 	LateAfterFailure      = "late: sent again after a failure"
 	LateQueued            = "late: waited for a place"
@@ -25,60 +25,60 @@
 	LateUnexplained       = "unnamed"
 )
 
-// Bounds of what counts as the cause of a late answer.
+// Thresholds for causes of late responses.
 const (
-	// waitedPart is from which part of the objective on a wait, or time at the daemon, is the cause.
-	waitedPart = 0.25
-	// oldReport is the age from which on a report is about as old as disturbances of back ends last.
-	oldReport = 100 * time.Millisecond
+	// waitFraction is the fraction of the objective from which a wait, or time at the daemon, is the cause.
+	waitFraction = 0.25
+	// staleReportAge is the age above which a load report is stale: disturbances of back ends last about as long.
+	staleReportAge = 100 * time.Millisecond
 )
 
-// RequestOutcome is how one request ended.
+// RequestOutcome is the outcome of one request.
 type RequestOutcome struct {
 	Line  Line
 	Cause Cause
-	// Late: it was answered after its objective.
+	// Late: the response came after its objective.
 	Late bool
 }
 
-// Succeeded says whether the request got an answer that a back end had made well.
-func (e RequestOutcome) Succeeded() bool {
-	return e.Line.Message == messageAnswered && e.Cause.Kind != kindOwnFailure
+// Succeeded reports whether a back end responded to the request without a failure.
+func (o RequestOutcome) Succeeded() bool {
+	return o.Line.Message == messageAnswered && o.Cause.Kind != kindBackendFailure
 }
 
-// Outcomes returns how all requests ended, those without an outcome's line included. objective returns the
-// objective of the requests of a class; 0: they have none.
+// Outcomes returns the outcomes of all requests, including those without an outcome line. objective returns the
+// objective for requests of a class; 0: there is none.
 func (l *Log) Outcomes(objective func(class string) time.Duration) []RequestOutcome {
-	endings := make([]RequestOutcome, 0, len(l.requests))
+	outcomes := make([]RequestOutcome, 0, len(l.requests))
 	for _, request := range l.requests {
-		story := l.story(request)
-		ending := RequestOutcome{Line: story[len(story)-1], Cause: l.causeOf(story)}
-		if end := outcomeOf(story); end >= 0 {
-			ending.Line = story[end]
+		lines := l.linesOf(request)
+		outcome := RequestOutcome{Line: lines[len(lines)-1], Cause: l.determineCause(lines)}
+		if end := outcomeIndex(lines); end >= 0 {
+			outcome.Line = lines[end]
 		}
-		within := objective(ending.Line.Class)
-		if ending.Succeeded() && within > 0 && time.Duration(ending.Line.Total) > within {
-			ending.Late, ending.Cause = true, lateCause(story, ending.Line, within)
+		objectiveTime := objective(outcome.Line.Class)
+		if outcome.Succeeded() && objectiveTime > 0 && time.Duration(outcome.Line.Total) > objectiveTime {
+			outcome.Late, outcome.Cause = true, lateCause(lines, outcome.Line, objectiveTime)
 		}
-		endings = append(endings, ending)
+		outcomes = append(outcomes, outcome)
 	}
-	return endings
+	return outcomes
 }
 
-// lateCause names why an answer came after its objective.
-func lateCause(story []Line, outcome Line, objective time.Duration) Cause {
-	cause := Cause{Kind: lateKind(story, outcome, objective), Subject: outcome.Backend}
+// lateCause returns why a response came after its objective.
+func lateCause(lines []Line, outcome Line, objective time.Duration) Cause {
+	cause := Cause{Kind: lateKind(lines, outcome, objective), Subject: outcome.Backend}
 	cause.Description = fmt.Sprintf("Back end %s answered after %s; %s in all, %s were allowed.", outcome.Backend, outcome.Latency, outcome.Total, objective)
 	return cause
 }
 
-func lateKind(story []Line, outcome Line, objective time.Duration) string {
-	patience := Duration(waitedPart * float64(objective))
-	chosen := chosenFor(story, outcome)
+func lateKind(lines []Line, outcome Line, objective time.Duration) string {
+	threshold := Duration(waitFraction * float64(objective))
+	chosen := decisionFor(lines, outcome)
 	switch {
-	case slices.ContainsFunc(story, func(line Line) bool { return line.Message == messageAttempt }):
+	case slices.ContainsFunc(lines, func(line Line) bool { return line.Message == messageAttempt }):
 		return LateAfterFailure
-	case chosen.Waited >= patience:
+	case chosen.Waited >= threshold:
 		return LateQueued
 	case strings.Contains(outcome.Hedge, "none:"), strings.Contains(outcome.Hedge, "no attempt left"):
 		return LateHedgeMissing
@@ -86,7 +86,7 @@
 		return LateHedgeTooLate
 	case chosen.Message != "" && chosen.ReportAge < 0:
 		return LateWithoutReport
-	case time.Duration(chosen.ReportAge) > oldReport:
+	case time.Duration(chosen.ReportAge) > staleReportAge:
 		return LateStaleReport
 	case outcome.InFlight > 1:
 		return LateConcurrentRequest
@@ -94,15 +94,15 @@
 		return LateDisturbed
 	case time.Duration(outcome.Latency) >= objective:
 		return LateBackendSlow
-	case outcome.Total-outcome.Latency >= patience:
+	case outcome.Total-outcome.Latency >= threshold:
 		return LateAtDaemon
 	}
 	return LateUnexplained
 }
 
-// chosenFor returns the line of the choice of the back end that answered.
-func chosenFor(story []Line, outcome Line) Line {
-	for _, line := range story {
+// decisionFor returns the line of the decision that chose the back end that answered.
+func decisionFor(lines []Line, outcome Line) Line {
+	for _, line := range lines {
 		if line.Message == messageChosen && line.Backend == outcome.Backend {
 			return line
 		}
--- a/explain/line.go
+++ b/explain/line.go
@@ -13,8 +13,8 @@
 	"github.com/juju/errors"
 )
 
-// Line is one line of a daemon's log, with the fields that explanations need. Fields
-// that a line does not have are empty.
+// Line is a log line of a daemon, with the fields that explanations need. Fields that are not
+// in the line are zero.
 type Line struct {
 	Time    time.Time `json:"time"`
 	Message string    `json:"msg"`
@@ -23,7 +23,7 @@
 	Request string `json:"request"`
 	Service string `json:"service"`
 
-	// Of a choice.
+	// Routing decisions.
 	Kind       string   `json:"attempt_kind"`
 	Backend    string   `json:"backend"`
 	Dispatcher string   `json:"dispatcher"`
@@ -33,7 +33,7 @@
 	Waited     Duration `json:"waited"`
 	Remaining  Duration `json:"remaining"`
 
-	// Of how an attempt or a request ended.
+	// Outcomes of attempts and requests.
 	Code       int      `json:"code"`
 	Name       string   `json:"name"`
 	Run        string   `json:"run"`
@@ -42,7 +42,7 @@
 	RetryAfter Duration `json:"retry_after"`
 	RefusedBy  string   `json:"refused_by"`
 	Sent       int      `json:"sent"`
-	Backends   Text     `json:"backends"` // ids, separated by spaces; elsewhere a number
+	Backends   Text     `json:"backends"` // ids, separated by spaces; a number in other messages
 	Total      Duration `json:"total"`
 	Tenant     string   `json:"tenant"`
 	Side       string   `json:"side"`
@@ -53,27 +53,27 @@
 	Class      string   `json:"class"`
 	Hedge      string   `json:"hedge"`
 
-	// Of what a daemon believes.
+	// Changes of a daemon's state.
 	Revision uint64 `json:"revision"`
 	Previous Text   `json:"before"`
 	Source   Text   `json:"source"`
 	Error    string `json:"error"`
-	// Of a configuration that was not put in force, and of the store's era.
+	// Configurations that were rejected as older, and the era of the store.
 	OfferedRevision uint64 `json:"offered_revision"`
 	OfferedStored   string `json:"offered_stored"`
 	Era             uint64 `json:"era"`
-	// Of what a back end says of itself: who told the daemon, the request whose answer said it, and how long a pause lasts.
+	// Signals of back ends: where the daemon got it from, the request whose response had it, and the length of a pause.
 	HeardFrom string   `json:"heard_from"`
 	ByRequest string   `json:"by_request"`
 	Lasts     Duration `json:"lasts"`
 
-	// Text is the line as it was written.
+	// Text is the unparsed line.
 	Text string `json:"-"`
-	// number is the place of the line in the input.
+	// number is the position of the line in the input.
 	number int
 }
 
-// Duration is a time that is written as nanoseconds, or with a unit.
+// Duration is a duration that is logged in nanoseconds or with a unit.
 type Duration time.Duration
 
 // UnmarshalJSON implements json.Unmarshaler.
@@ -88,12 +88,12 @@
 	return errors.Trace(err)
 }
 
-// String returns the time rounded for reading.
+// String returns the duration rounded to 100 µs.
 func (d Duration) String() string {
 	return time.Duration(d).Round(100 * time.Microsecond).String()
 }
 
-// Text is a field that is a text in some lines and a number in others.
+// Text is a field that is a string in some messages and a number in others.
 type Text string
 
 // UnmarshalJSON implements json.Unmarshaler.
@@ -106,58 +106,57 @@
 	return nil
 }
 
-// maxLineBytes is the longest line that is read.
+// maxLineBytes is the maximum length of a line. Read fails for a longer one.
 const maxLineBytes = 1 << 20
 
-// textStart is how a line in text form begins.
-const textStart = "time="
+// textPrefix begins a line in text format.
+const textPrefix = "time="
 
-// Read takes in the lines of a log, in JSON or in text. What stands before a line, as
-// collectors of logs write it, is passed over, and so are lines that are none of a
-// daemon's.
-func Read(from io.Reader, into *Log) error {
-	return read(from, func(line Line, _ []byte) { into.add(line) })
+// Read adds the lines of a log, in JSON or text format, to log. It skips lines that are not a
+// daemon's, and prefixes that log collectors add to lines.
+func Read(from io.Reader, log *Log) error {
+	return read(from, func(line Line, _ []byte) { log.add(line) })
 }
 
-// ReadTimed is Read of a log whose collector wrote before each line at which second it came. It returns
-// when those seconds began, by the daemons' clocks; the zero time where none is written. A line comes
-// some time after it was written, so that the latest beginning that any line tells is nearest.
-func ReadTimed(from io.Reader, into *Log) (began time.Time, err error) {
+// ReadTimed is Read for a log whose collector prefixes each line with the second at which it arrived, counted from
+// a start. It returns that start by the daemons' clocks, or the zero time if no line has the prefix. Lines arrive
+// some time after they are written, so that the latest start derived from any line is the best estimate.
+func ReadTimed(from io.Reader, log *Log) (began time.Time, err error) {
 	err = read(from, func(line Line, text []byte) {
-		into.add(line)
-		words := strings.Fields(string(text[:min(len(text), maxSecondBytes)]))
-		if len(words) == 0 {
+		log.add(line)
+		fields := strings.Fields(string(text[:min(len(text), maxOffsetBytes)]))
+		if len(fields) == 0 {
 			return
 		}
-		second, err := strconv.ParseFloat(words[0], 64)
+		offset, err := strconv.ParseFloat(fields[0], 64)
 		if err != nil {
-			return // no second stands there
+			return // the line has no such prefix
 		}
-		if told := line.Time.Add(-time.Duration(second * float64(time.Second))); told.After(began) {
-			began = told
+		if estimate := line.Time.Add(-time.Duration(offset * float64(time.Second))); estimate.After(began) {
+			began = estimate
 		}
 	})
 	return began, err
 }
 
-// maxSecondBytes is how much of a line may hold the second at which it came.
-const maxSecondBytes = 24
+// maxOffsetBytes is the length of the beginning of a line that is searched for the second.
+const maxOffsetBytes = 24
 
-func read(from io.Reader, take func(line Line, text []byte)) error {
+func read(from io.Reader, handle func(line Line, text []byte)) error {
 	scanner := bufio.NewScanner(from)
 	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	for scanner.Scan() {
-		if line, ok := parse(scanner.Bytes()); ok {
-			take(line, scanner.Bytes())
+		if line, ok := parseLine(scanner.Bytes()); ok {
+			handle(line, scanner.Bytes())
 		}
 	}
 	return errors.Annotate(scanner.Err(), "log")
 }
 
-func parse(text []byte) (Line, bool) {
-	brace, word := bytes.IndexByte(text, '{'), bytes.Index(text, []byte(textStart))
-	if word >= 0 && (brace < 0 || word < brace) {
-		return parseText(text[word:])
+func parseLine(text []byte) (Line, bool) {
+	brace, prefix := bytes.IndexByte(text, '{'), bytes.Index(text, []byte(textPrefix))
+	if prefix >= 0 && (brace < 0 || prefix < brace) {
+		return parseText(text[prefix:])
 	}
 	if brace < 0 {
 		return Line{}, false
@@ -165,19 +164,19 @@
 	return decode(text[brace:], string(text[brace:]))
 }
 
-// numeric are the fields that are numbers also in text form.
-var numeric = map[string]bool{
+// numericFields are the fields that must be numbers in JSON. The text format does not distinguish them.
+var numericFields = map[string]bool{
 	"candidates": true, "code": true, "sent": true, "status": true, "backend_slowdown": true, "backend_in_flight": true, "revision": true,
 }
 
-// parseText reads a line in text form by way of JSON.
+// parseText parses a line in text format by converting it to JSON.
 func parseText(text []byte) (Line, bool) {
 	fields := make(map[string]any)
 	decoder := logfmt.NewDecoder(bytes.NewReader(text))
 	for decoder.ScanRecord() {
 		for decoder.ScanKeyval() {
 			key, value := string(decoder.Key()), string(decoder.Value())
-			if numeric[key] {
+			if numericFields[key] {
 				fields[key] = json.RawMessage(value)
 			} else {
 				fields[key] = value
--- a/explain/log.go
+++ b/explain/log.go
@@ -8,53 +8,53 @@
 	"github.com/tuliphall/tuliphall/resultcode"
 )
 
-// The messages that explanations are drawn from. Tests of lab/objectstub explain
-// requests of real daemons.
+// The log messages that explanations are based on. Tests in lab/objectstub check them with
+// requests to real daemons.
 const (
-	messageChosen     = "routing: chosen"
-	messageForwarded  = "routing: forwarded"
-	messageAnswered   = "frontend: answered"
-	messageFailed     = "frontend: failed"
-	messageBrokenOff  = "frontend: answer broken off"
-	messageAttempt    = "frontend: attempt failed"
-	messageInForce    = "configuration: in force"
-	messagePassedOver = "configuration: older document passed over"
-	messageStarted    = "daemon: started"
-	messageDispatcher = "membership: dispatcher chosen"
-	messageEjected    = "outlier: back end ejected"
-	messageSourceLost = "configuration: source lost"
-	messageLeaving    = "drains: back end is leaving"
-	messageBack       = "drains: back end is back"
-	messagePause      = "pushback: back end asks for a pause"
+	messageChosen        = "routing: chosen"
+	messageForwarded     = "routing: forwarded"
+	messageAnswered      = "frontend: answered"
+	messageFailed        = "frontend: failed"
+	messageBrokenOff     = "frontend: answer broken off"
+	messageAttempt       = "frontend: attempt failed"
+	messageInForce       = "configuration: in force"
+	messageOlderDocument = "configuration: older document passed over"
+	messageStarted       = "daemon: started"
+	messageDispatcher    = "membership: dispatcher chosen"
+	messageEjected       = "outlier: back end ejected"
+	messageSourceLost    = "configuration: source lost"
+	messageDraining      = "drains: back end is leaving"
+	messageDrainEnded    = "drains: back end is back"
+	messagePause         = "pushback: back end asks for a pause"
 )
 
 // Log holds the lines of many daemons.
 type Log struct {
 	lines     int
 	byRequest map[string][]Line
-	byBackend map[string][]Line // how requests and attempts at a back end ended
-	byDaemon  map[string][]Line // what a daemon believes, its starts and stops
-	requests  []string          // ids, in the order of their first line
+	byBackend map[string][]Line // outcomes of the requests that were sent to a back end
+	byDaemon  map[string][]Line // lines without a request: state changes, starts and stops
+	requests  []string          // ids, in the order of their first lines
 	loads     map[loadKey]load
 }
 
-// loadKey is one second of a service.
+// loadKey identifies one second of a service.
 type loadKey struct {
 	service string
 	second  int64
 }
 
-// load is how requests ended in a second.
+// load counts the outcomes of requests.
 type load struct {
 	refused, answered int
 }
 
-// NewLog returns a log without lines.
+// NewLog returns an empty Log.
 func NewLog() *Log {
 	return &Log{byRequest: make(map[string][]Line), byBackend: make(map[string][]Line), byDaemon: make(map[string][]Line), loads: make(map[loadKey]load)}
 }
 
-// LineCount returns how many lines were taken in.
+// LineCount returns the number of lines that were read.
 func (l *Log) LineCount() int {
 	return l.lines
 }
@@ -66,18 +66,18 @@
 		l.byDaemon[line.Daemon] = append(l.byDaemon[line.Daemon], line)
 		return
 	}
-	if _, known := l.byRequest[line.Request]; !known {
+	if _, seen := l.byRequest[line.Request]; !seen {
 		l.requests = append(l.requests, line.Request)
 	}
 	l.byRequest[line.Request] = append(l.byRequest[line.Request], line)
-	l.count(line)
-	for _, backend := range line.tried() {
+	l.countLoad(line)
+	for _, backend := range line.backends() {
 		l.byBackend[backend] = append(l.byBackend[backend], line)
 	}
 }
 
-// count takes a line into the load of its service.
-func (l *Log) count(line Line) {
+// countLoad counts an outcome line in the load of its service.
+func (l *Log) countLoad(line Line) {
 	key := loadKey{service: line.Service, second: line.Time.Unix()}
 	counted := l.loads[key]
 	switch {
@@ -91,10 +91,10 @@
 	l.loads[key] = counted
 }
 
-// loadAround returns how requests of a service ended within near of a time.
+// loadAround returns the load of a service within correlationWindow of a time.
 func (l *Log) loadAround(service string, at time.Time) load {
 	var total load
-	for second := at.Add(-near).Unix(); second <= at.Add(near).Unix(); second++ {
+	for second := at.Add(-correlationWindow).Unix(); second <= at.Add(correlationWindow).Unix(); second++ {
 		one := l.loads[loadKey{service: service, second: second}]
 		total.refused += one.refused
 		total.answered += one.answered
@@ -102,8 +102,8 @@
 	return total
 }
 
-// tried returns the back ends that a line says something of.
-func (l Line) tried() []string {
+// backends returns the back ends that an outcome line names.
+func (l Line) backends() []string {
 	switch l.Message {
 	case messageAnswered:
 		return []string{l.Backend}
@@ -113,18 +113,18 @@
 	return nil
 }
 
-// isOutcome says whether a line tells how a request ended.
+// isOutcome reports whether the line states the outcome of a request.
 func (l Line) isOutcome() bool {
 	return l.Message == messageAnswered || l.Message == messageFailed || l.Message == messageBrokenOff
 }
 
-// story returns the lines of a request: those of one daemon in their order, daemons by
-// the time of their first line.
-func (l *Log) story(request string) []Line {
+// linesOf returns the lines of a request: those of one daemon in their order, daemons in the
+// order of the time of their first lines.
+func (l *Log) linesOf(request string) []Line {
 	lines := append([]Line(nil), l.byRequest[request]...)
 	first := make(map[string]time.Time)
 	for _, line := range lines {
-		if at, known := first[line.Daemon]; !known || line.Time.Before(at) {
+		if at, seen := first[line.Daemon]; !seen || line.Time.Before(at) {
 			first[line.Daemon] = line.Time
 		}
 	}
@@ -137,40 +137,39 @@
 	return lines
 }
 
-// near is how far apart lines of different daemons may be to have to do with each
-// other.
-const near = 2 * time.Second
+// correlationWindow is the maximum time between lines of different daemons that are related.
+const correlationWindow = 2 * time.Second
 
-// around returns what a daemon believed or did within near of a time, of one kind.
-func (l *Log) around(daemon string, at time.Time, message string) []Line {
+// linesAround returns the lines of a daemon with a message within correlationWindow of a time.
+func (l *Log) linesAround(daemon string, at time.Time, message string) []Line {
 	var found []Line
 	for _, line := range l.byDaemon[daemon] {
-		if line.Message == message && distance(line.Time, at) <= near {
+		if line.Message == message && distance(line.Time, at) <= correlationWindow {
 			found = append(found, line)
 		}
 	}
 	return found
 }
 
-// last returns the last line of one kind that a daemon wrote up to a time.
-func (l *Log) last(daemon string, at time.Time, message string) (Line, bool) {
-	return l.lastWhere(daemon, at, func(line Line) bool { return line.Message == message })
+// lastLine returns the last line with a message that a daemon logged up to a time.
+func (l *Log) lastLine(daemon string, at time.Time, message string) (Line, bool) {
+	return l.lastLineWhere(daemon, at, func(line Line) bool { return line.Message == message })
 }
 
-// lastWhere returns the last line that a daemon wrote up to a time and that matches.
-func (l *Log) lastWhere(daemon string, at time.Time, matches func(Line) bool) (Line, bool) {
+// lastLineWhere returns the last line that matches and that a daemon logged up to a time.
+func (l *Log) lastLineWhere(daemon string, at time.Time, matches func(Line) bool) (Line, bool) {
 	var found Line
-	known := false
+	ok := false
 	for _, line := range l.byDaemon[daemon] {
 		if !line.Time.After(at) && matches(line) {
-			found, known = line, true
+			found, ok = line, true
 		}
 	}
-	return found, known
+	return found, ok
 }
 
-// next returns the first line of one kind that a daemon wrote after a time.
-func (l *Log) next(daemon string, at time.Time, message string) (Line, bool) {
+// nextLine returns the first line with a message that a daemon logged after a time.
+func (l *Log) nextLine(daemon string, at time.Time, message string) (Line, bool) {
 	for _, line := range l.byDaemon[daemon] {
 		if line.Message == message && line.Time.After(at) {
 			return line, true
--- a/explain/signals.go
+++ b/explain/signals.go
@@ -5,46 +5,48 @@
 	"time"
 )
 
-// knownOf says of each back end that a request was sent to what its daemon knew then of its leaving and of pauses.
-func (l *Log) knownOf(story []Line) []string {
-	var known []string
-	for _, chosen := range story {
+// backendSignals describes, for each routing decision of a request, what the daemon knew at that time of draining and
+// pauses of the chosen back end.
+func (l *Log) backendSignals(lines []Line) []string {
+	var signals []string
+	for _, chosen := range lines {
 		if chosen.Message != messageChosen {
 			continue
 		}
-		if leaving := l.leavingAt(chosen); leaving != "" {
-			known = append(known, leaving)
+		if draining := l.drainingSignal(chosen); draining != "" {
+			signals = append(signals, draining)
 		}
-		if pause, asked := l.lastOf(chosen, messagePause); asked && chosen.Time.Before(pause.Time.Add(time.Duration(pause.Lasts))) {
-			known = append(known, fmt.Sprintf("%s had been asked by %s at %s for a pause of %s%s.", chosen.Daemon, chosen.Backend, clock(pause.Time), pause.Lasts, pause.byWhich()))
+		if pause, asked := l.lastSignal(chosen, messagePause); asked && chosen.Time.Before(pause.Time.Add(time.Duration(pause.Lasts))) {
+			signals = append(signals, fmt.Sprintf("%s had been asked by %s at %s for a pause of %s%s.", chosen.Daemon, chosen.Backend, formatTime(pause.Time), pause.Lasts, pause.viaRequest()))
 		}
 	}
-	return known
+	return signals
 }
 
-// leavingAt says whether the daemon of a choice knew that the back end was leaving; empty: it never heard of it.
-func (l *Log) leavingAt(chosen Line) string {
-	heard, leaves := l.lastOf(chosen, messageLeaving)
-	if back, returned := l.lastOf(chosen, messageBack); leaves && (!returned || back.Time.Before(heard.Time)) {
-		return fmt.Sprintf("%s knew since %s that %s was leaving, by the %s, heard from a %s%s.", chosen.Daemon, clock(heard.Time), chosen.Backend, heard.Source, heard.HeardFrom, heard.byWhich())
+// drainingSignal describes whether the daemon knew at the routing decision that the chosen back end was draining;
+// empty: it was not, as far as the daemon ever logged.
+func (l *Log) drainingSignal(chosen Line) string {
+	reported, found := l.lastSignal(chosen, messageDraining)
+	if ended, hasEnded := l.lastSignal(chosen, messageDrainEnded); found && (!hasEnded || ended.Time.Before(reported.Time)) {
+		return fmt.Sprintf("%s knew since %s that %s was leaving, by the %s, heard from a %s%s.", chosen.Daemon, formatTime(reported.Time), chosen.Backend, reported.Source, reported.HeardFrom, reported.viaRequest())
 	}
 	for _, line := range l.byDaemon[chosen.Daemon] {
-		if line.Message == messageLeaving && line.Backend == chosen.Backend && line.Time.After(chosen.Time) {
-			return fmt.Sprintf("%s did not know yet that %s was leaving; it heard so at %s, by the %s, from a %s%s.", chosen.Daemon, chosen.Backend, clock(line.Time), line.Source, line.HeardFrom, line.byWhich())
+		if line.Message == messageDraining && line.Backend == chosen.Backend && line.Time.After(chosen.Time) {
+			return fmt.Sprintf("%s did not know yet that %s was leaving; it heard so at %s, by the %s, from a %s%s.", chosen.Daemon, chosen.Backend, formatTime(line.Time), line.Source, line.HeardFrom, line.viaRequest())
 		}
 	}
 	return ""
 }
 
-// lastOf returns the last line of one kind on the back end of a choice that its daemon wrote before it.
-func (l *Log) lastOf(chosen Line, message string) (Line, bool) {
-	return l.lastWhere(chosen.Daemon, chosen.Time, func(line Line) bool {
+// lastSignal returns the last line with a message about the chosen back end that the daemon logged before the decision.
+func (l *Log) lastSignal(chosen Line, message string) (Line, bool) {
+	return l.lastLineWhere(chosen.Daemon, chosen.Time, func(line Line) bool {
 		return line.Message == message && line.Backend == chosen.Backend
 	})
 }
 
-// byWhich names the request whose answer said something; empty: none did.
-func (l Line) byWhich() string {
+// viaRequest names the request whose response had a signal; empty: it did not come with a response.
+func (l Line) viaRequest() string {
 	if l.ByRequest == "" {
 		return ""
 	}
