--- a/cmd/tuliphall/main.go
+++ b/cmd/tuliphall/main.go
@@ -1,5 +1,5 @@
-// Command tuliphall is the operators' command: it declares services, placements
-// and policies, and shows what is in force. See docs/operations/command.md.
+// Command tuliphall is the operators' command line. It declares services, placements and
+// policies, and shows what is in force. See docs/operations/command.md.
 package main
 
 import (
--- a/cmd/tuliphalld/main.go
+++ b/cmd/tuliphalld/main.go
@@ -1,5 +1,5 @@
-// Command tuliphalld is the load balancer's daemon. It runs on each entry
-// machine; see docs/operations/running.md.
+// Command tuliphalld is the load balancer's daemon, which runs on each entry machine. See
+// docs/operations/running.md.
 package main
 
 import (
--- a/command/change.go
+++ b/command/change.go
@@ -14,41 +14,40 @@
 	"github.com/tuliphall/tuliphall/config"
 )
 
-// files are the options of commands that read objects.
-type files struct {
+// fileOptions are the options of commands that read objects from files.
+type fileOptions struct {
 	Files []string `short:"f" long:"file" required:"true" value-name:"FILE" description:"TOML file with objects; may be given several times"`
 }
 
 // read returns the objects of all files.
-func (f *files) read() (config.Content, error) {
+func (o *fileOptions) read() (config.Content, error) {
 	var all config.Content
-	for _, path := range f.Files {
+	for _, path := range o.Files {
 		text, err := os.ReadFile(path)
 		if err != nil {
-			return config.Content{}, &exit{code: ExitUsage, cause: err}
+			return config.Content{}, &exitError{code: ExitUsage, cause: err}
 		}
 		content, err := config.DecodeTOML(path, text)
 		if err != nil {
-			return config.Content{}, &exit{code: ExitUsage, cause: err}
+			return config.Content{}, &exitError{code: ExitUsage, cause: err}
 		}
 		if err := checkPolicies(path, text, content); err != nil {
-			return config.Content{}, &exit{code: ExitUsage, cause: err}
+			return config.Content{}, &exitError{code: ExitUsage, cause: err}
 		}
 		all = all.Concat(content)
 	}
 	return all, nil
 }
 
-// checkPolicies checks a file's policies by themselves, so that an error names
-// the line.
+// checkPolicies validates the policies of a file separately, so that an error names the line.
 func checkPolicies(path string, text []byte, content config.Content) error {
 	return errors.Trace(config.AnnotateLine(path, text, config.Content{Policies: content.Policies}.Validate()))
 }
 
 type applyCommand struct {
-	global *global
-	changing
-	files
+	global *globalOptions
+	changeOptions
+	fileOptions
 	Base config.Revision `long:"base" description:"revision the change was made from; objects that others changed since are a conflict"`
 	Wait bool            `long:"wait" description:"return when the revision is in force at all daemons"`
 }
@@ -64,11 +63,11 @@
 	return c.global.change(edit, c.DryRun, c.Wait)
 }
 
-// change asks for the change, prints what it did and waits if wanted.
-func (g *global) change(edit config.Edit, dryRun, wait bool) error {
+// change applies the edit, prints the changes and waits until they are in force if wait is set.
+func (g *globalOptions) change(edit config.Edit, dryRun, wait bool) error {
 	ctx, cancel := g.context()
 	defer cancel()
-	response, err := g.applyUntilKnown(ctx, admin.ApplyRequest{Edit: edit, DryRun: dryRun})
+	response, err := g.applyWithRetry(ctx, admin.ApplyRequest{Edit: edit, DryRun: dryRun})
 	if err != nil {
 		return errors.Annotatef(err, "change %s", edit.ID)
 	}
@@ -81,22 +80,22 @@
 	return g.waitFor(ctx, response.Revision)
 }
 
-// applyTries bounds how often a change whose answer was lost is asked for again.
-const applyTries = 4
+// maxApplyAttempts is the maximum number of attempts to apply a change whose response is lost.
+const maxApplyAttempts = 4
 
-// applyUntilKnown repeats a change whose answer was lost; its id keeps it from
-// being made twice.
-func (g *global) applyUntilKnown(ctx context.Context, request admin.ApplyRequest) (admin.ApplyResponse, error) {
+// applyWithRetry repeats the request if its response is lost. The id of the change prevents
+// applying it twice.
+func (g *globalOptions) applyWithRetry(ctx context.Context, request admin.ApplyRequest) (admin.ApplyResponse, error) {
 	var response admin.ApplyResponse
 	var err error
-	for range applyTries {
+	for range maxApplyAttempts {
 		response, err = g.client().Apply(ctx, request)
-		var refused *admin.CallError
-		if err == nil || errors.As(err, &refused) {
+		var callError *admin.CallError
+		if err == nil || errors.As(err, &callError) {
 			return response, err
 		}
 		select {
-		case <-time.After(waitPoll):
+		case <-time.After(pollInterval):
 		case <-ctx.Done():
 			return response, err
 		}
@@ -104,7 +103,7 @@
 	return response, err
 }
 
-func (g *global) printChange(response admin.ApplyResponse, dryRun bool) error {
+func (g *globalOptions) printChange(response admin.ApplyResponse, dryRun bool) error {
 	if g.Output == outputJSON {
 		return g.printJSON(response)
 	}
@@ -119,8 +118,8 @@
 }
 
 type validateCommand struct {
-	global *global
-	files
+	global *globalOptions
+	fileOptions
 }
 
 // Execute implements flags.Commander.
@@ -130,15 +129,15 @@
 		return err
 	}
 	if err := content.Validate(); err != nil {
-		return &exit{code: ExitUsage, cause: err}
+		return &exitError{code: ExitUsage, cause: err}
 	}
 	_, err = fmt.Fprintf(c.global.out, "valid: %d services, %d routes, %d placements, %d policies, %d zones, %d tenants, %d rollouts\n", len(content.Services), len(content.Routes), len(content.Placements), len(content.Policies), len(content.Zones), len(content.Tenants), len(content.Rollouts))
 	return err
 }
 
 type diffCommand struct {
-	global *global
-	files
+	global *globalOptions
+	fileOptions
 }
 
 // Execute implements flags.Commander.
@@ -171,8 +170,8 @@
 }
 
 type deleteCommand struct {
-	global *global
-	changing
+	global *globalOptions
+	changeOptions
 	Arguments struct {
 		Kind  config.Kind `positional-arg-name:"KIND" required:"yes"`
 		Names []string    `positional-arg-name:"NAME" required:"1"`
@@ -189,8 +188,8 @@
 }
 
 type rollbackCommand struct {
-	global *global
-	changing
+	global *globalOptions
+	changeOptions
 	Wait      bool `long:"wait" description:"return when the revision is in force at all daemons"`
 	Arguments struct {
 		Revision string `positional-arg-name:"REVISION" required:"yes"`
@@ -211,14 +210,14 @@
 func parseRevision(text string) (config.Revision, error) {
 	number, err := strconv.ParseUint(text, 10, 64)
 	if err != nil || number == 0 {
-		return 0, &exit{code: ExitUsage, cause: errors.NotValidf("REVISION %q: allowed: a number above 0; it", text)}
+		return 0, &exitError{code: ExitUsage, cause: errors.NotValidf("REVISION %q: allowed: a number above 0; it", text)}
 	}
 	return config.Revision(number), nil
 }
 
 type drainCommand struct {
-	global *global
-	changing
+	global *globalOptions
+	changeOptions
 	drained   bool
 	Wait      bool `long:"wait" description:"return when the drain is in force at all daemons"`
 	Arguments struct {
@@ -244,11 +243,11 @@
 			return err
 		}
 	}
-	word := "drain"
+	action := "drain"
 	if !c.drained {
-		word = "undrain"
+		action = "undrain"
 	}
-	edit := c.edit(fmt.Sprintf("%s %s %s", word, c.Arguments.Service, strings.Join(c.Arguments.Backends, " ")))
+	edit := c.edit(fmt.Sprintf("%s %s %s", action, c.Arguments.Service, strings.Join(c.Arguments.Backends, " ")))
 	edit.Base = document.Revision
 	edit.Set = config.Content{Placements: []config.Placement{placement}}
 	return c.global.change(edit, c.DryRun, c.Wait)
@@ -261,7 +260,7 @@
 			return placement, nil
 		}
 	}
-	return config.Placement{}, &exit{code: ExitNotFound, cause: errors.NotFoundf("placement/%s", service)}
+	return config.Placement{}, &exitError{code: ExitNotFound, cause: errors.NotFoundf("placement/%s", service)}
 }
 
 func setDrained(placement *config.Placement, id string, drained bool) error {
@@ -271,5 +270,5 @@
 			return nil
 		}
 	}
-	return &exit{code: ExitNotFound, cause: errors.NotFoundf("back end %s of placement/%s", id, placement.Service)}
+	return &exitError{code: ExitNotFound, cause: errors.NotFoundf("back end %s of placement/%s", id, placement.Service)}
 }
--- a/command/command.go
+++ b/command/command.go
@@ -1,8 +1,8 @@
-// Package command is the operators' command line.
+// Package command implements the operators' command line.
 //
-// Every command goes to the operators' interface of one daemon, whichever it is.
-// A change carries an id of its own, so that a command whose answer was lost can
-// be given again with --id and is not done twice.
+// Commands call the operators' interface of one daemon, which may be any daemon. Each change
+// has an id, so that a command whose response was lost can be repeated with --id without
+// applying the change twice.
 package command
 
 import (
@@ -22,38 +22,38 @@
 // Exit codes; see docs/operations/command.md.
 const (
 	ExitOK          = 0
-	ExitFailed      = 1 // unreachable or unavailable; the outcome may be open
-	ExitUsage       = 2 // wrong arguments, or a file that is not valid
-	ExitConflict    = 3 // another operator's change came first
+	ExitFailed      = 1 // unreachable or unavailable; the outcome may be unknown
+	ExitUsage       = 2 // invalid arguments or files
+	ExitConflict    = 3 // conflict with a change that another operator made before
 	ExitNotFound    = 4
 	ExitNotInForce  = 5 // wait: some daemons lag
 	ExitDifferences = 6 // diff: there are differences
 )
 
-// exit is an error with the exit code it leads to.
-type exit struct {
+// exitError is an error with an exit code.
+type exitError struct {
 	code  int
 	cause error
 }
 
-// Error returns the cause's text.
-func (e *exit) Error() string {
+// Error returns the message of the cause.
+func (e *exitError) Error() string {
 	return e.cause.Error()
 }
 
 // Unwrap returns the cause.
-func (e *exit) Unwrap() error {
+func (e *exitError) Unwrap() error {
 	return e.cause
 }
 
-// errDifferences and errLagging carry an exit code and nothing to print.
-var errDifferences = &exit{code: ExitDifferences, cause: errors.New("there are differences")}
+// errDifferences only sets the exit code; its message is not printed.
+var errDifferences = &exitError{code: ExitDifferences, cause: errors.New("there are differences")}
 
-// outputJSON is the output format for programs.
+// outputJSON selects JSON output.
 const outputJSON = "json"
 
 // global are the options of every command.
-type global struct {
+type globalOptions struct {
 	Admin   string        `long:"admin" env:"TULIPHALL_ADMIN" value-name:"URL" default:"http://127.0.0.1:9090" description:"operators' interface of a daemon"`
 	Output  string        `short:"o" long:"output" choice:"table" choice:"json" default:"table" description:"output format"`
 	Timeout time.Duration `long:"timeout" default:"15s" description:"longest time for the command"`
@@ -61,52 +61,54 @@
 	out io.Writer
 }
 
-func (g *global) client() *admin.Client {
+func (g *globalOptions) client() *admin.Client {
 	return admin.NewClient(g.Admin)
 }
 
-func (g *global) context() (context.Context, context.CancelFunc) {
+func (g *globalOptions) context() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(context.Background(), g.Timeout)
 }
 
-// changing are the options of commands that change something.
-type changing struct {
+// changeOptions are the options of commands that change the configuration.
+type changeOptions struct {
 	ID      string `long:"id" description:"id of the change; give the same again to settle a lost answer"`
 	Author  string `long:"author" env:"USER" default:"operator" description:"name noted in the history"`
 	Message string `short:"m" long:"message" description:"why; noted in the history"`
 	DryRun  bool   `long:"dry-run" description:"check and show, but change nothing"`
 }
 
-// edit returns an edit with the options noted in it.
-func (c *changing) edit(summary string) config.Edit {
-	if c.ID == "" {
-		c.ID = rand.Text()
+// edit returns an edit with the id, author and message of the options. summary is used if there
+// is no message.
+func (o *changeOptions) edit(summary string) config.Edit {
+	if o.ID == "" {
+		o.ID = rand.Text()
 	}
-	if c.Message != "" {
-		summary = c.Message
+	if o.Message != "" {
+		summary = o.Message
 	}
-	return config.Edit{ID: c.ID, Author: c.Author, Summary: summary}
+	return config.Edit{ID: o.ID, Author: o.Author, Summary: summary}
 }
 
-// Run runs the command line and returns the exit code. The error, if any, is for
-// the operator.
+// Run executes the command line and returns the exit code. An error is to be printed for the
+// operator.
 func Run(arguments []string, out io.Writer) (int, error) {
-	options := &global{out: out}
+	options := &globalOptions{out: out}
 	parser := flags.NewNamedParser("tuliphall", flags.HelpFlag|flags.PassDoubleDash)
 	if _, err := parser.AddGroup("Options", "", options); err != nil {
 		return ExitUsage, err
 	}
-	for _, one := range commands(options) {
-		if _, err := parser.AddCommand(one.name, one.short, one.long, one.action); err != nil {
+	for _, spec := range commands(options) {
+		if _, err := parser.AddCommand(spec.name, spec.short, spec.long, spec.commander); err != nil {
 			return ExitUsage, err
 		}
 	}
 	_, err := parser.ParseArgs(arguments)
-	return codeOf(err, out)
+	return exitCode(err, out)
 }
 
-// codeOf turns an error into an exit code.
-func codeOf(err error, out io.Writer) (int, error) {
+// exitCode returns the exit code for an error, and the error if it is to be printed. It prints
+// help to out.
+func exitCode(err error, out io.Writer) (int, error) {
 	if err == nil {
 		return ExitOK, nil
 	}
@@ -118,18 +120,18 @@
 		}
 		return ExitUsage, err
 	}
-	var coded *exit
+	var coded *exitError
 	if stderrors.As(err, &coded) {
 		if coded == errDifferences {
 			return coded.code, nil
 		}
 		return coded.code, err
 	}
-	var refused *admin.CallError
-	if !stderrors.As(err, &refused) {
+	var callError *admin.CallError
+	if !stderrors.As(err, &callError) {
 		return ExitFailed, err
 	}
-	switch refused.Kind {
+	switch callError.Kind {
 	case admin.ErrorConflict:
 		return ExitConflict, err
 	case admin.ErrorInvalid:
@@ -140,16 +142,16 @@
 	return ExitFailed, err
 }
 
-// entry is one command of the command line.
-type entry struct {
-	name   string
-	short  string
-	long   string
-	action flags.Commander
+// commandSpec describes a command for the parser.
+type commandSpec struct {
+	name      string
+	short     string
+	long      string
+	commander flags.Commander
 }
 
-func commands(g *global) []entry {
-	return []entry{
+func commands(g *globalOptions) []commandSpec {
+	return []commandSpec{
 		{"apply", "Declare the objects in files", "Declares services, routes, placements, policies, zones, tenants and rollouts. Prints the revision.\n\nExample: tuliphall apply -f prices.toml --wait", &applyCommand{global: g}},
 		{"validate", "Check files without a daemon", "Checks files by themselves.\n\nExample: tuliphall validate -f prices.toml", &validateCommand{global: g}},
 		{"diff", "Show what apply would change", "Exits with 6 when there are differences.\n\nExample: tuliphall diff -f prices.toml", &diffCommand{global: g}},
--- a/command/evacuate.go
+++ b/command/evacuate.go
@@ -9,10 +9,10 @@
 	"github.com/tuliphall/tuliphall/config"
 )
 
-// evacuateCommand evacuates zones, or takes them back.
+// evacuateCommand evacuates zones, or restores evacuated zones.
 type evacuateCommand struct {
-	global *global
-	changing
+	global *globalOptions
+	changeOptions
 	evacuated bool
 	Wait      bool `long:"wait" description:"return when the change is in force at all daemons"`
 	Arguments struct {
@@ -28,11 +28,11 @@
 	if err != nil {
 		return err
 	}
-	word := "evacuate "
+	action := "evacuate "
 	if !c.evacuated {
-		word = "restore "
+		action = "restore "
 	}
-	edit := c.edit(word + strings.Join(c.Arguments.Zones, " "))
+	edit := c.edit(action + strings.Join(c.Arguments.Zones, " "))
 	for _, zone := range c.Arguments.Zones {
 		if !c.evacuated {
 			edit.Deleted = append(edit.Deleted, config.ObjectKey{Kind: config.KindZone, Name: zone})
@@ -46,8 +46,8 @@
 	return c.global.change(edit, c.DryRun, c.Wait)
 }
 
-// checkZone refuses a zone in which no back end runs, which is a slip of the pen more
-// often than not, and would evacuate nothing.
+// checkZone rejects a zone without back ends: its evacuation would have no effect, and the name
+// is usually a typing error.
 func checkZone(document config.Document, zone string) error {
 	var zones []string
 	for _, backends := range document.BackendsByService() {
@@ -62,5 +62,5 @@
 	if slices.Contains(zones, zone) {
 		return nil
 	}
-	return &exit{code: ExitNotFound, cause: errors.NotFoundf("ZONE %q: allowed: a zone of a back end (%s); it", zone, strings.Join(zones, ", "))}
+	return &exitError{code: ExitNotFound, cause: errors.NotFoundf("ZONE %q: allowed: a zone of a back end (%s); it", zone, strings.Join(zones, ", "))}
 }
--- a/command/explain.go
+++ b/command/explain.go
@@ -14,9 +14,9 @@
 	"github.com/tuliphall/tuliphall/explain"
 )
 
-// explainCommand tells from logs how a request ended. It asks no daemon.
+// explainCommand explains from logs how a request ended. It does not call a daemon.
 type explainCommand struct {
-	global  *global
+	global  *globalOptions
 	Summary bool `long:"summary" description:"group all failed requests by cause"`
 }
 
@@ -36,21 +36,20 @@
 	if c.Summary {
 		return c.summarize(log)
 	}
-	explained, err := log.Explain(request)
+	explanation, err := log.Explain(request)
 	if errors.Is(err, errors.NotFound) {
-		return &exit{code: ExitNotFound, cause: err}
+		return &exitError{code: ExitNotFound, cause: err}
 	}
 	if err != nil {
 		return err
 	}
 	if c.global.Output == outputJSON {
-		return c.printJSON(explained)
+		return c.printJSON(explanation)
 	}
-	return explained.Print(c.global.out)
+	return explanation.Print(c.global.out)
 }
 
-// readLogs reads log files, "-" being the standard input, which is also read where
-// none is named.
+// readLogs reads log files. "-" is the standard input, which is also read if no file is given.
 func readLogs(files []string) (*explain.Log, error) {
 	if len(files) == 0 {
 		files = []string{"-"}
@@ -58,27 +57,27 @@
 	log := explain.NewLog()
 	for _, name := range files {
 		if err := readLog(name, log); err != nil {
-			return nil, &exit{code: ExitUsage, cause: errors.Annotate(err, name)}
+			return nil, &exitError{code: ExitUsage, cause: errors.Annotate(err, name)}
 		}
 	}
 	return log, nil
 }
 
-func readLog(name string, into *explain.Log) error {
-	var from io.Reader = os.Stdin
+func readLog(name string, log *explain.Log) error {
+	var reader io.Reader = os.Stdin
 	if name != "-" {
 		file, err := os.Open(name)
 		if err != nil {
 			return err
 		}
 		defer file.Close()
-		from = file
+		reader = file
 	}
-	return explain.Read(from, into)
+	return explain.Read(reader, log)
 }
 
-// explained is an explanation in JSON.
-type explained struct {
+// explanationJSON is the JSON output for an explanation.
+type explanationJSON struct {
 	Request  string   `json:"request"`
 	Cause    string   `json:"cause"`
 	At       string   `json:"at"`
@@ -87,16 +86,16 @@
 	Lines    []string `json:"lines"`
 }
 
-func (c *explainCommand) printJSON(one explain.Explanation) error {
-	printed := explained{Request: one.Request, Cause: one.Cause.Kind, At: one.Cause.Subject, Sentence: one.Cause.Description, Belief: one.Cause.Assumption}
-	for _, line := range one.Lines {
+func (c *explainCommand) printJSON(explanation explain.Explanation) error {
+	printed := explanationJSON{Request: explanation.Request, Cause: explanation.Cause.Kind, At: explanation.Cause.Subject, Sentence: explanation.Cause.Description, Belief: explanation.Cause.Assumption}
+	for _, line := range explanation.Lines {
 		printed.Lines = append(printed.Lines, line.Text)
 	}
 	return json.NewEncoder(c.global.out).Encode(printed)
 }
 
-// group is a group of failed requests in JSON.
-type group struct {
+// groupJSON is the JSON output for a group of failed requests.
+type groupJSON struct {
 	Cause    string    `json:"cause"`
 	Requests int       `json:"requests"`
 	Most     string    `json:"most_at"`
@@ -107,11 +106,11 @@
 }
 
 func (c *explainCommand) printGroups(groups []explain.Group) error {
-	printed := make([]group, 0, len(groups))
-	for _, one := range groups {
-		printed = append(printed, group{
-			Cause: one.Kind, Requests: one.Requests, Most: one.TopSubject, Count: one.TopCount,
-			From: one.First.Time, To: one.Last.Time, Example: one.Example.Request,
+	printed := make([]groupJSON, 0, len(groups))
+	for _, group := range groups {
+		printed = append(printed, groupJSON{
+			Cause: group.Kind, Requests: group.Requests, Most: group.TopSubject, Count: group.TopCount,
+			From: group.First.Time, To: group.Last.Time, Example: group.Example.Request,
 		})
 	}
 	return json.NewEncoder(c.global.out).Encode(printed)
@@ -123,10 +122,10 @@
 		return c.printGroups(groups)
 	}
 	rows := [][]string{{"REQUESTS", "CAUSE", "MOST AT", "FROM", "TO", "FOR EXAMPLE"}}
-	for _, one := range groups {
+	for _, group := range groups {
 		rows = append(rows, []string{
-			strconv.Itoa(one.Requests), one.Kind, fmt.Sprintf("%s (%d)", one.TopSubject, one.TopCount),
-			one.First.Time.Format(time.TimeOnly), one.Last.Time.Format(time.TimeOnly), one.Example.Request,
+			strconv.Itoa(group.Requests), group.Kind, fmt.Sprintf("%s (%d)", group.TopSubject, group.TopCount),
+			group.First.Time.Format(time.TimeOnly), group.Last.Time.Format(time.TimeOnly), group.Example.Request,
 		})
 	}
 	return c.global.printTable(rows)
--- a/command/quarantine.go
+++ b/command/quarantine.go
@@ -7,9 +7,9 @@
 	"github.com/tuliphall/tuliphall/admin"
 )
 
-// quarantinedCommand lists requests under which back ends ended.
+// quarantinedCommand lists crashing requests.
 type quarantinedCommand struct {
-	global *global
+	global *globalOptions
 }
 
 // Execute implements flags.Commander.
@@ -23,9 +23,9 @@
 	return c.global.printCrashingRequests(requests)
 }
 
-// quarantineCommand holds requests back, or lets them through again.
+// quarantineCommand quarantines requests, or releases them.
 type quarantineCommand struct {
-	global    *global
+	global    *globalOptions
 	release   bool
 	Arguments struct {
 		Fingerprints []string `positional-arg-name:"FINGERPRINT" required:"1"`
@@ -43,14 +43,14 @@
 	return c.global.printCrashingRequests(requests)
 }
 
-func (g *global) printCrashingRequests(requests []admin.CrashingRequest) error {
+func (g *globalOptions) printCrashingRequests(requests []admin.CrashingRequest) error {
 	rows := [][]string{{"FINGERPRINT", "SERVICE", "ENDINGS", "HELD UNTIL", "ORDERED", "REQUEST"}}
-	for _, one := range requests {
+	for _, request := range requests {
 		until := "not held"
-		if one.Quarantined {
-			until = one.Until.UTC().Format(time.RFC3339)
+		if request.Quarantined {
+			until = request.Until.UTC().Format(time.RFC3339)
 		}
-		rows = append(rows, []string{one.Fingerprint, one.Service, fmt.Sprint(one.Crashes), until, fmt.Sprint(one.Manual), one.Description})
+		rows = append(rows, []string{request.Fingerprint, request.Service, fmt.Sprint(request.Crashes), until, fmt.Sprint(request.Manual), request.Description})
 	}
 	return g.print(requests, rows)
 }
--- a/command/rollouts.go
+++ b/command/rollouts.go
@@ -7,9 +7,9 @@
 	"github.com/tuliphall/tuliphall/config"
 )
 
-// rolloutsCommand lists the rollouts and how far they are.
+// rolloutsCommand lists the rollouts with their phases.
 type rolloutsCommand struct {
-	global *global
+	global *globalOptions
 }
 
 // Execute implements flags.Commander.
@@ -20,26 +20,26 @@
 	if err != nil {
 		return err
 	}
-	orders := []config.Rollout{}
-	for _, one := range document.RolloutsByService() {
-		orders = append(orders, one)
+	rollouts := []config.Rollout{}
+	for _, rollout := range document.RolloutsByService() {
+		rollouts = append(rollouts, rollout)
 	}
-	sort.Slice(orders, func(a, b int) bool { return orders[a].Service < orders[b].Service })
-	return c.global.printRollouts(orders)
+	sort.Slice(rollouts, func(a, b int) bool { return rollouts[a].Service < rollouts[b].Service })
+	return c.global.printRollouts(rollouts)
 }
 
-func (g *global) printRollouts(orders []config.Rollout) error {
+func (g *globalOptions) printRollouts(rollouts []config.Rollout) error {
 	rows := [][]string{{"SERVICE", "VERSION", "WITHIN", "PHASE", "DECIDE BY", "REASON"}}
-	for _, one := range orders {
+	for _, rollout := range rollouts {
 		decideBy := ""
-		if due := one.DecisionDeadline(); !due.IsZero() {
-			decideBy = due.UTC().Format(time.RFC3339)
+		if deadline := rollout.DecisionDeadline(); !deadline.IsZero() {
+			decideBy = deadline.UTC().Format(time.RFC3339)
 		}
-		phase := string(one.Phase)
+		phase := string(rollout.Phase)
 		if phase == "" {
 			phase = "ordered"
 		}
-		rows = append(rows, []string{one.Service, one.Version, time.Duration(one.Within).String(), phase, decideBy, one.Reason})
+		rows = append(rows, []string{rollout.Service, rollout.Version, time.Duration(rollout.Within).String(), phase, decideBy, rollout.Reason})
 	}
-	return g.print(orders, rows)
+	return g.print(rollouts, rows)
 }
--- a/command/show.go
+++ b/command/show.go
@@ -19,17 +19,17 @@
 	"github.com/tuliphall/tuliphall/routing"
 )
 
-// waitPoll is the pause between two looks at the status.
-const waitPoll = 200 * time.Millisecond
+// pollInterval is the time between two status requests, or two attempts to apply a change.
+const pollInterval = 200 * time.Millisecond
 
-func (g *global) printJSON(value any) error {
+func (g *globalOptions) printJSON(value any) error {
 	encoder := json.NewEncoder(g.out)
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(value)
 }
 
-// printTable prints rows of cells in columns.
-func (g *global) printTable(rows [][]string) error {
+// printTable prints rows of cells in aligned columns.
+func (g *globalOptions) printTable(rows [][]string) error {
 	writer := tabwriter.NewWriter(g.out, 0, 4, 2, ' ', 0)
 	for _, row := range rows {
 		if _, err := fmt.Fprintln(writer, strings.Join(row, "\t")); err != nil {
@@ -39,7 +39,7 @@
 	return writer.Flush()
 }
 
-func (g *global) printDifferences(changes []config.ObjectChange) error {
+func (g *globalOptions) printDifferences(changes []config.ObjectChange) error {
 	for _, change := range changes {
 		sign := "~"
 		switch {
@@ -67,7 +67,7 @@
 }
 
 type getCommand struct {
-	global    *global
+	global    *globalOptions
 	Arguments struct {
 		Kind config.Kind `positional-arg-name:"KIND" required:"yes"`
 	} `positional-args:"yes"`
@@ -124,10 +124,10 @@
 	case config.KindRollout:
 		return c.global.printRollouts(content.Rollouts)
 	}
-	return &exit{code: ExitUsage, cause: errors.NotValidf("KIND %q: allowed: service, route, placement, policy, zone, tenant, rollout; it", c.Arguments.Kind)}
+	return &exitError{code: ExitUsage, cause: errors.NotValidf("KIND %q: allowed: service, route, placement, policy, zone, tenant, rollout; it", c.Arguments.Kind)}
 }
 
-// sharesText writes shares as service:weight.
+// sharesText formats shares as SERVICE:WEIGHT, separated by commas.
 func sharesText(shares []config.Share) string {
 	parts := make([]string, 0, len(shares))
 	for _, share := range shares {
@@ -136,7 +136,7 @@
 	return strings.Join(parts, ",")
 }
 
-func (g *global) print(value any, rows [][]string) error {
+func (g *globalOptions) print(value any, rows [][]string) error {
 	if g.Output == outputJSON {
 		return g.printJSON(value)
 	}
@@ -144,7 +144,7 @@
 }
 
 type describeCommand struct {
-	global    *global
+	global    *globalOptions
 	Arguments struct {
 		Kind config.Kind `positional-arg-name:"KIND" required:"yes"`
 		Name string      `positional-arg-name:"NAME" required:"yes"`
@@ -172,7 +172,7 @@
 	return c.describeState(ctx)
 }
 
-// describeState prints what the asked daemon knows of the service's back ends.
+// describeState prints the state of the service's back ends as the called daemon knows it.
 func (c *describeCommand) describeState(ctx context.Context) error {
 	services, err := c.global.client().Services(ctx)
 	if err != nil {
@@ -194,26 +194,26 @@
 	return nil
 }
 
-// describeSignals says what a back end says of leaving and of pauses; empty: nothing.
+// describeSignals formats the draining and pause signals of a back end; empty: there are none.
 func describeSignals(b dispatch.BackendStatus) string {
-	var says []string
-	if leaving := b.Leaving; leaving != nil {
+	var signals []string
+	if draining := b.Leaving; draining != nil {
 		by := "as it says itself"
-		if leaving.Source != drain.FromBackend.String() {
-			by = "by the " + leaving.Source
+		if draining.Source != drain.FromBackend.String() {
+			by = "by the " + draining.Source
 		}
-		if leaving.ReportedByPeer {
+		if draining.ReportedByPeer {
 			by += ", told by another daemon"
 		}
-		says = append(says, "leaving for "+leaving.Since.Round(100*time.Millisecond).String()+", "+by)
+		signals = append(signals, "leaving for "+draining.Since.Round(100*time.Millisecond).String()+", "+by)
 	}
 	if b.PauseLeft > 0 {
-		says = append(says, "asked for a pause, "+b.PauseLeft.Round(time.Second).String()+" left")
+		signals = append(signals, "asked for a pause, "+b.PauseLeft.Round(time.Second).String()+" left")
 	}
-	return strings.Join(says, "; ")
+	return strings.Join(signals, "; ")
 }
 
-// describeLimit says how many requests a back end takes; empty: any number.
+// describeLimit formats the request limit of a back end; empty: it has none.
 func describeLimit(limit *routing.LimitStatus) string {
 	if limit == nil {
 		return ""
@@ -224,39 +224,39 @@
 func findObject(content config.Content, key config.ObjectKey) (any, error) {
 	switch key.Kind {
 	case config.KindService:
-		return named(content.Services, key, func(one config.Service) string { return one.Name })
+		return findByName(content.Services, key, func(o config.Service) string { return o.Name })
 	case config.KindRoute:
-		return named(content.Routes, key, func(one config.Route) string { return one.Name })
+		return findByName(content.Routes, key, func(o config.Route) string { return o.Name })
 	case config.KindPlacement:
-		return named(content.Placements, key, func(one config.Placement) string { return one.Service })
+		return findByName(content.Placements, key, func(o config.Placement) string { return o.Service })
 	case config.KindPolicy:
-		return named(content.Policies, key, func(one config.Policy) string { return one.Name })
+		return findByName(content.Policies, key, func(o config.Policy) string { return o.Name })
 	case config.KindZone:
-		return named(content.Zones, key, func(one config.Zone) string { return one.Name })
+		return findByName(content.Zones, key, func(o config.Zone) string { return o.Name })
 	case config.KindRollout:
-		return named(content.Rollouts, key, func(one config.Rollout) string { return one.Service })
+		return findByName(content.Rollouts, key, func(o config.Rollout) string { return o.Service })
 	case config.KindTenant:
-		return named(content.Tenants, key, func(one config.Tenant) string { return one.Name })
+		return findByName(content.Tenants, key, func(o config.Tenant) string { return o.Name })
 	}
 	return nil, notFound(key)
 }
 
-// named returns the object with a key's name.
-func named[T any](objects []T, key config.ObjectKey, nameOf func(T) string) (any, error) {
-	for _, one := range objects {
-		if nameOf(one) == key.Name {
-			return one, nil
+// findByName returns the object with the key's name.
+func findByName[T any](objects []T, key config.ObjectKey, nameOf func(T) string) (any, error) {
+	for _, object := range objects {
+		if nameOf(object) == key.Name {
+			return object, nil
 		}
 	}
 	return nil, notFound(key)
 }
 
 func notFound(key config.ObjectKey) error {
-	return &exit{code: ExitNotFound, cause: errors.NotFoundf("%s", key)}
+	return &exitError{code: ExitNotFound, cause: errors.NotFoundf("%s", key)}
 }
 
 type historyCommand struct {
-	global *global
+	global *globalOptions
 }
 
 // Execute implements flags.Commander.
@@ -275,7 +275,7 @@
 }
 
 type statusCommand struct {
-	global *global
+	global *globalOptions
 }
 
 // Execute implements flags.Commander.
@@ -312,7 +312,7 @@
 }
 
 type waitCommand struct {
-	global    *global
+	global    *globalOptions
 	Arguments struct {
 		Revision string `positional-arg-name:"REVISION" required:"yes"`
 	} `positional-args:"yes"`
@@ -329,28 +329,28 @@
 	return c.global.waitFor(ctx, revision)
 }
 
-// waitFor returns when every live daemon has the revision in force.
-func (g *global) waitFor(ctx context.Context, revision config.Revision) error {
-	begun := time.Now()
+// waitFor blocks until all live daemons have the revision in force, or ctx is done.
+func (g *globalOptions) waitFor(ctx context.Context, revision config.Revision) error {
+	begin := time.Now()
 	var lagging []string
 	for {
 		status, err := g.client().Status(ctx)
 		if err == nil {
-			lagging = lag(status, revision)
+			lagging = laggingDaemons(status, revision)
 			if len(lagging) == 0 {
-				_, err := fmt.Fprintf(g.out, "revision %d in force at %d daemons after %s\n", revision, live(status), time.Since(begun).Round(time.Millisecond))
+				_, err := fmt.Fprintf(g.out, "revision %d in force at %d daemons after %s\n", revision, countAlive(status), time.Since(begin).Round(time.Millisecond))
 				return err
 			}
 		}
 		select {
-		case <-time.After(waitPoll):
+		case <-time.After(pollInterval):
 		case <-ctx.Done():
-			return &exit{code: ExitNotInForce, cause: errors.Errorf("revision %d not in force at: %s", revision, strings.Join(lagging, ", "))}
+			return &exitError{code: ExitNotInForce, cause: errors.Errorf("revision %d not in force at: %s", revision, strings.Join(lagging, ", "))}
 		}
 	}
 }
 
-func live(status admin.Status) int {
+func countAlive(status admin.Status) int {
 	count := 0
 	for _, member := range status.Members {
 		if member.State == "alive" {
@@ -360,8 +360,9 @@
 	return count
 }
 
-// lag names the live daemons that have an older revision in force.
-func lag(status admin.Status, revision config.Revision) []string {
+// laggingDaemons names the live daemons that have an older revision in force. Suspected daemons
+// are included.
+func laggingDaemons(status admin.Status, revision config.Revision) []string {
 	var names []string
 	for _, member := range status.Members {
 		if (member.State == "alive" || member.State == "suspect") && member.Revision < revision {
@@ -373,7 +374,7 @@
 }
 
 type versionCommand struct {
-	global *global
+	global *globalOptions
 }
 
 // Execute implements flags.Commander.
@@ -383,10 +384,10 @@
 }
 
 type completionCommand struct {
-	global *global
+	global *globalOptions
 }
 
-// completionScript asks the command itself for completions, as go-flags offers.
+// completionScript calls the command itself for completions, which go-flags implements.
 const completionScript = `_tuliphall() {
   local words=("${COMP_WORDS[@]:1:$COMP_CWORD}")
   local IFS=$'\n'
--- a/command/tenants.go
+++ b/command/tenants.go
@@ -11,9 +11,9 @@
 	"github.com/tuliphall/tuliphall/config"
 )
 
-// tenantsCommand lists what tenants use of their rates.
+// tenantsCommand lists the usage of tenants' rates.
 type tenantsCommand struct {
-	global *global
+	global *globalOptions
 }
 
 // Execute implements flags.Commander.
@@ -25,16 +25,16 @@
 		return err
 	}
 	rows := [][]string{{"TENANT", "RATE", "BURST", "LEFT", "SERVED", "REFUSED"}}
-	for _, one := range usage {
-		rows = append(rows, []string{one.Tenant, fmt.Sprint(one.Limit.Rate), fmt.Sprint(one.Limit.Burst), fmt.Sprintf("%.0f", one.Left), fmt.Sprint(one.Used), fmt.Sprint(one.Refused)})
+	for _, tenantUsage := range usage {
+		rows = append(rows, []string{tenantUsage.Tenant, fmt.Sprint(tenantUsage.Limit.Rate), fmt.Sprint(tenantUsage.Limit.Burst), fmt.Sprintf("%.0f", tenantUsage.Left), fmt.Sprint(tenantUsage.Used), fmt.Sprint(tenantUsage.Refused)})
 	}
 	return c.global.print(usage, rows)
 }
 
-// hashKeyCommand prints the hash of a tenant's key, which it reads from the standard input:
-// an argument would be kept in the shell's history and shown in the list of processes.
+// hashKeyCommand prints the hash of a tenant's key. It reads the key from the standard input,
+// because an argument would be visible in the shell's history and in the list of processes.
 type hashKeyCommand struct {
-	global *global
+	global *globalOptions
 }
 
 // Execute implements flags.Commander.
@@ -42,10 +42,10 @@
 	line, err := bufio.NewReader(os.Stdin).ReadString('\n')
 	key := strings.TrimRight(line, "\r\n")
 	if key == "" {
-		return &exit{code: ExitUsage, cause: errors.NotValidf("the standard input (%v): one line with a key is expected; it", err)}
+		return &exitError{code: ExitUsage, cause: errors.NotValidf("the standard input (%v): one line with a key is expected; it", err)}
 	}
 	if len(key) > config.MaxKeyBytes {
-		return &exit{code: ExitUsage, cause: errors.NotValidf("a key of %d bytes: at most %d are allowed; it", len(key), config.MaxKeyBytes)}
+		return &exitError{code: ExitUsage, cause: errors.NotValidf("a key of %d bytes: at most %d are allowed; it", len(key), config.MaxKeyBytes)}
 	}
 	text, err := config.HashKey(key).MarshalText()
 	if err != nil {
