--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -123,9 +123,9 @@
 	}
 }
 
-// TestStoryOfSeveralDaemons guards against mixing up lines of daemons whose clocks differ: the
+// TestLinesOfSeveralDaemons guards against mixing up lines of daemons whose clocks differ: the
 // lines of each daemon stay in order. It also reads lines to which a log collector added a prefix.
-func TestStoryOfSeveralDaemons(t *testing.T) {
+func TestLinesOfSeveralDaemons(t *testing.T) {
 	prefixed := "2.5 node-a " + strings.ReplaceAll(jsonLog(
 		`1s|d1|routing: forwarded|"request":"r1","service":"s","dispatcher":"d2"`,
 		`1.3s|d1|frontend: answered|"request":"r1","service":"s","backend":"b1","status":200`), "\n{", "\n2.5 node-a {")
@@ -172,9 +172,9 @@
 	require.Equal(t, "caller left while it waited", groups[1].Kind)
 }
 
-// TestWhatWasKnownOfABackend guards against wrong statements about what a daemon knew: that the back end was draining,
+// TestBackendSignals guards against wrong statements about what a daemon knew: that the back end was draining,
 // since when and from which source, and that it had asked for a pause.
-func TestWhatWasKnownOfABackend(t *testing.T) {
+func TestBackendSignals(t *testing.T) {
 	const answered = `1.2s|d1|frontend: answered|"request":"r1","code":1000,"service":"s","backend":"b1","status":200`
 	draining := func(at, daemon, backend, from, request string) string {
 		return fmt.Sprintf(`%s|%s|drains: back end is leaving|"service":"s","backend":%q,"source":"back end","heard_from":%q,"by_request":%q`, at, daemon, backend, from, request)
--- a/logging/logging_test.go
+++ b/logging/logging_test.go
@@ -108,9 +108,9 @@
 	require.Greater(t, target.writes, 10)
 }
 
-// TestLinesAfterTheEndAreLost guards against a panic or deadlock when lines are logged after
+// TestLinesAfterCloseAreLost guards against a panic or deadlock when lines are logged after
 // Close, as for a signal that arrives late.
-func TestLinesAfterTheEndAreLost(t *testing.T) {
+func TestLinesAfterCloseAreLost(t *testing.T) {
 	target := &countingWriter{}
 	writer := logging.NewWriter(target)
 	logger := logging.New(writer, logging.Options{Daemon: "edge-1"})
--- a/pipelining/pipelining.go
+++ b/pipelining/pipelining.go
@@ -51,6 +51,7 @@
 	pending atomic.Int64 // requests started early that net/http has not come to
 }
 
+// New returns a Server with the given options.
 func New(options Options) *Server {
 	if options.Metrics == nil {
 		options.Metrics = tally.NoopScope
--- a/pipelining/pipelining_test.go
+++ b/pipelining/pipelining_test.go
@@ -95,9 +95,9 @@
 	})
 }
 
-// TestNothingBehindTheEnd guards against starting requests behind one that closes the
+// TestNothingStartsAfterClose guards against starting requests behind one that closes the
 // connection.
-func TestNothingBehindTheEnd(t *testing.T) {
+func TestNothingStartsAfterClose(t *testing.T) {
 	for name, sent := range map[string]string{
 		"first":  "GET /a HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n" + getRequest("/z"),
 		"second": getRequest("/b") + "GET /a HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n" + getRequest("/z"),
@@ -196,9 +196,9 @@
 	})
 }
 
-// TestBrokenOff guards against completing a response whose handler aborted it: the connection
+// TestAbortedResponse guards against completing a response whose handler aborted it: the connection
 // is closed within that response, after the responses before it.
-func TestBrokenOff(t *testing.T) {
+func TestAbortedResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path == "/1" {
