--- a/pipelining/early.go
+++ b/pipelining/early.go
@@ -39,7 +39,8 @@
 }
 
 // deliver sends the response to w. It blocks until the response has been written; ctx ends when
-// the caller closes the connection.
+// the caller closes the connection. Like a handler that net/http calls itself, it panics with the
+// value that the handler panicked with, or with http.ErrAbortHandler if writing failed.
 func (e *earlyRequest) deliver(ctx context.Context, w http.ResponseWriter) {
 	defer e.cancel()
 	stop := context.AfterFunc(ctx, e.abort)
