--- a/pipelining/strict_test.go
+++ b/pipelining/strict_test.go
@@ -54,7 +54,7 @@
 // wherever it is on its connection, and the connection is closed, so that no bytes behind it
 // are taken for a request. Requests before it are served, including bodies that look like heads.
 func TestAmbiguousHeadsAreRefused(t *testing.T) {
-	for name, one := range map[string]struct {
+	for name, test := range map[string]struct {
 		sent   string
 		cause  error
 		served []string
@@ -74,10 +74,10 @@
 			caller, err := net.Dial("tcp", address)
 			require.NoError(t, err)
 			defer caller.Close()
-			_, err = io.WriteString(caller, one.sent)
+			_, err = io.WriteString(caller, test.sent)
 			require.NoError(t, err)
 			responses := bufio.NewReader(caller)
-			for range one.served {
+			for range test.served {
 				response, err := http.ReadResponse(responses, nil)
 				require.NoError(t, err)
 				require.Equal(t, http.StatusOK, response.StatusCode)
@@ -87,11 +87,11 @@
 			reason, err := io.ReadAll(response.Body)
 			require.NoError(t, err)
 			require.Equal(t, http.StatusBadRequest, response.StatusCode)
-			require.Equal(t, one.cause.Error(), strings.TrimSpace(string(reason)))
+			require.Equal(t, test.cause.Error(), strings.TrimSpace(string(reason)))
 			require.True(t, response.Close)
 			rest, _ := io.ReadAll(responses) // the connection may be reset, as bytes were left unread
 			require.Empty(t, rest)
-			require.Equal(t, one.served, *served)
+			require.Equal(t, test.served, *served)
 		})
 	}
 }
