--- a/lab/soak/caller.go
+++ b/lab/soak/caller.go
@@ -13,32 +13,33 @@
 	"time"
 )
 
-// callerTimeout is how long a caller waits for its answer.
+// callerTimeout is how long a caller waits for a response.
 const callerTimeout = 3 * time.Second
 
-// callers send requests to daemons over connections that they keep, and new ones.
+// callers sends requests to the daemons, over keep-alive connections as well as over a new connection
+// for each request.
 type callers struct {
-	fleet  *fleet
-	client *http.Client // keeps connections until the daemon is gone
-	fresh  *http.Client
-	random *rand.Rand
+	fleet           *fleet
+	keepAliveClient *http.Client // reuses connections until the daemon closes them
+	singleUseClient *http.Client
+	random          *rand.Rand
 
-	mutex sync.Mutex
-	last  int
+	mutex  sync.Mutex
+	lastID int
 }
 
 func newCallers(f *fleet, seed uint64) *callers {
 	return &callers{
 		fleet: f, random: rand.New(rand.NewPCG(seed, 1)),
-		client: &http.Client{Timeout: callerTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 20}},
-		fresh:  &http.Client{Timeout: callerTimeout, Transport: &http.Transport{DisableKeepAlives: true}},
+		keepAliveClient: &http.Client{Timeout: callerTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 20}},
+		singleUseClient: &http.Client{Timeout: callerTimeout, Transport: &http.Transport{DisableKeepAlives: true}},
 	}
 }
 
-// load sends requests at a rate until ctx ends, and waits for their ends.
-func (c *callers) load(ctx context.Context, perSecond int) {
-	var running sync.WaitGroup
-	defer running.Wait()
+// sendLoad sends requests at the given rate until ctx is done, then waits for those in flight.
+func (c *callers) sendLoad(ctx context.Context, perSecond int) {
+	var inFlight sync.WaitGroup
+	defer inFlight.Wait()
 	ticker := time.NewTicker(time.Second / time.Duration(perSecond))
 	defer ticker.Stop()
 	for {
@@ -47,32 +48,32 @@
 			return
 		case <-ticker.C:
 		}
-		kept, unsafe, newest := c.random.IntN(2) == 0, c.random.IntN(3) == 0, c.random.IntN(8) == 0
+		keepAlive, unsafe, toNewestRoute := c.random.IntN(2) == 0, c.random.IntN(3) == 0, c.random.IntN(8) == 0
 		pipelined := 0
 		if c.random.IntN(10) == 0 {
-			pipelined = 2 + c.random.IntN(mostPipelined-1)
+			pipelined = 2 + c.random.IntN(maxPipelined-1)
 		}
-		target := c.choose()
-		running.Go(func() {
+		target := c.chooseDaemon()
+		inFlight.Go(func() {
 			switch {
 			case pipelined > 0:
 				c.sendPipelined(target, pipelined)
-			case newest:
-				c.sendNewest(target)
+			case toNewestRoute:
+				c.sendToNewestRoute(target)
 			default:
-				c.send(target, unsafe, kept)
+				c.send(target, unsafe, keepAlive)
 			}
 		})
 	}
 }
 
-// choose returns a daemon that the balancer sends callers to; where fewer than half
-// are ready, any.
-func (c *callers) choose() *process {
+// chooseDaemon returns a random daemon of those that the platform's balancer considers ready. If fewer
+// than half are ready, it chooses among all daemons.
+func (c *callers) chooseDaemon() *process {
 	var ready []*process
-	for _, one := range c.fleet.daemons {
-		if one.isReady() {
-			ready = append(ready, one)
+	for _, daemon := range c.fleet.daemons {
+		if daemon.isReady() {
+			ready = append(ready, daemon)
 		}
 	}
 	if 2*len(ready) < len(c.fleet.daemons) {
@@ -84,41 +85,41 @@
 func (c *callers) nextID() string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.last++
-	return fmt.Sprintf("r-%d", c.last)
+	c.lastID++
+	return fmt.Sprintf("r-%d", c.lastID)
 }
 
-// send sends one request on a route that is always there.
-func (c *callers) send(target *process, unsafe, kept bool) {
+// send sends one request on a route that every configuration contains.
+func (c *callers) send(target *process, unsafe, keepAlive bool) {
 	id := c.nextID()
 	method, path := http.MethodGet, "/safe/"+id
 	if unsafe {
 		method, path = http.MethodPost, "/unsafe/"+id
 	}
-	client := c.fresh
-	if kept {
-		client = c.client
+	client := c.singleUseClient
+	if keepAlive {
+		client = c.keepAliveClient
 	}
-	c.fleet.report.sent(id, target.currentLife(), unsafe)
-	response, got, err := c.exchange(client, target, method, id, path)
+	c.fleet.report.recordSent(id, target.incarnationName(), unsafe)
+	response, responseBody, err := c.exchange(client, target, method, id, path)
 	if err == nil {
-		c.fleet.report.answered(id, path, response, got)
+		c.fleet.report.recordResponse(id, path, response, responseBody)
 		return
 	}
-	var dial *net.OpError
-	if errors.As(err, &dial) && dial.Op == "dial" {
+	var opErr *net.OpError
+	if errors.As(err, &opErr) && opErr.Op == "dial" {
 		c.fleet.report.count("no connection")
 		return
 	}
-	c.fleet.report.unanswered(id, path, target.isStopping(), err)
+	c.fleet.report.recordNoResponse(id, path, target.isStopping(), err)
 }
 
 func (c *callers) exchange(client *http.Client, target *process, method, id, path string) (*http.Response, string, error) {
-	var sent io.Reader
+	var requestBody io.Reader
 	if method == http.MethodPost {
-		sent = strings.NewReader(id)
+		requestBody = strings.NewReader(id)
 	}
-	request, err := http.NewRequest(method, "http://"+target.at(portCaller)+path, sent)
+	request, err := http.NewRequest(method, "http://"+target.addr(portCaller)+path, requestBody)
 	if err != nil {
 		return nil, "", err
 	}
@@ -131,45 +132,45 @@
 		return nil, "", err
 	}
 	defer response.Body.Close()
-	got, err := io.ReadAll(response.Body)
-	return response, string(got), err
+	responseBody, err := io.ReadAll(response.Body)
+	return response, string(responseBody), err
 }
 
-// sendNewest sends a request on the route that was added last, and checks that a
-// daemon that served it once goes on to know it, and that all know it in time.
-func (c *callers) sendNewest(target *process) {
-	route, acked := c.fleet.newestRoute()
+// sendToNewestRoute sends a request on the route that was added last. It checks that a daemon which has
+// served the route does not lose it again, and that every daemon knows the route within configBound.
+func (c *callers) sendToNewestRoute(target *process) {
+	route, ackedAt := c.fleet.newestRoute()
 	target.mutex.Lock()
-	life, served := target.life, target.served
+	incarnation, highestServed := target.incarnation, target.highestServedRoute
 	target.mutex.Unlock()
-	calm := c.fleet.calmFor()
+	faultFree := c.fleet.faultFreeFor()
 	id := c.nextID()
 	path := fmt.Sprintf("/change-%d/%s", route, id)
-	c.fleet.report.sent(id, target.currentLife(), false)
-	begun := time.Now()
-	response, got, err := c.exchange(c.fresh, target, http.MethodGet, id, path)
+	c.fleet.report.recordSent(id, target.incarnationName(), false)
+	startedAt := time.Now()
+	response, responseBody, err := c.exchange(c.singleUseClient, target, http.MethodGet, id, path)
 	if err != nil {
 		return
 	}
-	c.fleet.report.answered(id, path, response, got)
+	c.fleet.report.recordResponse(id, path, response, responseBody)
 	if response.StatusCode != http.StatusNotFound {
 		target.mutex.Lock()
-		if target.life == life {
-			target.served = max(target.served, route)
+		if target.incarnation == incarnation {
+			target.highestServedRoute = max(target.highestServedRoute, route)
 		}
 		target.mutex.Unlock()
 		return
 	}
-	if now, _ := c.fleet.newestRoute(); now != route {
-		return // it was taken away in the meantime
+	if current, _ := c.fleet.newestRoute(); current != route {
+		return // a newer configuration has replaced the route
 	}
 	r := c.fleet.report
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	switch {
-	case served >= route:
-		r.violated("CONFIG: %s went back: 404 for %s after it had served that route", target.name, path)
-	case begun.Sub(acked) > configBound && calm > begun.Sub(acked)+settleTime:
-		r.violated("CONFIG: %s does not know %s %s after it was acknowledged", target.name, path, begun.Sub(acked))
+	case highestServed >= route:
+		r.addViolation("CONFIG: %s returned to an older configuration: 404 for %s after it had served that route", target.name, path)
+	case startedAt.Sub(ackedAt) > configBound && faultFree > startedAt.Sub(ackedAt)+settleTime:
+		r.addViolation("CONFIG: %s has no route for %s, %s after the store acknowledged it", target.name, path, startedAt.Sub(ackedAt))
 	}
 }
--- a/lab/soak/crashing.go
+++ b/lab/soak/crashing.go
@@ -10,77 +10,78 @@
 )
 
 const (
-	// crashPath begins the path of requests that end the back ends which run them.
+	// crashPath is the path prefix of requests that crash the back end which runs them.
 	crashPath = "/safe/crash-"
-	// crashEvery is how often such a request comes again, at any daemon.
-	crashEvery = 150 * time.Millisecond
-	// crashLength is how long it does.
-	crashLength = 9 * time.Second
-	// restartTime is how long an ended back end takes until it starts again, under the id that
-	// it had.
-	restartTime = 1200 * time.Millisecond
-	// crashesTold is after how many endings all daemons must agree, agreement in which time, and
-	// crashSends how often back ends may be reached after that.
-	crashesTold = 3
-	agreement   = 3 * time.Second
-	crashSends  = 3
+	// crashInterval is the time between two sends of such a request, each to a random daemon.
+	crashInterval = 150 * time.Millisecond
+	// crashDuration is how long such a request is sent again.
+	crashDuration = 9 * time.Second
+	// workerRestartDelay is the time from the crash of a back end to its restart under the same id.
+	workerRestartDelay = 1200 * time.Millisecond
+	// crashThreshold is the number of crashes after which all daemons must quarantine a request,
+	// crashPropagationTime the time that they have for it, and maxArrivalsAfterCrashes how many
+	// sends may still reach back ends after that.
+	crashThreshold          = 3
+	crashPropagationTime    = 3 * time.Second
+	maxArrivalsAfterCrashes = 3
 )
 
-// crashing is what back ends saw of one request that ends them.
-type crashing struct {
-	endings []time.Time
-	late    int // arrivals after all daemons could agree
+// crashRecord holds what back ends observed of one request that crashes them.
+type crashRecord struct {
+	crashTimes   []time.Time
+	lateArrivals int // arrivals after crashPropagationTime
 }
 
-// arrivedCrashing notes a request at a back end that it ends.
-func (r *report) arrivedCrashing(path string) {
+// recordCrashingArrival records the arrival of a request that crashes back ends. It adds a violation
+// if too many arrive after all daemons should have quarantined the request.
+func (r *report) recordCrashingArrival(path string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	one := r.crashing[path]
-	if one == nil || len(one.endings) < crashesTold {
+	record := r.crashes[path]
+	if record == nil || len(record.crashTimes) < crashThreshold {
 		return
 	}
-	since := time.Since(one.endings[crashesTold-1])
-	if since <= agreement || r.calmFor() < since {
-		return // not told to all yet, or a fault may have taken the memory of it
+	since := time.Since(record.crashTimes[crashThreshold-1])
+	if since <= crashPropagationTime || r.faultFreeFor() < since {
+		return // not yet known to all daemons, or a fault may have erased their records
 	}
-	if one.late++; one.late > crashSends {
-		r.violated("BUDGET: %s reached a back end %s after it had ended %d", path, since, crashesTold)
+	if record.lateArrivals++; record.lateArrivals > maxArrivalsAfterCrashes {
+		r.addViolation("BUDGET: %s reached a back end %s after it had crashed %d back ends", path, since, crashThreshold)
 	}
 }
 
-// crashed notes that a back end has ended under a request.
-func (r *report) crashed(path string) {
+// recordCrash records that a request has crashed a back end.
+func (r *report) recordCrash(path string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.crashing[path] == nil {
-		r.crashing[path] = &crashing{}
+	if r.crashes[path] == nil {
+		r.crashes[path] = &crashRecord{}
 	}
-	r.crashing[path].endings = append(r.crashing[path].endings, time.Now())
+	r.crashes[path].crashTimes = append(r.crashes[path].crashTimes, time.Now())
 	r.counts["back ends ended by a request"]++
 }
 
-// crash ends a back end under a request; it starts again under its id.
-func (f *fleet) crash(one *worker, path string) {
-	if !f.takeOut(one) {
-		return // another request was faster
+// crash ends a back end while it runs a request, and restarts it under the same id.
+func (f *fleet) crash(crashed *worker, path string) {
+	if !f.removeCrashed(crashed) {
+		return // another request has already crashed it
 	}
-	f.report.crashed(path)
-	f.faults.Go(func() {
-		one.end()
-		time.Sleep(restartTime)
-		if err := f.startAgain(one); err != nil {
-			f.report.log("%s not started again: %v", one.id, err)
+	f.report.recordCrash(path)
+	f.runningFaults.Go(func() {
+		crashed.close()
+		time.Sleep(workerRestartDelay)
+		if err := f.restartWorker(crashed); err != nil {
+			f.report.log("restart of back end %s failed: %v", crashed.id, err)
 		}
 	})
 }
 
-// takeOut takes a back end from those that run, and says whether it was one.
-func (f *fleet) takeOut(one *worker) bool {
+// removeCrashed removes a back end from the running ones, and reports whether it was among them.
+func (f *fleet) removeCrashed(crashed *worker) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	for index, running := range f.workers {
-		if running == one {
+		if running == crashed {
 			f.workers = append(f.workers[:index:index], f.workers[index+1:]...)
 			return true
 		}
@@ -88,19 +89,19 @@
 	return false
 }
 
-// repeatCrashing sends a request that ends back ends for a while, each time under a new id and
-// through another daemon.
+// repeatCrashing sends a request that crashes back ends again and again for crashDuration, each time
+// under a new id and through a random daemon.
 func (c *callers) repeatCrashing(path string) {
 	var sending sync.WaitGroup
 	defer sending.Wait()
-	for end := time.Now().Add(crashLength); time.Now().Before(end); time.Sleep(crashEvery) {
+	for end := time.Now().Add(crashDuration); time.Now().Before(end); time.Sleep(crashInterval) {
 		target := c.fleet.daemons[rand.IntN(len(c.fleet.daemons))]
 		sending.Go(func() {
 			id := c.nextID()
-			c.fleet.report.sent(id, target.currentLife(), false)
-			response, got, err := c.exchange(c.fresh, target, http.MethodGet, id, path)
+			c.fleet.report.recordSent(id, target.incarnationName(), false)
+			response, got, err := c.exchange(c.singleUseClient, target, http.MethodGet, id, path)
 			if err == nil {
-				c.fleet.report.answered(id, path, response, got)
+				c.fleet.report.recordResponse(id, path, response, got)
 			}
 		})
 	}
@@ -110,7 +111,8 @@
 	return strings.HasPrefix(path, crashPath)
 }
 
-// foreignEntries are entries of another writer: none names a back end to use.
+// foreignEntries are entries that another program writes into the list of back ends. None describes a
+// usable back end.
 var foreignEntries = []any{
 	struct{}{}, 7, "bytes", []int{1},
 	map[string]any{"address": "127.0.0.1:1", "info": map[string]any{"service": "board"}, "status": map[string]any{"state": "ready"}},
@@ -118,13 +120,13 @@
 	map[string]any{"address": "127.0.0.1:1", "info": map[string]any{"service": "board", "version": "v1", "zone": "zone-a", "slots": -3}, "status": map[string]any{"state": "ready", "seq": 1, "warmupLeftS": 0}},
 }
 
-// writeForeign writes entries of another writer, and takes them away again.
-func (f *fleet) writeForeign(length time.Duration) {
+// writeForeignEntries writes foreignEntries to the store, and removes them after the given duration.
+func (f *fleet) writeForeignEntries(duration time.Duration) {
 	name := func(number int) string { return fmt.Sprintf("foreign-%d", number) }
 	for number, entry := range foreignEntries {
 		f.store.Set("servers", name(number), entry)
 	}
-	time.Sleep(length)
+	time.Sleep(duration)
 	for number := range foreignEntries {
 		f.store.Remove("servers", name(number))
 	}
--- a/lab/soak/doc.go
+++ b/lab/soak/doc.go
@@ -1,10 +1,11 @@
-// Package soak runs real daemon processes on one machine, harms them and what they
-// depend on from outside, and checks the promises all the while from what callers and
-// back ends see.
+// Package soak runs real daemon processes on one machine, injects faults into them and
+// their dependencies from outside, and meanwhile checks the promised behavior by what
+// callers and back ends observe.
 //
-// The platform's store and the back ends are stand-ins in this process; every daemon is
-// a process of the built binary on a loopback address of its own. The links from each
-// daemon to the store and from all daemons to each back end go through proxies that
-// delay, cut or silence them. A schedule of faults is drawn from a seed; faults come in
-// series and overlap. Only processes that the run started are ended, by their ids.
+// The platform's store and the back ends are stubs in this process; each daemon is a
+// process of the built binary on its own loopback address. The links from each daemon
+// to the store and from all daemons to each back end pass through proxies that can
+// delay, reset or stall them. The schedule of faults is derived from a seed; faults can
+// follow one another closely and overlap. A run ends only processes that it started, by
+// their process ids.
 package soak
--- a/lab/soak/fleet.go
+++ b/lab/soak/fleet.go
@@ -15,24 +15,24 @@
 	"github.com/tuliphall/tuliphall/lab/launcher"
 )
 
-// Ports of every daemon, on an address of its own.
+// Ports of every daemon; each daemon has its own loopback address.
 const (
 	portCaller  = "8080"
 	portPeer    = "7000"
 	portForward = "7001"
 	portAdmin   = "9090"
-	portStore   = "8000" // its own proxy to the store
+	portStore   = "8000" // the daemon's proxy to the store
 )
 
-// Timing of processes.
+// Timing of daemon processes.
 const (
-	startDelay   = 700 * time.Millisecond // until an ended daemon starts again
-	graceTime    = 6 * time.Second        // after SIGTERM
+	restartDelay = 700 * time.Millisecond // from the end of a daemon to its restart
+	stopTimeout  = 6 * time.Second        // from SIGTERM to SIGKILL
 	readyTimeout = 20 * time.Second
 )
 
-// settingsText is one daemon's settings, as deploy/daemon.toml gives them.
-const settingsText = `name = %q
+// settingsTemplate is the settings file of one daemon, with the values of deploy/daemon.toml.
+const settingsTemplate = `name = %q
 region = "region-1"
 zone = "zone-a"
 peers = [%s]
@@ -60,7 +60,7 @@
 decisions = true
 `
 
-// daemonState is what is meant to become of a process.
+// daemonState is the intended state of a daemon process.
 type daemonState int
 
 const (
@@ -69,41 +69,42 @@
 	ended
 )
 
-// process is one daemon's place in the fleet. It is safe for concurrent use.
+// process is one daemon of the fleet, across its restarts. It is safe for concurrent use.
 type process struct {
-	name    string
-	address string
-	folder  string
-	binary  string
-	peers   []string
-	store   *proxy
-	report  *report
-	// restarting is held from the end of one life to the start of the next.
+	name       string
+	address    string
+	directory  string
+	binary     string
+	peers      []string
+	storeProxy *proxy
+	report     *report
+	// restarting is held from the stop of one incarnation to the start of the next.
 	restarting sync.Mutex
 
-	mutex   sync.Mutex
-	command *exec.Cmd
-	state   daemonState
-	exited  chan struct{}
-	life    int
-	served  int // highest route of this life that was served
-	ready   bool
-	misses  int
+	mutex              sync.Mutex
+	command            *exec.Cmd
+	state              daemonState
+	exited             chan struct{}
+	incarnation        int
+	highestServedRoute int // newest route that this incarnation has served
+	ready              bool
+	failedChecks       int
 }
 
-func (p *process) at(port string) string { return p.address + ":" + port }
+func (p *process) addr(port string) string { return p.address + ":" + port }
 
-// currentLife names the present life of the daemon.
-func (p *process) currentLife() string {
+// incarnationName names the current incarnation of the daemon.
+func (p *process) incarnationName() string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return fmt.Sprintf("%s life %d", p.name, p.life)
+	return fmt.Sprintf("%s incarnation %d", p.name, p.incarnation)
 }
 
-// start starts the daemon once its earlier life is over: two faults may end it, and the one that starts it again need not be
-// the one that waited. It does not wait until the daemon is ready.
+// start starts the daemon after its earlier incarnation has exited. Two overlapping faults may stop the
+// daemon, and the one that restarts it need not be the one that waited for its exit. start does not wait
+// until the daemon is ready.
 func (p *process) start() error {
-	if exited := p.end(); exited != nil {
+	if exited := p.exitedChannel(); exited != nil {
 		<-exited
 	}
 	p.mutex.Lock()
@@ -112,19 +113,20 @@
 	for _, peer := range p.peers {
 		peers = append(peers, fmt.Sprintf("%q", peer))
 	}
-	text := fmt.Sprintf(settingsText, p.name, strings.Join(peers, ", "), p.at(portCaller), p.at(portPeer), p.at(portForward), p.at(portAdmin), p.at(portStore))
-	command, err := launcher.Start(p.binary, p.folder, p.name, text)
+	settings := fmt.Sprintf(settingsTemplate, p.name, strings.Join(peers, ", "), p.addr(portCaller), p.addr(portPeer), p.addr(portForward), p.addr(portAdmin), p.addr(portStore))
+	command, err := launcher.Start(p.binary, p.directory, p.name, settings)
 	if err != nil {
 		return err
 	}
-	p.command, p.state, p.exited, p.served = command, running, make(chan struct{}), 0
-	p.life++
-	go p.await(command, p.exited)
+	p.command, p.state, p.exited, p.highestServedRoute = command, running, make(chan struct{}), 0
+	p.incarnation++
+	go p.waitForExit(command, p.exited)
 	return nil
 }
 
-// await notes the end of a process.
-func (p *process) await(command *exec.Cmd, exited chan struct{}) {
+// waitForExit waits for the process to exit, and adds a violation if it exited unexpectedly or with an
+// error.
+func (p *process) waitForExit(command *exec.Cmd, exited chan struct{}) {
 	err := command.Wait()
 	p.mutex.Lock()
 	state := p.state
@@ -135,13 +137,13 @@
 	defer p.report.mutex.Unlock()
 	switch {
 	case state == running:
-		p.report.violated("FAULT: %s ended by itself: %v", p.name, err)
-	case state == stopping && err != nil && p.report.calmFor() > settleTime:
-		p.report.violated("LOST: %s did not end cleanly: %v", p.name, err)
+		p.report.addViolation("FAULT: %s exited unexpectedly: %v", p.name, err)
+	case state == stopping && err != nil && p.report.faultFreeFor() > settleTime:
+		p.report.addViolation("LOST: %s did not shut down cleanly: %v", p.name, err)
 	}
 }
 
-// signal sends a signal to the process, and says whether it runs.
+// signal sends a signal to the process, and reports whether the process was running and got it.
 func (p *process) signal(signal syscall.Signal, next daemonState) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -152,75 +154,75 @@
 	return p.command.Process.Signal(signal) == nil
 }
 
-// stop ends the daemon as planned and waits for that; what is left after the grace
-// time is killed, as the platform does.
+// stop shuts the daemon down with SIGTERM and waits for its exit. After stopTimeout it
+// kills the process, as the platform does.
 func (p *process) stop() {
 	if !p.signal(syscall.SIGTERM, stopping) {
 		return
 	}
 	select {
-	case <-p.end():
-	case <-time.After(graceTime):
+	case <-p.exitedChannel():
+	case <-time.After(stopTimeout):
 		p.report.count("killed after the grace time")
 		p.kill()
 	}
 }
 
-// kill ends the daemon at once and waits for that.
+// kill ends the daemon with SIGKILL and waits for its exit.
 func (p *process) kill() {
 	if !p.signal(syscall.SIGKILL, ended) {
 		return
 	}
-	<-p.end()
+	<-p.exitedChannel()
 }
 
-// end returns what is closed when the present life is over.
-func (p *process) end() chan struct{} {
+// exitedChannel returns a channel that is closed when the current incarnation has exited.
+func (p *process) exitedChannel() chan struct{} {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.exited
 }
 
-// isStopping says whether the daemon was told to stop.
+// isStopping reports whether the daemon was told to stop and has not exited yet.
 func (p *process) isStopping() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.state == stopping
 }
 
-// balance asks the daemon whether it is ready, as the platform's balancer does each
-// second, and takes it out after two misses.
-func (p *process) balance(client *http.Client) {
-	response, err := client.Get("http://" + p.at(portAdmin) + "/readyz")
-	well := err == nil && response.StatusCode == http.StatusOK
+// checkReady performs one readiness check, as the platform's balancer does each second.
+// After two failed checks in a row the daemon gets no more callers.
+func (p *process) checkReady(client *http.Client) {
+	response, err := client.Get("http://" + p.addr(portAdmin) + "/readyz")
+	ok := err == nil && response.StatusCode == http.StatusOK
 	if err == nil {
 		response.Body.Close()
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if well {
-		p.ready, p.misses = true, 0
+	if ok {
+		p.ready, p.failedChecks = true, 0
 		return
 	}
-	if p.misses++; p.misses >= 2 {
+	if p.failedChecks++; p.failedChecks >= 2 {
 		p.ready = false
 	}
 }
 
-// isReady says whether callers are sent to the daemon.
+// isReady reports whether the balancer sends callers to the daemon.
 func (p *process) isReady() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.ready
 }
 
-// awaitReady waits until callers are sent to all of the processes.
-func awaitReady(ctx context.Context, processes []*process) error {
+// waitUntilReady waits until all processes are ready for callers.
+func waitUntilReady(ctx context.Context, processes []*process) error {
 	deadline := time.Now().Add(readyTimeout)
-	for _, one := range processes {
-		for !one.isReady() {
+	for _, daemon := range processes {
+		for !daemon.isReady() {
 			if time.Now().After(deadline) || ctx.Err() != nil {
-				return errors.Timeoutf("%s", one.name)
+				return errors.Timeoutf("readiness of %s", daemon.name)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
--- a/lab/soak/limit.go
+++ b/lab/soak/limit.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// A back end that asks for fewer requests, and what the users promise to it.
+// Request limit that a back end sends with its responses, and the bound that daemons must keep.
 const (
-	limitPerSecond = 3.0
-	limitLength    = 10 * time.Second
-	limitWindow    = 4 * time.Second
-	limitInForce   = 3 * time.Second // after it first said so
-	// limitBound is how many requests it may get in a window from then on.
-	limitBound = int(1.5*limitPerSecond*4) + 5
+	limitPerSecond     = 3.0
+	limitFaultDuration = 10 * time.Second
+	limitWindow        = 4 * time.Second
+	limitGracePeriod   = 3 * time.Second // after it began to send the limit
+	// maxLimitedArrivals is how many requests it may get in a window after the grace period.
+	maxLimitedArrivals = int(1.5*limitPerSecond*4) + 5
 )
 
-// limit is what a back end says of how many requests it takes, and what it got since.
+// limit records since when a back end sends a request limit, and the arrivals of the last window.
 type limit struct {
-	since    time.Time // zero: it says nothing
+	since    time.Time // zero: it sends no limit
 	arrivals []time.Time
 }
 
-// setLimit makes the back end say so, or not any more.
+// setLimit makes the back end send a request limit, or stop sending it.
 func (w *worker) setLimit(on bool) {
 	w.limit = limit{}
 	if on {
@@ -30,7 +30,7 @@
 	}
 }
 
-// countLimited counts something that arrives at a back end which asks for fewer requests.
+// countLimited counts a request or probe that arrives while the back end sends a request limit.
 func (w *worker) countLimited() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -43,13 +43,13 @@
 		recent = recent[1:]
 	}
 	w.limit.arrivals = recent
-	if now.Sub(w.limit.since) > limitInForce+limitWindow {
-		w.report.arrivedAtLimited(w.id, len(recent))
+	if now.Sub(w.limit.since) > limitGracePeriod+limitWindow {
+		w.report.recordLimitedArrival(w.id, len(recent))
 	}
 }
 
-// nameLimit says how many requests the back end takes, if it says so now.
-func (w *worker) nameLimit(header http.Header) {
+// writeLimitHeader sets the header with the request limit, if the back end sends one.
+func (w *worker) writeLimitHeader(header http.Header) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if !w.limit.since.IsZero() {
@@ -57,12 +57,13 @@
 	}
 }
 
-// arrivedAtLimited notes how many requests and probes a limited back end got in the last window.
-func (r *report) arrivedAtLimited(worker string, count int) {
+// recordLimitedArrival records how many requests and probes a back end that sends a request limit got in
+// the last window.
+func (r *report) recordLimitedArrival(worker string, count int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.counts["at a limited back end"]++
-	if count > limitBound && r.calmFor() > limitWindow+settleTime {
-		r.violated("LIMIT: %s takes %g a second and got %d in %s", worker, limitPerSecond, count, limitWindow)
+	if count > maxLimitedArrivals && r.faultFreeFor() > limitWindow+settleTime {
+		r.addViolation("LIMIT: %s takes %g requests a second and got %d in %s", worker, limitPerSecond, count, limitWindow)
 	}
 }
--- a/lab/soak/older.go
+++ b/lab/soak/older.go
@@ -7,22 +7,24 @@
 )
 
 const (
-	// copyAge is how old the copy is from which the store comes back.
-	copyAge = 4 * time.Second
-	// writtenAgain is how long after that the operator and the back ends have written again what it lost.
-	writtenAgain = 1500 * time.Millisecond
+	// snapshotAge is the age of the backup that the store is restored from.
+	snapshotAge = 4 * time.Second
+	// rewriteDelay is the time from the rollback until the operator and the back ends have written the
+	// lost entries again.
+	rewriteDelay = 1500 * time.Millisecond
 )
 
-// storeComesBackOlder lets the store be away and come back from a copy that is some seconds old.
-func (f *fleet) storeComesBackOlder(away time.Duration) {
-	copied := f.store.Copy()
-	time.Sleep(copyAge)
-	defer f.report.fault()()
+// rollBackStore makes the store unavailable for the given time and restores it from a backup of
+// snapshotAge. The lost entries are written again after rewriteDelay.
+func (f *fleet) rollBackStore(outage time.Duration) {
+	snapshot := f.store.Copy()
+	time.Sleep(snapshotAge)
+	defer f.report.beginFault()()
 	f.store.SetFaults(objectstub.Faults{Down: true})
-	time.Sleep(away)
-	lost := f.store.ComeBackOlder(copied)
+	time.Sleep(outage)
+	lost := f.store.ComeBackOlder(snapshot)
 	f.store.SetFaults(objectstub.Faults{})
-	time.Sleep(writtenAgain)
+	time.Sleep(rewriteDelay)
 	for _, kind := range []string{"config", "evacuations", "servers"} {
 		f.store.WriteAgain(lost, kind)
 	}
--- a/lab/soak/pause.go
+++ b/lab/soak/pause.go
@@ -6,71 +6,74 @@
 	"time"
 )
 
-// A back end that turns requests away and asks for a pause, and what the users promise to it.
+// Timing of a back end that rejects requests and asks for a pause, and the bound that daemons must keep.
 const (
-	pauseLasts  = 3 * time.Second
-	pauseLength = 10 * time.Second // for so long it turns requests away
-	// pauseEvery is which of its requests it turns away: of the others it answers, so that it is not left out for failing.
-	pauseEvery = 3
-	// pauseInForce is from when after such an answer the daemon that got it is bound, and pauseBound how many requests of
-	// it may come from then on until the pause is over.
-	pauseInForce = 500 * time.Millisecond
-	pauseBound   = 2
+	pauseDuration         = 3 * time.Second
+	pushbackFaultDuration = 10 * time.Second // how long it rejects requests
+	// pushbackInterval makes the back end reject every third request. It serves the others, so that
+	// daemons do not eject it as failing.
+	pushbackInterval = 3
+	// pauseGracePeriod is the time after a rejection from which on the daemon that got it must keep the
+	// pause, and maxPausedArrivals how many of its requests may still arrive until the pause is over.
+	pauseGracePeriod  = 500 * time.Millisecond
+	maxPausedArrivals = 2
 )
 
-// pushback is how a back end turns requests away, and what it got from whom it asked for a pause. Which life of a daemon
-// sent a request is told by its caller.
+// pushback is the state of a back end that rejects requests and asks for pauses. Pauses are recorded by
+// incarnation of a daemon; the report knows which one a caller sent a request through.
 type pushback struct {
-	on       bool
+	active   bool
 	requests int
-	asked    map[string]time.Time // when it last asked, by life of a daemon
-	got      map[string]int       // from that one since it is bound
+	pausedAt map[string]time.Time // last request for a pause, by incarnation of a daemon
+	arrivals map[string]int       // requests since the grace period, by incarnation of a daemon
 }
 
-// setPushback makes the back end turn requests away, or not any more.
+// setPushback makes the back end reject requests, or stop rejecting them.
 func (w *worker) setPushback(on bool) {
-	w.pushback.on = on
+	w.pushback.active = on
 }
 
-// pushesBack counts a request, and says whether it is turned away.
-func (w *worker) pushesBack(header http.Header, id string) bool {
-	daemon := w.report.senderOf(id)
+// checkPushback counts a request, and reports whether it is rejected with a request for a pause.
+func (w *worker) checkPushback(header http.Header, id string) bool {
+	daemon := w.report.sendingDaemon(id)
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	now, state := time.Now(), &w.pushback
-	if age := now.Sub(state.asked[daemon]); age > pauseInForce && age < pauseLasts {
-		state.got[daemon]++
-		w.report.arrivedInPause(w.id, daemon, state.got[daemon])
+	if age := now.Sub(state.pausedAt[daemon]); age > pauseGracePeriod && age < pauseDuration {
+		state.arrivals[daemon]++
+		w.report.recordPausedArrival(w.id, daemon, state.arrivals[daemon])
 	}
 	state.requests++
-	if !state.on || state.requests%pauseEvery != 0 {
+	if !state.active || state.requests%pushbackInterval != 0 {
 		return false
 	}
-	if state.asked == nil {
-		state.asked, state.got = make(map[string]time.Time), make(map[string]int)
+	if state.pausedAt == nil {
+		state.pausedAt, state.arrivals = make(map[string]time.Time), make(map[string]int)
 	}
-	state.asked[daemon], state.got[daemon] = now, 0
+	state.pausedAt[daemon], state.arrivals[daemon] = now, 0
 	w.report.count("pauses asked for")
-	header.Set("Retry-After", strconv.Itoa(int(pauseLasts.Seconds())))
+	header.Set("Retry-After", strconv.Itoa(int(pauseDuration.Seconds())))
 	return true
 }
 
-// senderOf returns through which life of a daemon a request was sent; empty: nobody sent it.
-func (r *report) senderOf(id string) string {
+// sendingDaemon returns the incarnation of the daemon that a request was sent through; empty if no caller
+// sent it.
+func (r *report) sendingDaemon(id string) string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if one, known := r.requests[id]; known {
-		return one.through
+	if request, known := r.requests[id]; known {
+		return request.daemon
 	}
 	return ""
 }
 
-// arrivedInPause notes how many requests of a daemon a back end got in a pause that it had asked that daemon for.
-func (r *report) arrivedInPause(worker, daemon string, count int) {
+// recordPausedArrival records how many requests of a daemon a back end got during a pause that it had
+// asked this daemon for.
+func (r *report) recordPausedArrival(worker, daemon string, count int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.counts["in a pause"]++
-	if count > pauseBound && r.calmFor() > pauseLasts+settleTime {
-		r.violated("PAUSE: %s asked %s for %s and got %d requests of it meanwhile", worker, daemon, pauseLasts, count)
+	if count > maxPausedArrivals && r.faultFreeFor() > pauseDuration+settleTime {
+		r.addViolation("PAUSE: %s asked %s for a pause of %s and got %d requests from it meanwhile", worker, daemon, pauseDuration, count)
 	}
 }
--- a/lab/soak/pipeline.go
+++ b/lab/soak/pipeline.go
@@ -11,17 +11,17 @@
 	"time"
 )
 
-// mostPipelined is how many requests a caller that pipelines sends at once at most.
-const mostPipelined = 8
+// maxPipelined is the maximum number of requests that a caller pipelines on one connection.
+const maxPipelined = 8
 
-// errBehindLast is why a request that was sent behind the last answer of a connection got
-// none.
-var errBehindLast = errors.New("it was sent behind the last answer of its connection")
+// errAfterLastResponse is the reason why a request that was pipelined after the last response of its
+// connection got no response.
+var errAfterLastResponse = errors.New("request was pipelined after the last response of its connection")
 
-// sendPipelined sends requests at once on one connection, and reads their answers in
-// order.
+// sendPipelined sends several requests at once on one connection, and reads the responses
+// in order.
 func (c *callers) sendPipelined(target *process, count int) {
-	connection, err := net.DialTimeout("tcp", target.at(portCaller), callerTimeout)
+	connection, err := net.DialTimeout("tcp", target.addr(portCaller), callerTimeout)
 	if err != nil {
 		c.fleet.report.count("no connection")
 		return
@@ -32,41 +32,41 @@
 		return
 	}
 	var ids []string
-	var sent strings.Builder
+	var requests strings.Builder
 	for range count {
 		id := c.nextID()
 		ids = append(ids, id)
-		c.fleet.report.sent(id, target.currentLife(), false)
-		fmt.Fprintf(&sent, "GET /safe/%s HTTP/1.1\r\nHost: %s\r\nRequest-Id: %s\r\nDeadline-Ms: 2000\r\n\r\n", id, host, id)
+		c.fleet.report.recordSent(id, target.incarnationName(), false)
+		fmt.Fprintf(&requests, "GET /safe/%s HTTP/1.1\r\nHost: %s\r\nRequest-Id: %s\r\nDeadline-Ms: 2000\r\n\r\n", id, host, id)
 	}
-	// Where the daemon takes no more, the answers tell: it has closed the connection.
-	_, _ = io.WriteString(connection, sent.String())
-	answers := bufio.NewReader(connection)
+	// If the daemon has closed the connection, reading the responses shows it.
+	_, _ = io.WriteString(connection, requests.String())
+	responses := bufio.NewReader(connection)
 	for number, id := range ids {
-		response, got, err := readAnswer(answers)
+		response, responseBody, err := readResponse(responses)
 		if err != nil {
-			c.unanswered(target, ids[number:], err)
+			c.recordNoResponses(target, ids[number:], err)
 			return
 		}
-		c.fleet.report.answered(id, "/safe/"+id, response, got)
+		c.fleet.report.recordResponse(id, "/safe/"+id, response, responseBody)
 		if response.Close {
-			c.unanswered(target, ids[number+1:], errBehindLast)
+			c.recordNoResponses(target, ids[number+1:], errAfterLastResponse)
 			return
 		}
 	}
 }
 
-func readAnswer(answers *bufio.Reader) (*http.Response, string, error) {
-	response, err := http.ReadResponse(answers, nil)
+func readResponse(responses *bufio.Reader) (*http.Response, string, error) {
+	response, err := http.ReadResponse(responses, nil)
 	if err != nil {
 		return nil, "", err
 	}
-	got, err := io.ReadAll(response.Body)
-	return response, string(got), err
+	responseBody, err := io.ReadAll(response.Body)
+	return response, string(responseBody), err
 }
 
-func (c *callers) unanswered(target *process, ids []string, err error) {
+func (c *callers) recordNoResponses(target *process, ids []string, err error) {
 	for _, id := range ids {
-		c.fleet.report.unanswered(id, "/safe/"+id, target.isStopping(), err)
+		c.fleet.report.recordNoResponse(id, "/safe/"+id, target.isStopping(), err)
 	}
 }
--- a/lab/soak/play.go
+++ b/lab/soak/play.go
@@ -8,17 +8,17 @@
 	"github.com/tuliphall/tuliphall/lab/objectstub"
 )
 
-// Times of planned work.
+// Timing of planned operations.
 const (
-	drainTime    = 2 * time.Second // a leaving back end goes on serving
-	drainMore    = time.Second
-	rollGap      = 300 * time.Millisecond
-	stormChanges = 5
-	stormGap     = 150 * time.Millisecond
+	drainServingTime  = 2 * time.Second // how long a draining back end goes on serving
+	drainRemovalDelay = time.Second     // margin before and after its removal from the store
+	stopAllInterval   = 300 * time.Millisecond
+	burstChanges      = 5
+	burstInterval     = 150 * time.Millisecond
 )
 
-// play plays one fault and returns at its end.
-func (f *fleet) play(fault Fault) {
+// playFault injects one fault, and returns when it has ended.
+func (f *fleet) playFault(fault Fault) {
 	daemon := f.daemons[fault.Target%len(f.daemons)]
 	switch fault.Kind {
 	case Stop:
@@ -26,14 +26,14 @@
 	case Kill:
 		f.restart(daemon, daemon.kill)
 	case KillAll:
-		for _, one := range f.daemons {
-			f.faults.Go(func() { f.restart(one, one.kill) })
+		for _, target := range f.daemons {
+			f.runningFaults.Go(func() { f.restart(target, target.kill) })
 		}
-		time.Sleep(startDelay)
+		time.Sleep(restartDelay)
 	case StopAll:
-		for _, one := range f.daemons {
-			f.faults.Go(func() { f.restart(one, one.stop) })
-			time.Sleep(rollGap)
+		for _, target := range f.daemons {
+			f.runningFaults.Go(func() { f.restart(target, target.stop) })
+			time.Sleep(stopAllInterval)
 		}
 	case Suspend:
 		daemon.signal(syscall.SIGSTOP, running)
@@ -50,16 +50,16 @@
 		f.store.Compact()
 		f.store.SetFaults(objectstub.Faults{})
 	case StoreRollback:
-		f.storeComesBackOlder(fault.Duration)
+		f.rollBackStore(fault.Duration)
 	case StoreLink:
-		daemon.store.set(fault.Link)
+		daemon.storeProxy.setMode(fault.Link)
 		time.Sleep(fault.Duration)
-		daemon.store.set(Healthy)
+		daemon.storeProxy.setMode(Healthy)
 	case WorkerLink:
-		if one := f.worker(fault.Target); one != nil {
-			one.proxy.set(fault.Link)
+		if target := f.worker(fault.Target); target != nil {
+			target.proxy.setMode(fault.Link)
 			time.Sleep(fault.Duration)
-			one.proxy.set(Healthy)
+			target.proxy.setMode(Healthy)
 		}
 	case ConfigChange:
 		f.configure()
@@ -70,112 +70,112 @@
 	case CrashingRequest:
 		f.callers.repeatCrashing(fmt.Sprintf("%s%d", crashPath, fault.At))
 	case ForeignEntries:
-		f.writeForeign(fault.Duration)
+		f.writeForeignEntries(fault.Duration)
 	case ConfigBurst:
-		for range stormChanges {
+		for range burstChanges {
 			f.configure()
-			time.Sleep(stormGap)
+			time.Sleep(burstInterval)
 		}
 	default:
-		f.playWorker(fault)
+		f.playWorkerFault(fault)
 	}
 }
 
-// evacuate evacuates the zone of every other back end, or takes it back.
+// evacuate evacuates evacuatedZone, or ends its evacuation.
 func (f *fleet) evacuate(evacuated bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.evacuated = time.Time{}
+	f.evacuatedSince = time.Time{}
 	if evacuated {
-		f.store.Set("evacuations", emptiedZone, struct{}{})
-		f.evacuated = time.Now()
+		f.store.Set("evacuations", evacuatedZone, struct{}{})
+		f.evacuatedSince = time.Now()
 	} else {
-		f.store.Remove("evacuations", emptiedZone)
+		f.store.Remove("evacuations", evacuatedZone)
 	}
-	for _, one := range f.workers {
-		one.change(func() { one.evacuated = f.evacuatedIn(one.zone) })
+	for _, w := range f.workers {
+		w.update(func() { w.evacuatedSince = f.evacuationStart(w.zone) })
 	}
 }
 
-// evacuatedIn returns since when a zone is evacuated; zero: it is not. The caller holds the
-// mutex.
-func (f *fleet) evacuatedIn(zone string) time.Time {
-	if zone == emptiedZone {
-		return f.evacuated
+// evacuationStart returns since when a zone is evacuated; zero: it is not. The caller must
+// hold the mutex.
+func (f *fleet) evacuationStart(zone string) time.Time {
+	if zone == evacuatedZone {
+		return f.evacuatedSince
 	}
 	return time.Time{}
 }
 
-// playWorker plays what strikes one back end.
-func (f *fleet) playWorker(fault Fault) {
-	one := f.worker(fault.Target)
-	if one == nil {
-		return // all have ended
+// playWorkerFault injects a fault that concerns one back end.
+func (f *fleet) playWorkerFault(fault Fault) {
+	target := f.worker(fault.Target)
+	if target == nil {
+		return // no back end is running
 	}
 	during := func(set func(on bool)) {
-		one.change(func() { set(true) })
+		target.update(func() { set(true) })
 		time.Sleep(fault.Duration)
-		one.change(func() { set(false) })
+		target.update(func() { set(false) })
 	}
 	switch fault.Kind {
 	case WorkerSlow:
-		during(func(on bool) { one.slow = on })
+		during(func(on bool) { target.slow = on })
 	case WorkerDropsResponses:
-		during(func(on bool) { one.loses = on })
+		during(func(on bool) { target.dropsResponses = on })
 	case WorkerRejects:
-		during(func(on bool) { one.full = on })
+		during(func(on bool) { target.rejects = on })
 	case WorkerLimit:
-		during(one.setLimit)
+		during(target.setLimit)
 	case WorkerPushback:
-		during(one.setPushback)
+		during(target.setPushback)
 	case WorkerAnnouncesDrain:
-		if leaving := f.removeWorker(fault.Target); leaving != nil {
-			f.replace()
-			leaving.change(func() { leaving.leaves = true })
+		if draining := f.removeWorker(fault.Target); draining != nil {
+			f.addReplacement()
+			draining.update(func() { draining.announcesDrain = true })
 			time.Sleep(fault.Duration)
-			f.store.Remove("servers", leaving.id)
-			time.Sleep(drainMore)
-			leaving.end()
+			f.store.Remove("servers", draining.id)
+			time.Sleep(drainRemovalDelay)
+			draining.close()
 		}
 	case WorkerWrongRequestID:
-		during(func(on bool) { one.lies = on })
+		during(func(on bool) { target.wrongRequestID = on })
 	case WorkerCrash:
-		if gone := f.removeWorker(fault.Target); gone != nil {
-			gone.end()
+		if crashed := f.removeWorker(fault.Target); crashed != nil {
+			crashed.close()
 			time.Sleep(fault.Duration)
-			f.store.Remove("servers", gone.id)
-			f.replace()
+			f.store.Remove("servers", crashed.id)
+			f.addReplacement()
 		}
 	case WorkerDrains:
-		if leaving := f.removeWorker(fault.Target); leaving != nil {
-			f.replace()
-			f.list(leaving, "draining")
-			leaving.change(func() { leaving.left, leaving.leaves = time.Now(), true })
-			time.Sleep(drainTime + drainMore)
-			f.store.Remove("servers", leaving.id)
-			time.Sleep(drainMore)
-			leaving.end()
+		if draining := f.removeWorker(fault.Target); draining != nil {
+			f.addReplacement()
+			f.listWorker(draining, "draining")
+			draining.update(func() { draining.drainListedSince, draining.announcesDrain = time.Now(), true })
+			time.Sleep(drainServingTime + drainRemovalDelay)
+			f.store.Remove("servers", draining.id)
+			time.Sleep(drainRemovalDelay)
+			draining.close()
 		}
 	}
 }
 
-// restart ends a daemon and starts it again after the delay. A daemon that another
-// fault is restarting is only ended, which may be in the middle of a planned stop.
-func (f *fleet) restart(one *process, end func()) {
-	if !one.restarting.TryLock() {
+// restart ends a daemon and starts it again after restartDelay. If another fault is
+// restarting the daemon already, restart only ends it, possibly during a planned stop.
+func (f *fleet) restart(daemon *process, end func()) {
+	if !daemon.restarting.TryLock() {
 		end()
 		return
 	}
-	defer one.restarting.Unlock()
+	defer daemon.restarting.Unlock()
 	end()
-	time.Sleep(startDelay)
-	if err := one.start(); err != nil {
-		f.report.log("%s not started: %v", one.name, err)
+	time.Sleep(restartDelay)
+	if err := daemon.start(); err != nil {
+		f.report.log("restart of daemon %s failed: %v", daemon.name, err)
 	}
 }
 
-func (f *fleet) replace() {
+func (f *fleet) addReplacement() {
 	if _, err := f.addWorker(); err != nil {
-		f.report.log("no new back end: %v", err)
+		f.report.log("start of a replacement back end failed: %v", err)
 	}
 }
--- a/lab/soak/proxy.go
+++ b/lab/soak/proxy.go
@@ -7,29 +7,29 @@
 	"time"
 )
 
-// LinkMode is how a proxy treats what passes over it.
+// LinkMode is how a proxy treats its connections.
 type LinkMode string
 
-// The treatments.
+// Link modes.
 const (
 	Healthy LinkMode = "whole"
-	Delayed LinkMode = "delayed" // each piece comes later
-	Reset   LinkMode = "reset"   // connections are reset, new ones too
-	Silent  LinkMode = "silent"  // nothing passes, nothing is closed
-	OneWay  LinkMode = "one-way" // only what the server says is lost
+	Delayed LinkMode = "delayed" // each read is forwarded after linkDelay
+	Reset   LinkMode = "reset"   // open and new connections are reset
+	Silent  LinkMode = "silent"  // nothing is forwarded, connections stay open
+	OneWay  LinkMode = "one-way" // data from the server is not forwarded
 )
 
-// linkDelay is how much later each piece comes over a delayed link.
+// linkDelay is the delay before each forwarded read on a delayed link.
 const linkDelay = 60 * time.Millisecond
 
-// proxy passes connections on to one address. It is safe for concurrent use.
+// proxy is a TCP proxy to one address. It is safe for concurrent use.
 type proxy struct {
 	listener net.Listener
 	target   string
 
-	mutex sync.Mutex
-	link  LinkMode
-	open  map[net.Conn]bool
+	mutex       sync.Mutex
+	mode        LinkMode
+	connections map[net.Conn]bool
 }
 
 func startProxy(address, target string) (*proxy, error) {
@@ -37,7 +37,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{listener: listener, target: target, link: Healthy, open: make(map[net.Conn]bool)}
+	p := &proxy{listener: listener, target: target, mode: Healthy, connections: make(map[net.Conn]bool)}
 	go p.serve()
 	return p, nil
 }
@@ -48,25 +48,25 @@
 		if err != nil {
 			return
 		}
-		go p.join(conn)
+		go p.relay(conn)
 	}
 }
 
-func (p *proxy) state() LinkMode {
+func (p *proxy) currentMode() LinkMode {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.link
+	return p.mode
 }
 
-// set changes the treatment; open connections are reset where it says so.
-func (p *proxy) set(link LinkMode) {
+// setMode changes the link mode. Mode Reset also resets the open connections.
+func (p *proxy) setMode(mode LinkMode) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.link = link
-	if link != Reset {
+	p.mode = mode
+	if mode != Reset {
 		return
 	}
-	for conn := range p.open {
+	for conn := range p.connections {
 		reset(conn)
 	}
 }
@@ -78,8 +78,8 @@
 	conn.Close()
 }
 
-func (p *proxy) join(client net.Conn) {
-	if p.state() == Reset {
+func (p *proxy) relay(client net.Conn) {
+	if p.currentMode() == Reset {
 		reset(client)
 		return
 	}
@@ -88,41 +88,42 @@
 		reset(client)
 		return
 	}
-	p.keep(client, true)
-	p.keep(server, true)
-	var copying sync.WaitGroup
-	copying.Go(func() { p.pass(server, client, false) })
-	copying.Go(func() { p.pass(client, server, true) })
-	copying.Wait()
-	p.keep(client, false)
-	p.keep(server, false)
+	p.track(client, true)
+	p.track(server, true)
+	var copies sync.WaitGroup
+	copies.Go(func() { p.copyOneWay(server, client, false) })
+	copies.Go(func() { p.copyOneWay(client, server, true) })
+	copies.Wait()
+	p.track(client, false)
+	p.track(server, false)
 }
 
-func (p *proxy) keep(conn net.Conn, open bool) {
+func (p *proxy) track(conn net.Conn, open bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if open {
-		p.open[conn] = true
+		p.connections[conn] = true
 		return
 	}
-	delete(p.open, conn)
+	delete(p.connections, conn)
 }
 
-// pass copies one way until either side ends. answers says that it is the server's way.
-func (p *proxy) pass(to, from net.Conn, answers bool) {
+// copyOneWay forwards data in one direction until either side ends. fromServer is set for
+// the direction from the server to the client.
+func (p *proxy) copyOneWay(to, from net.Conn, fromServer bool) {
 	defer to.Close()
 	defer from.Close()
-	piece := make([]byte, 32<<10)
+	buffer := make([]byte, 32<<10)
 	for {
-		n, err := from.Read(piece)
-		for n > 0 && (p.state() == Silent || p.state() == OneWay && answers) {
+		n, err := from.Read(buffer)
+		for n > 0 && (p.currentMode() == Silent || p.currentMode() == OneWay && fromServer) {
 			time.Sleep(10 * time.Millisecond)
 		}
-		if p.state() == Delayed {
+		if p.currentMode() == Delayed {
 			time.Sleep(linkDelay)
 		}
 		if n > 0 {
-			if _, writeErr := to.Write(piece[:n]); writeErr != nil {
+			if _, writeErr := to.Write(buffer[:n]); writeErr != nil {
 				return
 			}
 		}
@@ -135,8 +136,8 @@
 	}
 }
 
-// close ends the proxy and its connections.
+// close stops the proxy and resets its connections.
 func (p *proxy) close() {
 	p.listener.Close()
-	p.set(Reset)
+	p.setMode(Reset)
 }
--- a/lab/soak/report.go
+++ b/lab/soak/report.go
@@ -10,54 +10,54 @@
 	"github.com/tuliphall/tuliphall/resultcode"
 )
 
-// Bounds that the users' pages give.
+// Bounds of the promises to users.
 const (
-	drainBound  = 2*time.Second + time.Second // after the store has it; one second for news
+	drainBound  = 2*time.Second + time.Second // after the store lists it as draining; includes one second of propagation
 	configBound = 2 * time.Second
-	// evacuationBound is how long after its evacuation a zone may get requests.
+	// evacuationBound is how long after its evacuation a zone may still get requests.
 	evacuationBound = 5 * time.Second
-	// settleTime is how long after the last fault bounded promises hold again.
+	// settleTime is the time after the last fault from which on bounded promises hold again.
 	settleTime = 6 * time.Second
 )
 
-// maxViolations bounds what is kept of violations.
+// maxViolations is the maximum number of violations that are kept.
 const maxViolations = 20
 
-// report holds what callers and back ends saw, and checks it. It is safe for
-// concurrent use.
+// report collects what callers and back ends observe, and checks the promises against it.
+// It is safe for concurrent use.
 type report struct {
-	progress io.Writer
-	begun    time.Time
-
-	mutex      sync.Mutex
-	requests   map[string]*request
-	crashing   map[string]*crashing // by path
-	counts     map[string]int
-	violations []string
-	faults     int // unplanned ones under way
-	faultEnded time.Time
+	progress  io.Writer
+	startedAt time.Time
+
+	mutex        sync.Mutex
+	requests     map[string]*request
+	crashes      map[string]*crashRecord // by path
+	counts       map[string]int
+	violations   []string
+	activeFaults int // unplanned faults in progress
+	lastFaultEnd time.Time
 }
 
 // request is one request of a caller.
 type request struct {
-	unsafe  bool
-	through string // life of the daemon
-	sent    time.Time
-	runs    int
-	notRun  bool // the caller was told so
+	unsafe              bool
+	daemon              string // incarnation of the daemon that it was sent through
+	sentAt              time.Time
+	executions          int
+	reportedNotExecuted bool // the caller was told that it did not run
 }
 
 func newReport(progress io.Writer) *report {
 	now := time.Now()
-	return &report{progress: progress, begun: now, requests: make(map[string]*request), crashing: make(map[string]*crashing), counts: make(map[string]int), faultEnded: now}
+	return &report{progress: progress, startedAt: now, requests: make(map[string]*request), crashes: make(map[string]*crashRecord), counts: make(map[string]int), lastFaultEnd: now}
 }
 
 func (r *report) log(format string, arguments ...any) {
-	fmt.Fprintf(r.progress, "%8.3f %s\n", time.Since(r.begun).Seconds(), fmt.Sprintf(format, arguments...))
+	fmt.Fprintf(r.progress, "%8.3f %s\n", time.Since(r.startedAt).Seconds(), fmt.Sprintf(format, arguments...))
 }
 
-// violated notes that a promise was broken. The caller holds the mutex.
-func (r *report) violated(format string, arguments ...any) {
+// addViolation records and logs a broken promise. The caller must hold the mutex.
+func (r *report) addViolation(format string, arguments ...any) {
 	text := fmt.Sprintf(format, arguments...)
 	if len(r.violations) < maxViolations {
 		r.violations = append(r.violations, text)
@@ -65,122 +65,123 @@
 	r.log("BROKEN %s", text)
 }
 
-// count counts one event.
-func (r *report) count(what string) {
+func (r *report) count(event string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.counts[what]++
+	r.counts[event]++
 }
 
-// fault notes that an unplanned fault begins; its end is noted by the function
-// returned.
-func (r *report) fault() (ended func()) {
+// beginFault records the start of an unplanned fault. The returned function records its
+// end.
+func (r *report) beginFault() (ended func()) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.faults++
+	r.activeFaults++
 	return func() {
 		r.mutex.Lock()
 		defer r.mutex.Unlock()
-		r.faults--
-		r.faultEnded = time.Now()
+		r.activeFaults--
+		r.lastFaultEnd = time.Now()
 	}
 }
 
-// calmFor returns for how long there has been no fault. The caller holds the mutex.
-func (r *report) calmFor() time.Duration {
-	if r.faults > 0 {
+// faultFreeFor returns the time since the last unplanned fault, 0 during one. The caller must hold the
+// mutex.
+func (r *report) faultFreeFor() time.Duration {
+	if r.activeFaults > 0 {
 		return 0
 	}
-	return time.Since(r.faultEnded)
+	return time.Since(r.lastFaultEnd)
 }
 
-// sent notes a request before it is sent through a life of a daemon.
-func (r *report) sent(id, through string, unsafe bool) {
+// recordSent records a request before it is sent through an incarnation of a daemon.
+func (r *report) recordSent(id, daemon string, unsafe bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.requests[id] = &request{unsafe: unsafe, through: through, sent: time.Now()}
+	r.requests[id] = &request{unsafe: unsafe, daemon: daemon, sentAt: time.Now()}
 	r.counts["sent"]++
 }
 
-// ran notes that a back end works on a request.
-func (r *report) ran(id, path string) {
+// recordExecution records that a back end has begun to run a request.
+func (r *report) recordExecution(id, path string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	one, known := r.requests[id]
+	request, known := r.requests[id]
 	if !known {
-		r.violated("UNASKED: a back end ran %s %s, which nobody sent", id, path)
+		r.addViolation("UNASKED: a back end ran %s %s, which no caller sent", id, path)
 		return
 	}
-	one.runs++
-	if one.unsafe && one.runs > 1 {
-		r.violated("TWICE: %s %s ran %d times", id, path, one.runs)
+	request.executions++
+	if request.unsafe && request.executions > 1 {
+		r.addViolation("TWICE: %s %s ran %d times", id, path, request.executions)
 	}
-	if one.notRun {
-		r.violated("REFUSED: %s %s ran after its caller was told that it did not", id, path)
+	if request.reportedNotExecuted {
+		r.addViolation("REFUSED: %s %s ran after its caller was told that it had not run", id, path)
 	}
 }
 
-// arrivedAtLeaving notes a request at a back end that has said for so long that it
-// leaves.
-func (r *report) arrivedAtLeaving(worker, id string, age time.Duration) {
+// recordDrainingArrival records the arrival of a request at a back end that has been
+// draining for the given time.
+func (r *report) recordDrainingArrival(worker, id string, age time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.counts["at a leaving back end"]++
-	if age > drainBound && r.calmFor() > age+settleTime {
-		r.violated("DRAIN: %s reached %s %s after it said that it leaves", id, worker, age)
+	if age > drainBound && r.faultFreeFor() > age+settleTime {
+		r.addViolation("DRAIN: %s reached %s %s after it began to drain", id, worker, age)
 	}
 }
 
-// arrivedAtEvacuated notes a request at a back end whose zone has been evacuated for so long.
-func (r *report) arrivedAtEvacuated(worker, id string, age time.Duration) {
+// recordEvacuatedArrival records the arrival of a request at a back end whose zone has been evacuated for
+// the given time.
+func (r *report) recordEvacuatedArrival(worker, id string, age time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.counts["at an evacuated zone"]++
-	if age > evacuationBound && r.calmFor() > settleTime {
-		r.violated("EVACUATED: %s reached %s %s after its zone was evacuated", id, worker, age)
+	if age > evacuationBound && r.faultFreeFor() > settleTime {
+		r.addViolation("EVACUATED: %s reached %s %s after its zone was evacuated", id, worker, age)
 	}
 }
 
-// answered notes what a caller got.
-func (r *report) answered(id, path string, response *http.Response, got string) {
+// recordResponse records the response that a caller got, and checks that it belongs to the request.
+func (r *report) recordResponse(id, path string, response *http.Response, responseBody string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	one := r.requests[id]
+	request := r.requests[id]
 	r.counts[fmt.Sprintf("status %d", response.StatusCode)]++
-	told := response.Header.Get(resultcode.HeaderRun) == string(resultcode.NotRun)
+	notExecuted := response.Header.Get(resultcode.HeaderRun) == string(resultcode.NotRun)
 	switch response.StatusCode {
 	case http.StatusOK:
-		if got != body(id, path) {
-			r.violated("MIXED: %s %s got %d bytes that are not its answer", id, path, len(got))
+		if responseBody != expectedBody(id, path) {
+			r.addViolation("MIXED: %s %s got a body of %d bytes that is not the expected one", id, path, len(responseBody))
 		}
-		if echoed := response.Header.Get("Request-Id"); echoed != id {
-			r.violated("MIXED: %s %s got the answer of %q", id, path, echoed)
+		if echoedID := response.Header.Get("Request-Id"); echoedID != id {
+			r.addViolation("MIXED: %s %s got the response to request %q", id, path, echoedID)
 		}
 		return
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
-		told = true
+		notExecuted = true
 	}
-	if told {
-		one.notRun = true
-		if one.runs > 0 {
-			r.violated("REFUSED: %s %s was told %d, not run, and had run", id, path, response.StatusCode)
+	if notExecuted {
+		request.reportedNotExecuted = true
+		if request.executions > 0 {
+			r.addViolation("REFUSED: %s %s was reported as not run with status %d, but had run", id, path, response.StatusCode)
 		}
 	}
 }
 
-// unanswered notes a request whose connection ended without its whole answer. stopping
-// says that its daemon was being stopped as planned.
-func (r *report) unanswered(id, path string, stopping bool, err error) {
+// recordNoResponse records a request whose connection ended before the complete response.
+// stopping is set if its daemon was in a planned stop.
+func (r *report) recordNoResponse(id, path string, stopping bool, err error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.counts["no answer"]++
-	one := r.requests[id]
-	if stopping && one.runs > 0 && r.calmFor() > time.Since(one.sent)+settleTime {
-		r.violated("LOST: %s %s was cut by a planned stop: %v", id, path, err)
+	request := r.requests[id]
+	if stopping && request.executions > 0 && r.faultFreeFor() > time.Since(request.sentAt)+settleTime {
+		r.addViolation("LOST: %s %s was interrupted by a planned stop: %v", id, path, err)
 	}
 }
 
-// print sums up.
+// print logs the event counts and the number of violations.
 func (r *report) print(seed uint64) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/lab/soak/schedule.go
+++ b/lab/soak/schedule.go
@@ -7,108 +7,110 @@
 	"time"
 )
 
-// FaultKind is a kind of fault, or of planned work.
+// FaultKind is a kind of fault or planned operation.
 type FaultKind string
 
-// The kinds.
+// Kinds of faults and planned operations.
 const (
-	Stop                 FaultKind = "stop"          // SIGTERM; started again after its end
-	Kill                 FaultKind = "kill"          // SIGKILL; started again
-	Suspend              FaultKind = "pause"         // SIGSTOP, SIGCONT later
+	Stop                 FaultKind = "stop"          // SIGTERM; restarted after its exit
+	Kill                 FaultKind = "kill"          // SIGKILL; restarted
+	Suspend              FaultKind = "pause"         // SIGSTOP, then SIGCONT
 	KillAll              FaultKind = "kill-all"      // every daemon at once
-	StopAll              FaultKind = "stop-all"      // one after the other
-	StoreDown            FaultKind = "store-down"    // 503 to all
-	StoreWatchLoss       FaultKind = "store-deaf"    // watches hear nothing, then the history goes
-	StoreLink            FaultKind = "store-link"    // one daemon's link to the store
-	WorkerLink           FaultKind = "worker-link"   // all daemons' link to one back end
-	WorkerSlow           FaultKind = "worker-slow"   //
-	WorkerDropsResponses FaultKind = "worker-loses"  // runs requests and resets the connection
-	WorkerRejects        FaultKind = "worker-full"   // says that it did not run
-	WorkerWrongRequestID FaultKind = "worker-lies"   // answers with another request's id
-	WorkerCrash          FaultKind = "worker-crash"  // gone without a word; another comes at its address
-	WorkerDrains         FaultKind = "worker-leaves" // drains, and is replaced
-	ConfigChange         FaultKind = "change"        // a configuration
-	ConfigBurst          FaultKind = "storm"         // several in quick succession
-	Evacuate             FaultKind = "evacuate"      // a zone, which is taken back later
-	CrashingRequest      FaultKind = "crashing"      // a request that ends back ends comes again and again
-	ForeignEntries       FaultKind = "foreign"       // another writer's entries in the list of back ends
-	WorkerLimit          FaultKind = "worker-limit"  // says that it takes few requests
-	WorkerPushback       FaultKind = "worker-pause"  // turns requests away and asks for a pause
-	WorkerAnnouncesDrain FaultKind = "worker-says"   // says with its answers that it leaves, while the store lists it as ready
-	StoreRollback        FaultKind = "store-older"   // the store is away for a moment and comes back from an older copy
+	StopAll              FaultKind = "stop-all"      // rolling restart of all daemons
+	StoreDown            FaultKind = "store-down"    // the store answers 503 to every request
+	StoreWatchLoss       FaultKind = "store-deaf"    // watches deliver nothing, then the history is compacted
+	StoreLink            FaultKind = "store-link"    // fault of one daemon's link to the store
+	WorkerLink           FaultKind = "worker-link"   // fault of the link from all daemons to one back end
+	WorkerSlow           FaultKind = "worker-slow"   // runs requests more slowly
+	WorkerDropsResponses FaultKind = "worker-loses"  // runs requests and closes the connection without a response
+	WorkerRejects        FaultKind = "worker-full"   // rejects requests as not executed
+	WorkerWrongRequestID FaultKind = "worker-lies"   // responds with the id of another request
+	WorkerCrash          FaultKind = "worker-crash"  // ends without draining; replaced by a new back end
+	WorkerDrains         FaultKind = "worker-leaves" // drains and is replaced
+	ConfigChange         FaultKind = "change"        // one new configuration
+	ConfigBurst          FaultKind = "storm"         // several configurations in quick succession
+	Evacuate             FaultKind = "evacuate"      // evacuates a zone for some time
+	CrashingRequest      FaultKind = "crashing"      // a request that crashes back ends is sent repeatedly
+	ForeignEntries       FaultKind = "foreign"       // entries of another program in the list of back ends
+	WorkerLimit          FaultKind = "worker-limit"  // sends a low request limit
+	WorkerPushback       FaultKind = "worker-pause"  // rejects requests and asks for a pause
+	WorkerAnnouncesDrain FaultKind = "worker-says"   // announces its drain in responses while the store lists it as ready
+	StoreRollback        FaultKind = "store-older"   // the store is unavailable for a moment and is restored from an older backup
 )
 
-// planned kinds are no faults: nothing may be lost by them.
-var planned = map[FaultKind]bool{Stop: true, StopAll: true, WorkerDrains: true, ConfigChange: true, ConfigBurst: true, Evacuate: true, CrashingRequest: true, ForeignEntries: true, WorkerLimit: true, WorkerPushback: true, WorkerAnnouncesDrain: true,
-	StoreRollback: true, // a fault from when it is away on
+// plannedKinds are planned operations, not faults: no request may be lost by them.
+var plannedKinds = map[FaultKind]bool{Stop: true, StopAll: true, WorkerDrains: true, ConfigChange: true, ConfigBurst: true, Evacuate: true, CrashingRequest: true, ForeignEntries: true, WorkerLimit: true, WorkerPushback: true, WorkerAnnouncesDrain: true,
+	StoreRollback: true, // counted as a fault from the start of the outage
 }
 
-var kinds = []FaultKind{
+var drawnKinds = []FaultKind{
 	Stop, Kill, Suspend, KillAll, StopAll, StoreDown, StoreWatchLoss, StoreLink, WorkerLink, WorkerSlow, WorkerDropsResponses, WorkerRejects, WorkerWrongRequestID,
 	WorkerCrash, WorkerDrains, ConfigChange, ConfigChange, ConfigChange, ConfigBurst,
 }
 
-var links = []LinkMode{Delayed, Reset, Silent, OneWay}
+var drawnLinkModes = []LinkMode{Delayed, Reset, Silent, OneWay}
 
 // Fault is one entry of a schedule.
 type Fault struct {
 	At       time.Duration
 	Duration time.Duration
 	Kind     FaultKind
-	Target   int // which daemon or back end, modulo their number
+	Target   int // index of the daemon or back end, modulo their number
 	Link     LinkMode
 }
 
-// String names the fault for a log.
+// String implements fmt.Stringer.
 func (f Fault) String() string {
 	return fmt.Sprintf("%s %s target %d %s for %s", f.At.Round(time.Millisecond), f.Kind, f.Target, f.Link, f.Duration.Round(time.Millisecond))
 }
 
-// NewSchedule draws a schedule from a seed: so many entries between begin and end, some in
-// series at nearly the same time.
+// NewSchedule derives a schedule from a seed: count random entries between begin and end, some of them
+// close together, and one entry of each kind that occurs once in every run.
 func NewSchedule(seed uint64, count int, begin, end time.Duration) []Fault {
 	random := rand.New(rand.NewPCG(seed, 0))
 	faults := make([]Fault, 0, count)
-	at := begin
+	next := begin
 	for range count {
-		if random.IntN(3) > 0 || at == begin {
-			at = begin + time.Duration(random.Int64N(int64(end-begin)))
+		if random.IntN(3) > 0 || next == begin {
+			next = begin + time.Duration(random.Int64N(int64(end-begin)))
 		}
 		faults = append(faults, Fault{
-			At: at, Kind: kinds[random.IntN(len(kinds))], Target: random.IntN(1000), Link: links[random.IntN(len(links))],
+			At: next, Kind: drawnKinds[random.IntN(len(drawnKinds))], Target: random.IntN(1000), Link: drawnLinkModes[random.IntN(len(drawnLinkModes))],
 			Duration: time.Duration(200+random.IntN(4000)) * time.Millisecond,
 		})
-		at = min(at+time.Duration(random.IntN(700))*time.Millisecond, end)
+		next = min(next+time.Duration(random.IntN(700))*time.Millisecond, end)
 	}
-	// Longer than every lease and suspicion.
+	// A third of the suspensions lasts 12 s, longer than every lease and every suspicion timeout of the
+	// membership protocol.
 	for index := range faults {
 		if faults[index].Kind == Suspend && random.IntN(3) == 0 {
 			faults[index].Duration = 12 * time.Second
 		}
 	}
-	faults = append(faults, drawOnce(seed, 1, Evacuate, evacuationLength, begin, end),
-		drawOnce(seed, 2, CrashingRequest, crashLength, begin, end), drawOnce(seed, 3, ForeignEntries, foreignLength, begin, end),
-		drawOnce(seed, 4, WorkerLimit, limitLength, begin, end), drawOnce(seed, 5, WorkerPushback, pauseLength, begin, end),
-		drawOnce(seed, 6, WorkerAnnouncesDrain, sayLength, begin, end), drawOnce(seed, 7, StoreRollback, storeAway, begin, end))
+	faults = append(faults, scheduleOnce(seed, 1, Evacuate, evacuationDuration, begin, end),
+		scheduleOnce(seed, 2, CrashingRequest, crashDuration, begin, end), scheduleOnce(seed, 3, ForeignEntries, foreignEntriesDuration, begin, end),
+		scheduleOnce(seed, 4, WorkerLimit, limitFaultDuration, begin, end), scheduleOnce(seed, 5, WorkerPushback, pushbackFaultDuration, begin, end),
+		scheduleOnce(seed, 6, WorkerAnnouncesDrain, announcedDrainDuration, begin, end), scheduleOnce(seed, 7, StoreRollback, storeOutage, begin, end))
 	sort.SliceStable(faults, func(i, j int) bool { return faults[i].At < faults[j].At })
 	return faults
 }
 
-// evacuationLength is long enough for requests to come after the bound.
-const evacuationLength = evacuationBound + 4*time.Second
+// evacuationDuration exceeds evacuationBound, so that requests arrive after the bound.
+const evacuationDuration = evacuationBound + 4*time.Second
 
-// foreignLength is how long entries of another writer stay.
-const foreignLength = 3 * time.Second
+// foreignEntriesDuration is how long the entries of another program stay.
+const foreignEntriesDuration = 3 * time.Second
 
-// storeAway is for how long the store is away before it comes back older.
-const storeAway = 800 * time.Millisecond
+// storeOutage is how long the store is unavailable before a rollback.
+const storeOutage = 800 * time.Millisecond
 
-// sayLength is for how long a back end says that it leaves before the store knows it: longer than the bound.
-const sayLength = drainBound + 3*time.Second
+// announcedDrainDuration is how long a back end announces its drain in responses before its entry leaves the
+// store. It exceeds drainBound, so that requests can arrive after the bound.
+const announcedDrainDuration = drainBound + 3*time.Second
 
-// drawOnce draws when a kind is played that each run has once. It leaves what else is drawn from
-// the seed as it was, so that seeds that were kept still play the same.
-func drawOnce(seed, stream uint64, kind FaultKind, length, begin, end time.Duration) Fault {
+// scheduleOnce returns a fault of a kind that occurs once in each run, at a random time. It uses a random
+// stream of its own, so that the other faults of known seeds stay the same.
+func scheduleOnce(seed, stream uint64, kind FaultKind, duration, begin, end time.Duration) Fault {
 	random := rand.New(rand.NewPCG(seed, stream))
-	return Fault{At: begin + time.Duration(random.Int64N(int64(end-begin))), Kind: kind, Duration: length}
+	return Fault{At: begin + time.Duration(random.Int64N(int64(end-begin))), Kind: kind, Duration: duration}
 }
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -17,37 +17,37 @@
 	"github.com/tuliphall/tuliphall/lab/objectstub"
 )
 
-// Options say what is run and harmed.
+// Options are the options of a run.
 type Options struct {
-	Binary        string // of tuliphalld
+	Binary        string // path of tuliphalld
 	Directory     string // for settings and logs of the daemons
 	Seed          uint64
 	Daemons       int
 	Workers       int
 	FaultCount    int
-	FaultDuration time.Duration // of the time with faults
+	FaultDuration time.Duration // how long faults are injected
 	Rate          int           // requests a second
 }
 
-// Timing of a run.
+// Timing of a run and its final check.
 const (
-	warmUp   = 3 * time.Second
-	recovery = 15 * time.Second // after the last fault
-	measured = 3 * time.Second  // then, how much is served
-	// servedShare is how much must be served then.
-	servedShare = 0.9
+	warmUpTime      = 3 * time.Second
+	recoveryTime    = 15 * time.Second // time from the last fault to the final check
+	measurementTime = 3 * time.Second  // length of the final check
+	// minServedFraction is the minimum fraction of requests that must be served in the final check.
+	minServedFraction = 0.9
 )
 
-// host is the host of all routes.
+// host is the host name of all routes.
 const host = "soak.example"
 
-// Result is what came of a run.
+// Result is the outcome of a run.
 type Result struct {
 	Violations []string
 	Counts     map[string]int
 }
 
-// fleet is everything that runs.
+// fleet holds the daemons, the stub store and back ends, and the callers of a run.
 type fleet struct {
 	options Options
 	report  *report
@@ -56,39 +56,40 @@
 	server  *http.Server
 	callers *callers
 
-	mutex   sync.Mutex
-	workers []*worker
-	started int // workers so far
-	route   int
-	acked   time.Time
-	// evacuated is since when emptiedZone is evacuated; zero: it is not.
-	evacuated time.Time
-	faults    sync.WaitGroup
+	mutex          sync.Mutex
+	workers        []*worker
+	workersStarted int // number of back ends started so far
+	route          int
+	routeAckedAt   time.Time
+	// evacuatedSince is when the evacuation of evacuatedZone began; zero: it is not evacuated.
+	evacuatedSince time.Time
+	runningFaults  sync.WaitGroup
 }
 
-// Run runs one seed.
+// Run performs one run with the faults of one seed. An error means that the run could not be performed;
+// broken promises are in the result.
 func Run(ctx context.Context, options Options, progress io.Writer) (Result, error) {
 	f := &fleet{options: options, report: newReport(progress), store: objectstub.New()}
-	defer f.end()
-	if err := f.begin(ctx); err != nil {
+	defer f.close()
+	if err := f.start(ctx); err != nil {
 		return Result{}, err
 	}
-	balancing, stopBalancing := context.WithCancel(ctx)
-	defer stopBalancing()
-	go f.balance(balancing)
-	if err := awaitReady(ctx, f.daemons); err != nil {
+	checkContext, stopChecks := context.WithCancel(ctx)
+	defer stopChecks()
+	go f.checkReadiness(checkContext)
+	if err := waitUntilReady(ctx, f.daemons); err != nil {
 		return Result{}, err
 	}
-	loading, stopLoad := context.WithCancel(ctx)
+	loadContext, stopLoad := context.WithCancel(ctx)
 	defer stopLoad()
-	sender := newCallers(f, options.Seed)
-	f.callers = sender
-	var sending sync.WaitGroup
-	sending.Go(func() { sender.load(loading, options.Rate) })
-	f.harm(ctx)
-	f.recover(ctx)
+	loadCallers := newCallers(f, options.Seed)
+	f.callers = loadCallers
+	var loading sync.WaitGroup
+	loading.Go(func() { loadCallers.sendLoad(loadContext, options.Rate) })
+	f.injectFaults(ctx)
+	f.checkRecovery(ctx)
 	stopLoad()
-	sending.Wait()
+	loading.Wait()
 	f.stopAll()
 	f.report.print(options.Seed)
 	f.report.mutex.Lock()
@@ -96,16 +97,17 @@
 	return Result{Violations: f.report.violations, Counts: f.report.counts}, nil
 }
 
-// address returns a loopback address that no other run uses at the same time.
+// address returns a loopback address that is derived from the process id, so that concurrent runs use
+// different ones.
 func address(number int) string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 64+pid%64, pid/64%256, number)
 }
 
-func (f *fleet) begin(ctx context.Context) error {
+func (f *fleet) start(ctx context.Context) error {
 	listener, err := net.Listen("tcp", address(250)+":8000")
 	if err != nil {
-		return errors.Annotate(err, "stand-in store")
+		return errors.Annotate(err, "start the stub store")
 	}
 	f.server = &http.Server{Handler: f.store.Handler()}
 	go func() { _ = f.server.Serve(listener) }()
@@ -115,34 +117,34 @@
 		}
 	}
 	f.configure()
-	var seeds []string
+	var seedPeers []string
 	for number := range f.options.Daemons {
-		one := &process{
-			name: fmt.Sprintf("edge-%d", number+1), address: address(number + 1), folder: f.options.Directory, binary: f.options.Binary,
-			report: f.report, peers: seeds,
+		daemon := &process{
+			name: fmt.Sprintf("edge-%d", number+1), address: address(number + 1), directory: f.options.Directory, binary: f.options.Binary,
+			report: f.report, peers: seedPeers,
 		}
-		if len(seeds) < 3 {
-			seeds = append(seeds, one.at(portPeer))
+		if len(seedPeers) < 3 {
+			seedPeers = append(seedPeers, daemon.addr(portPeer))
 		}
-		if one.store, err = startProxy(one.at(portStore), listener.Addr().String()); err != nil {
-			return errors.Annotate(err, "proxy to the store")
+		if daemon.storeProxy, err = startProxy(daemon.addr(portStore), listener.Addr().String()); err != nil {
+			return errors.Annotate(err, "start the proxy to the store")
 		}
-		f.daemons = append(f.daemons, one)
+		f.daemons = append(f.daemons, daemon)
 	}
-	for _, one := range f.daemons {
-		one.peers = seeds
-		if err := one.start(); err != nil {
+	for _, daemon := range f.daemons {
+		daemon.peers = seedPeers
+		if err := daemon.start(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (f *fleet) balance(ctx context.Context) {
+func (f *fleet) checkReadiness(ctx context.Context) {
 	client := &http.Client{Timeout: 900 * time.Millisecond}
 	for ctx.Err() == nil {
-		for _, one := range f.daemons {
-			go one.balance(client)
+		for _, daemon := range f.daemons {
+			go daemon.checkReady(client)
 		}
 		time.Sleep(time.Second)
 	}
@@ -151,13 +153,13 @@
 func (f *fleet) newestRoute() (route int, acked time.Time) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.route, f.acked
+	return f.route, f.routeAckedAt
 }
 
-func (f *fleet) calmFor() time.Duration {
+func (f *fleet) faultFreeFor() time.Duration {
 	f.report.mutex.Lock()
 	defer f.report.mutex.Unlock()
-	return f.report.calmFor()
+	return f.report.faultFreeFor()
 }
 
 type resource struct {
@@ -166,7 +168,8 @@
 	Spec     map[string]any `json:"spec"`
 }
 
-// configure declares the next configuration: a route of its own replaces the last one.
+// configure writes the next configuration, in which a route with a new path replaces the one of the
+// configuration before.
 func (f *fleet) configure() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -181,51 +184,52 @@
 		route("change", fmt.Sprintf("/change-%d/", f.route), "safe"),
 		{Kind: "services", Metadata: map[string]any{"name": "board"}, Spec: map[string]any{"healthPath": "/health"}},
 	}})
-	f.acked = time.Now()
+	f.routeAckedAt = time.Now()
 }
 
-// emptiedZone is the zone that is evacuated, in which every other back end stands.
-const emptiedZone = "zone-b"
+// evacuatedZone is the zone that faults evacuate. It holds every other back end.
+const evacuatedZone = "zone-b"
 
-var zones = []string{"zone-a", emptiedZone}
+var zones = []string{"zone-a", evacuatedZone}
 
-// addWorker starts a back end and lists it.
+// addWorker starts a new back end and lists it in the store.
 func (f *fleet) addWorker() (*worker, error) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.started++
-	return f.startWorker(fmt.Sprintf("i-%d", f.started), zones[f.started%len(zones)])
+	f.workersStarted++
+	return f.startWorker(fmt.Sprintf("i-%d", f.workersStarted), zones[f.workersStarted%len(zones)])
 }
 
-// startAgain starts a back end again under the id that it had.
-func (f *fleet) startAgain(ended *worker) error {
+// restartWorker starts a crashed back end again under the same id.
+func (f *fleet) restartWorker(crashed *worker) error {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	_, err := f.startWorker(ended.id, ended.zone)
+	_, err := f.startWorker(crashed.id, crashed.zone)
 	return err
 }
 
-// startWorker starts a back end and lists it. The caller holds the mutex.
+// startWorker starts a back end and lists it in the store. The caller must hold the mutex.
 func (f *fleet) startWorker(id, zone string) (*worker, error) {
-	one, err := startWorker(id, address(100)+":0", address(101)+":0", f.report)
+	w, err := startWorker(id, address(100)+":0", address(101)+":0", f.report)
 	if err != nil {
 		return nil, err
 	}
-	one.zone, one.crash = zone, f.crash
-	one.evacuated = f.evacuatedIn(zone)
-	f.workers = append(f.workers, one)
-	f.list(one, "ready")
-	return one, nil
+	w.zone, w.onCrashingRequest = zone, f.crash
+	w.evacuatedSince = f.evacuationStart(zone)
+	f.workers = append(f.workers, w)
+	f.listWorker(w, "ready")
+	return w, nil
 }
 
-func (f *fleet) list(one *worker, state string) {
-	f.store.Set("servers", one.id, map[string]any{
-		"address": one.address(), "info": map[string]any{"service": "board", "version": "v1", "zone": one.zone, "slots": workerSlots},
-		"status": map[string]any{"state": state, "seq": 1, "warmupLeftS": 0}, "born": one.born,
+func (f *fleet) listWorker(w *worker, state string) {
+	f.store.Set("servers", w.id, map[string]any{
+		"address": w.address(), "info": map[string]any{"service": "board", "version": "v1", "zone": w.zone, "slots": workerSlots},
+		"status": map[string]any{"state": state, "seq": 1, "warmupLeftS": 0}, "born": w.bornAt,
 	})
 }
 
-// removeWorker takes a back end from those that faults strike, and returns it.
+// removeWorker removes a back end from the running ones, which faults can target, and returns it; nil: at
+// most two are running.
 func (f *fleet) removeWorker(target int) *worker {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -233,12 +237,12 @@
 		return nil
 	}
 	index := target % len(f.workers)
-	one := f.workers[index]
+	removed := f.workers[index]
 	f.workers = append(f.workers[:index:index], f.workers[index+1:]...)
-	return one
+	return removed
 }
 
-// worker returns a back end that runs; nil: none does.
+// worker returns a running back end; nil: there is none.
 func (f *fleet) worker(target int) *worker {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -248,41 +252,42 @@
 	return f.workers[target%len(f.workers)]
 }
 
-// harm plays the schedule and waits for the end of its last fault.
-func (f *fleet) harm(ctx context.Context) {
-	begun := time.Now()
-	for _, fault := range NewSchedule(f.options.Seed, f.options.FaultCount, warmUp, warmUp+f.options.FaultDuration) {
+// injectFaults plays the schedule and waits for the end of all faults.
+func (f *fleet) injectFaults(ctx context.Context) {
+	startedAt := time.Now()
+	for _, fault := range NewSchedule(f.options.Seed, f.options.FaultCount, warmUpTime, warmUpTime+f.options.FaultDuration) {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(time.Until(begun.Add(fault.At))):
+		case <-time.After(time.Until(startedAt.Add(fault.At))):
 		}
 		f.report.log("%s", fault)
-		f.faults.Go(func() {
-			if !planned[fault.Kind] {
-				defer f.report.fault()()
+		f.runningFaults.Go(func() {
+			if !plannedKinds[fault.Kind] {
+				defer f.report.beginFault()()
 			}
-			f.play(fault)
+			f.playFault(fault)
 		})
 	}
-	f.faults.Wait()
+	f.runningFaults.Wait()
 }
 
-// recover waits for the time within which all must be served again, and measures.
-func (f *fleet) recover(ctx context.Context) {
+// checkRecovery waits for recoveryTime, and then checks that at least minServedFraction of the requests is
+// served.
+func (f *fleet) checkRecovery(ctx context.Context) {
 	select {
 	case <-ctx.Done():
 		return
-	case <-time.After(recovery):
+	case <-time.After(recoveryTime):
 	}
 	before := f.counts()
-	time.Sleep(measured)
+	time.Sleep(measurementTime)
 	after := f.counts()
 	sent, served := after["sent"]-before["sent"], after["status 200"]-before["status 200"]
-	if float64(served) < servedShare*float64(sent) {
+	if float64(served) < minServedFraction*float64(sent) {
 		f.report.mutex.Lock()
 		defer f.report.mutex.Unlock()
-		f.report.violated("RECOVER: %d of %d served, %s after the last fault", served, sent, recovery)
+		f.report.addViolation("RECOVER: %d of %d requests served, %s after the last fault", served, sent, recoveryTime)
 	}
 }
 
@@ -290,32 +295,32 @@
 	f.report.mutex.Lock()
 	defer f.report.mutex.Unlock()
 	counts := make(map[string]int, len(f.report.counts))
-	for what, count := range f.report.counts {
-		counts[what] = count
+	for event, count := range f.report.counts {
+		counts[event] = count
 	}
 	return counts
 }
 
-// stopAll ends every daemon as planned.
+// stopAll shuts down all daemons at once, as planned.
 func (f *fleet) stopAll() {
-	var stopping sync.WaitGroup
-	for _, one := range f.daemons {
-		stopping.Go(one.stop)
+	var stops sync.WaitGroup
+	for _, daemon := range f.daemons {
+		stops.Go(daemon.stop)
 	}
-	stopping.Wait()
+	stops.Wait()
 }
 
-// end ends everything that this run started.
-func (f *fleet) end() {
-	for _, one := range f.daemons {
-		one.signal(syscall.SIGCONT, running)
-		one.kill()
-		if one.store != nil {
-			one.store.close()
+// close ends everything that this run started.
+func (f *fleet) close() {
+	for _, daemon := range f.daemons {
+		daemon.signal(syscall.SIGCONT, running)
+		daemon.kill()
+		if daemon.storeProxy != nil {
+			daemon.storeProxy.close()
 		}
 	}
-	for _, one := range f.workers {
-		one.end()
+	for _, w := range f.workers {
+		w.close()
 	}
 	if f.server != nil {
 		f.server.Close()
--- a/lab/soak/worker.go
+++ b/lab/soak/worker.go
@@ -11,39 +11,39 @@
 	"time"
 )
 
-// Bounds of a back end.
+// Limits and timing of a stub back end.
 const (
-	workerSlots = 3
-	workerQueue = 6
-	workTime    = 15 * time.Millisecond
-	slowTimes   = 20
+	workerSlots      = 3
+	workerQueueLimit = 6
+	workTime         = 15 * time.Millisecond
+	slowdownFactor   = 20
 )
 
-// worker is a stand-in for one back end, behind a proxy. It is safe for concurrent use.
+// worker is a stub back end behind a proxy. It is safe for concurrent use.
 type worker struct {
-	id     string
-	zone   string
-	born   int64 // Unix milliseconds
-	server *http.Server
-	proxy  *proxy
-	report *report
-	slots  chan struct{}
-	crash  func(one *worker, path string) // ends the back end under a request
+	id                string
+	zone              string
+	bornAt            int64 // Unix milliseconds
+	server            *http.Server
+	proxy             *proxy
+	report            *report
+	slots             chan struct{}
+	onCrashingRequest func(w *worker, path string) // ends the back end while it runs a request
 
-	mutex   sync.Mutex
-	waiting int
-	slow    bool
-	loses   bool
-	full    bool
-	lies    bool
-	leaves  bool      // its answers say so
-	left    time.Time // since when the store says that it leaves; zero: it does not
-	// evacuated is since when the store says that its zone is; zero: it does not.
-	evacuated time.Time
-	limit     limit
-	pushback  pushback
-	// leaving is since when its answers say that it leaves; zero: they do not.
-	leaving time.Time
+	mutex            sync.Mutex
+	queued           int
+	slow             bool
+	dropsResponses   bool
+	rejects          bool
+	wrongRequestID   bool
+	announcesDrain   bool      // its responses announce the drain
+	drainListedSince time.Time // when the store listed it as draining; zero: it has not
+	// evacuatedSince is when the evacuation of its zone was written to the store; zero: not evacuated.
+	evacuatedSince time.Time
+	limit          limit
+	pushback       pushback
+	// drainAnnouncedSince is when a response first announced the drain; zero: none has.
+	drainAnnouncedSince time.Time
 }
 
 func startWorker(id, address, proxyAddress string, report *report) (*worker, error) {
@@ -51,7 +51,7 @@
 	if err != nil {
 		return nil, err
 	}
-	w := &worker{id: id, born: time.Now().UnixMilli(), report: report, slots: make(chan struct{}, workerSlots)}
+	w := &worker{id: id, bornAt: time.Now().UnixMilli(), report: report, slots: make(chan struct{}, workerSlots)}
 	w.server = &http.Server{Handler: w}
 	if w.proxy, err = startProxy(proxyAddress, listener.Addr().String()); err != nil {
 		listener.Close()
@@ -65,46 +65,47 @@
 	return w.proxy.listener.Addr().String()
 }
 
-func (w *worker) change(apply func()) {
+func (w *worker) update(apply func()) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	apply()
 }
 
-// end ends the worker at once, as a crash would.
-func (w *worker) end() {
+// close ends the back end at once, as a crash would.
+func (w *worker) close() {
 	w.server.Close()
 	w.proxy.close()
 }
 
-// body is the answer that belongs to a request.
-func body(id, path string) string {
+// expectedBody returns the response body that belongs to a request.
+func expectedBody(id, path string) string {
 	sum := sha256.Sum256([]byte(id + " " + path))
 	return strings.Repeat(hex.EncodeToString(sum[:]), 8)
 }
 
-// sayLeaving says that the back end leaves, if it does, and returns since when an answer says so; zero: none does.
-func (w *worker) sayLeaving(header http.Header) (since time.Time) {
+// writeDrainHeader sets the header that announces a drain, if the back end does so, and returns when a
+// response first announced it; zero: none has.
+func (w *worker) writeDrainHeader(header http.Header) (since time.Time) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if !w.leaves {
+	if !w.announcesDrain {
 		return time.Time{}
 	}
-	if w.leaving.IsZero() {
-		w.leaving = time.Now()
+	if w.drainAnnouncedSince.IsZero() {
+		w.drainAnnouncedSince = time.Now()
 	}
 	header.Set("Server-Leaving", "1")
-	return w.leaving
+	return w.drainAnnouncedSince
 }
 
-// enter takes a place in the queue, and says whether there was one.
-func (w *worker) enter() bool {
+// enqueue takes a position in the queue, and reports whether one was free.
+func (w *worker) enqueue() bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if w.full || w.waiting >= workerSlots+workerQueue {
+	if w.rejects || w.queued >= workerSlots+workerQueueLimit {
 		return false
 	}
-	w.waiting++
+	w.queued++
 	return true
 }
 
@@ -114,62 +115,62 @@
 	rw.Header().Set("Request-Id", id)
 	rw.Header().Set("Server-Load", fmt.Sprintf("%d,0,%d,100", len(w.slots), workerSlots))
 	w.countLimited()
-	w.nameLimit(rw.Header())
+	w.writeLimitHeader(rw.Header())
 	if r.URL.Path == "/health" {
 		rw.Header().Set("Instance-Id", w.id)
 		return
 	}
 	w.mutex.Lock()
-	slow, loses, lies, left, evacuated := w.slow, w.loses, w.lies, w.left, w.evacuated
+	slow, dropsResponses, wrongRequestID, drainListedSince, evacuatedSince := w.slow, w.dropsResponses, w.wrongRequestID, w.drainListedSince, w.evacuatedSince
 	w.mutex.Unlock()
 	if r.Header.Get("Expected-Instance") != w.id {
 		rw.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	if !left.IsZero() {
-		w.report.arrivedAtLeaving(w.id, id, time.Since(left))
+	if !drainListedSince.IsZero() {
+		w.report.recordDrainingArrival(w.id, id, time.Since(drainListedSince))
 	}
-	if since := w.sayLeaving(rw.Header()); !since.IsZero() {
-		w.report.arrivedAtLeaving(w.id, id, time.Since(since))
+	if since := w.writeDrainHeader(rw.Header()); !since.IsZero() {
+		w.report.recordDrainingArrival(w.id, id, time.Since(since))
 	}
-	if w.pushesBack(rw.Header(), id) {
+	if w.checkPushback(rw.Header(), id) {
 		rw.Header().Set("Not-Executed", "1")
 		rw.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if !evacuated.IsZero() {
-		w.report.arrivedAtEvacuated(w.id, id, time.Since(evacuated))
+	if !evacuatedSince.IsZero() {
+		w.report.recordEvacuatedArrival(w.id, id, time.Since(evacuatedSince))
 	}
-	if !w.enter() {
+	if !w.enqueue() {
 		rw.Header().Set("Not-Executed", "1")
 		rw.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	defer w.change(func() { w.waiting-- })
+	defer w.update(func() { w.queued-- })
 	select {
 	case w.slots <- struct{}{}:
 	case <-r.Context().Done():
 		return
 	}
 	defer func() { <-w.slots }()
-	w.report.ran(id, r.URL.Path)
+	w.report.recordExecution(id, r.URL.Path)
 	if isCrashing(r.URL.Path) {
-		w.report.arrivedCrashing(r.URL.Path)
+		w.report.recordCrashingArrival(r.URL.Path)
 		time.Sleep(workTime)
-		w.crash(w, r.URL.Path)
+		w.onCrashingRequest(w, r.URL.Path)
 		panic(http.ErrAbortHandler)
 	}
 	work := workTime
 	if slow {
-		work *= slowTimes
+		work *= slowdownFactor
 	}
 	time.Sleep(work)
-	if loses {
+	if dropsResponses {
 		panic(http.ErrAbortHandler)
 	}
-	if lies {
+	if wrongRequestID {
 		rw.Header().Set("Request-Id", "another")
 	}
 	rw.Header().Set("Server-Stamp", w.id)
-	fmt.Fprint(rw, body(id, r.URL.Path))
+	fmt.Fprint(rw, expectedBody(id, r.URL.Path))
 }
