--- a/lab/labcommand/account.go
+++ b/lab/labcommand/account.go
@@ -16,7 +16,7 @@
 	"github.com/tuliphall/tuliphall/platform/dayreport"
 )
 
-type accountRun struct {
+type accountCommand struct {
 	out       io.Writer
 	Site      string `long:"site" value-name:"FILE" required:"true" description:"the deployment's sheet, which says what requests are worth"`
 	Plot      string `long:"plot" value-name:"FOLDER/NAME" description:"draw what was lost over the day as NAME.png and NAME.svg"`
@@ -28,87 +28,87 @@
 }
 
 // Execute implements flags.Commander.
-func (c *accountRun) Execute([]string) error {
-	sheet, err := dayreport.ReadClassSpecs(c.Site)
+func (c *accountCommand) Execute([]string) error {
+	classSpecs, err := dayreport.ReadClassSpecs(c.Site)
 	if err != nil {
 		return err
 	}
-	report, made, err := accountOf(sheet, c.Arguments.Report, c.Arguments.Logs)
+	report, result, err := loadAccount(classSpecs, c.Arguments.Report, c.Arguments.Logs)
 	if err != nil {
 		return err
 	}
-	if err := c.print(made, report); err != nil || c.Plot == "" {
+	if err := c.print(result, report); err != nil || c.Plot == "" {
 		return err
 	}
-	return drawn(made).SaveAt(c.Plot)
+	return lossChart(result).SaveAt(c.Plot)
 }
 
-// accountOf makes the account of a day from its report and logs.
-func accountOf(sheet []dayreport.ClassSpec, path string, logs []string) (dayreport.Report, account.Account, error) {
+// loadAccount reads the report and the logs of a day, and attributes its losses to causes.
+func loadAccount(classSpecs []dayreport.ClassSpec, path string, logs []string) (dayreport.Report, account.Account, error) {
 	report, err := dayreport.Read(path)
 	if err != nil {
 		return dayreport.Report{}, account.Account{}, err
 	}
-	day := account.Day{Report: report, Sheet: sheet, Log: explain.NewLog()}
+	day := account.Day{Report: report, Sheet: classSpecs, Log: explain.NewLog()}
 	for _, log := range logs {
-		if err := readDay(log, &day); err != nil {
+		if err := readLog(log, &day); err != nil {
 			return dayreport.Report{}, account.Account{}, err
 		}
 	}
 	if day.Log.LineCount() == 0 {
-		return dayreport.Report{}, account.Account{}, errors.NotFoundf("lines of daemons in the logs of %s", path)
+		return dayreport.Report{}, account.Account{}, errors.NotFoundf("daemon log lines for report %s", path)
 	}
 	return report, account.Of(day), nil
 }
 
-// readDay takes in a log, and by its lines when the day began.
-func readDay(path string, day *account.Day) error {
+// readLog adds a log to the day. The day begins at the latest start that the logs give.
+func readLog(path string, day *account.Day) error {
 	file, err := os.Open(path)
 	if err != nil {
 		return errors.Trace(err)
 	}
 	defer file.Close()
-	began, err := explain.ReadTimed(file, day.Log)
+	startedAt, err := explain.ReadTimed(file, day.Log)
 	if err != nil {
 		return errors.Annotate(err, path)
 	}
-	if began.After(day.Began) {
-		day.Began = began
+	if startedAt.After(day.Began) {
+		day.Began = startedAt
 	}
 	return nil
 }
 
-// print shows the causes by kind of request, and the prices.
-func (c *accountRun) print(made account.Account, report dayreport.Report) error {
+// print prints what each cause lost, by class of request, and the penalties.
+func (c *accountCommand) print(result account.Account, report dayreport.Report) error {
 	writer := tabwriter.NewWriter(c.out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	header := "lost\tof all\t"
 	for _, kind := range report.Classes {
 		header += kind.Name + "\t"
 	}
 	fmt.Fprintln(writer, header+" cause")
-	for _, row := range made.Rows {
-		line := fmt.Sprintf("%.4f\t%.0f%%\t", row.Lost, 100*row.Lost/made.Lost)
+	for _, row := range result.Rows {
+		line := fmt.Sprintf("%.4f\t%.0f%%\t", row.Lost, 100*row.Lost/result.Lost)
 		for _, kind := range report.Classes {
 			line += fmt.Sprintf("%.4f\t", row.ByKind[kind.Name])
 		}
 		fmt.Fprintln(writer, line+" "+row.Cause)
 	}
-	for _, row := range made.Prices {
+	for _, row := range result.Prices {
 		fmt.Fprintf(writer, "%.4f\t\t%s %s\n", row.Lost, strings.Repeat("\t", len(report.Classes)), row.Cause)
 	}
 	if err := writer.Flush(); err != nil {
 		return errors.Trace(err)
 	}
 	if c.Seconds {
-		c.printSeconds(made)
+		c.printBySecond(result)
 	}
-	_, err := fmt.Fprintf(c.out, "sum %.4f, by the report %.4f; unnamed %.0f%%\n", made.Lost, made.Reported, 100*made.Unnamed())
+	_, err := fmt.Fprintf(c.out, "sum %.4f, by the report %.4f; unnamed %.0f%%\n", result.Lost, result.Reported, 100*result.Unnamed())
 	return errors.Trace(err)
 }
 
-// printSeconds shows when each cause struck.
-func (c *accountRun) printSeconds(made account.Account) {
-	for _, row := range made.Rows {
+// printBySecond prints what each cause lost in each second.
+func (c *accountCommand) printBySecond(result account.Account) {
+	for _, row := range result.Rows {
 		seconds := make([]int, 0, len(row.BySecond))
 		for second := range row.BySecond {
 			seconds = append(seconds, second)
@@ -122,27 +122,27 @@
 	}
 }
 
-// drawnCauses is how many causes are drawn, the largest first.
-const drawnCauses = 6
+// maxDrawnCauses is the maximum number of causes in the chart, the largest first.
+const maxDrawnCauses = 6
 
-// drawn is the chart of what was lost for the largest causes over the day.
-func drawn(made account.Account) chart.Chart {
-	picture := chart.Chart{Title: "Worth lost by cause", XLabel: "second of the day", YLabel: "part of what was owed"}
+// lossChart returns the chart of the losses by the largest causes over the day.
+func lossChart(result account.Account) chart.Chart {
+	losses := chart.Chart{Title: "Worth lost by cause", XLabel: "second of the day", YLabel: "part of what was owed"}
 	last := 0
-	for _, row := range made.Rows {
+	for _, row := range result.Rows {
 		for second := range row.BySecond {
 			last = max(last, second)
 		}
 	}
-	for _, row := range made.Rows[:min(len(made.Rows), drawnCauses)] {
+	for _, row := range result.Rows[:min(len(result.Rows), maxDrawnCauses)] {
 		for second := 0; second <= last; second += account.WindowSeconds {
-			picture.Add(row.Cause, chart.Point{X: float64(second), Y: row.BySecond[second]})
+			losses.Add(row.Cause, chart.Point{X: float64(second), Y: row.BySecond[second]})
 		}
 	}
-	return picture
+	return losses
 }
 
-type compareRun struct {
+type compareCommand struct {
 	out        io.Writer
 	Before     []string `long:"before" value-name:"REPORT" required:"true" description:"reports of the first build or setting; may be given several times"`
 	After      []string `long:"after" value-name:"REPORT" required:"true" description:"reports of the second on the same days and seeds, in the same order"`
@@ -152,12 +152,12 @@
 }
 
 // Execute implements flags.Commander.
-func (c *compareRun) Execute([]string) error {
-	before, err := c.days(c.Before, c.BeforeLogs)
+func (c *compareCommand) Execute([]string) error {
+	before, err := c.loadRuns(c.Before, c.BeforeLogs)
 	if err != nil {
 		return errors.Annotate(err, "before")
 	}
-	after, err := c.days(c.After, c.AfterLogs)
+	after, err := c.loadRuns(c.After, c.AfterLogs)
 	if err != nil {
 		return errors.Annotate(err, "after")
 	}
@@ -167,40 +167,40 @@
 	}
 	writer := tabwriter.NewWriter(c.out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(writer, "mean\tspread\tdiffers\t figure")
-	for _, one := range differences {
-		fmt.Fprintf(writer, "%+.4f\t%.4f\t%t\t %s\n", one.Mean, one.Spread, one.Differs(), one.Name)
+	for _, difference := range differences {
+		fmt.Fprintf(writer, "%+.4f\t%.4f\t%t\t %s\n", difference.Mean, difference.Spread, difference.Differs(), difference.Name)
 	}
 	fmt.Fprintf(writer, "\t\t\t over %d days\n", len(before))
 	return errors.Trace(writer.Flush())
 }
 
-// days reads the days of one side.
-func (c *compareRun) days(reports, logs []string) ([]account.Played, error) {
+// loadRuns reads the reports of one side of the comparison, and their logs if given.
+func (c *compareCommand) loadRuns(reports, logs []string) ([]account.Played, error) {
 	if len(logs) > 0 && (c.Site == "" || len(logs) != len(reports)) {
-		return nil, errors.NotValidf("%d logs of %d reports, site %q: causes take --site and one log a report; that", len(logs), len(reports), c.Site)
+		return nil, errors.NotValidf("%d logs for %d reports, --site %q (causes need --site and one log for each report)", len(logs), len(reports), c.Site)
 	}
-	var sheet []dayreport.ClassSpec
+	var classSpecs []dayreport.ClassSpec
 	if len(logs) > 0 {
 		var err error
-		if sheet, err = dayreport.ReadClassSpecs(c.Site); err != nil {
+		if classSpecs, err = dayreport.ReadClassSpecs(c.Site); err != nil {
 			return nil, err
 		}
 	}
-	played := make([]account.Played, 0, len(reports))
+	runs := make([]account.Played, 0, len(reports))
 	for index, path := range reports {
 		if len(logs) == 0 {
 			report, err := dayreport.Read(path)
 			if err != nil {
 				return nil, err
 			}
-			played = append(played, account.Played{Report: report})
+			runs = append(runs, account.Played{Report: report})
 			continue
 		}
-		report, made, err := accountOf(sheet, path, logs[index:index+1])
+		report, result, err := loadAccount(classSpecs, path, logs[index:index+1])
 		if err != nil {
 			return nil, err
 		}
-		played = append(played, account.Played{Report: report, Causes: made.Rows})
+		runs = append(runs, account.Played{Report: report, Causes: result.Rows})
 	}
-	return played, nil
+	return runs, nil
 }
--- a/lab/labcommand/demo.go
+++ b/lab/labcommand/demo.go
@@ -18,20 +18,20 @@
 	"github.com/tuliphall/tuliphall/standalone"
 )
 
-// demo runs the daemon of a standalone file in front of example back ends at the
-// addresses that the file places.
-type demo struct {
+// demoCommand runs the daemon of a standalone file in front of example back ends, which
+// listen at the addresses of the file's placements.
+type demoCommand struct {
 	out  io.Writer
 	File string `long:"standalone" default:"examples/standalone.toml" description:"standalone file"`
 }
 
 // Execute implements flags.Commander.
-func (c *demo) Execute([]string) error {
+func (c *demoCommand) Execute([]string) error {
 	options, err := standalone.Load(c.File)
 	if err != nil {
 		return err
 	}
-	stop, err := exampleBackends(options)
+	stop, err := startExampleBackends(options)
 	if err != nil {
 		return err
 	}
@@ -48,13 +48,13 @@
 	return running.Stop(context.Background())
 }
 
-// exampleBackends serves a stand-in at each address that the options place.
-func exampleBackends(options daemon.Options) (stop func(), err error) {
+// startExampleBackends starts a stub back end at each address of the placements.
+func startExampleBackends(options daemon.Options) (stop func(), err error) {
 	store, ok := options.Store.(*objectstore.Memory)
 	if !ok {
-		return nil, fmt.Errorf("standalone without a store in memory")
+		return nil, fmt.Errorf("standalone options have no in-memory store")
 	}
-	document, err := documentOf(store)
+	document, err := loadDocument(store)
 	if err != nil {
 		return nil, err
 	}
@@ -65,25 +65,25 @@
 		}
 	}
 	for _, placement := range document.Content.Placements {
-		for _, placed := range placement.Backends {
-			if servers[placed.Address] != nil {
+		for _, backend := range placement.Backends {
+			if servers[backend.Address] != nil {
 				continue
 			}
-			listener, err := net.Listen("tcp", placed.Address)
+			listener, err := net.Listen("tcp", backend.Address)
 			if err != nil {
 				stop()
 				return nil, err
 			}
 			stub := backendstub.New(backendstub.Options{Work: 5 * time.Millisecond, Seed: uint64(len(servers))})
 			server := &http.Server{Handler: stub.Handler()}
-			servers[placed.Address] = server
+			servers[backend.Address] = server
 			go func() { _ = server.Serve(listener) }()
 		}
 	}
 	return stop, nil
 }
 
-func documentOf(store objectstore.Store) (config.Document, error) {
+func loadDocument(store objectstore.Store) (config.Document, error) {
 	document, _, err := config.Load(context.Background(), store)
 	return document, err
 }
--- a/lab/labcommand/labcommand.go
+++ b/lab/labcommand/labcommand.go
@@ -1,4 +1,4 @@
-// Package labcommand is the lab's command line.
+// Package labcommand implements the command line of the lab.
 package labcommand
 
 import (
@@ -19,53 +19,53 @@
 	"github.com/tuliphall/tuliphall/settings"
 )
 
-// Run runs the command line.
+// Run parses the arguments and runs the command that they name.
 func Run(arguments []string, out io.Writer) error {
 	parser := flags.NewNamedParser("lab", flags.HelpFlag|flags.PassDoubleDash)
 	experiments, err := parser.AddCommand("experiment", "Run and compare experiments", "", &struct{}{})
 	if err != nil {
 		return err
 	}
-	if _, err := experiments.AddCommand("run", "Run an experiment", "", &experimentRun{out: out}); err != nil {
+	if _, err := experiments.AddCommand("run", "Run an experiment", "", &experimentCommand{out: out}); err != nil {
 		return err
 	}
-	if _, err := experiments.AddCommand("agree", "Compare the simulator with real daemons", "", &agree{out: out}); err != nil {
+	if _, err := experiments.AddCommand("agree", "Compare the simulator with real daemons", "", &agreeCommand{out: out}); err != nil {
 		return err
 	}
-	if _, err := experiments.AddCommand("plot", "Draw the results", "", &experimentPlot{}); err != nil {
+	if _, err := experiments.AddCommand("plot", "Draw the results", "", &plotCommand{}); err != nil {
 		return err
 	}
-	for _, one := range []struct {
+	for _, command := range []struct {
 		name, short string
 		action      flags.Commander
 	}{
-		{"account", "Say where the worth of a day was lost", &accountRun{out: out}},
-		{"compare", "Compare two builds on the same days", &compareRun{out: out}},
-		{"soak", "Harm a fleet of real processes and check the promises", &soakRun{out: out}},
-		{"demo", "Run a daemon with two example back ends", &demo{out: out}},
-		{"platform", "Serve a stand-in for the platform", &platformServe{}},
-		{"backend", "Serve a stand-in for a back end", &backendServe{}},
-		{"fetch", "Print the whole answer to one request", &fetchRun{out: out}},
-		{"sleep", "Wait", &sleepRun{}},
-		{"claims", "Measure how many operations are claimed", &claimsRun{out: out}},
-		{"data-path", "Measure what the daemon adds to a request", &dataPathRun{out: out}},
-		{"rolling-restart", "Restart a fleet of daemon processes under load", &rollingRun{out: out}},
-		{"load", "Send load", &loadRun{out: out}},
-		{"site", "Bring up a whole site, send load, and end", &siteRun{out: out}},
+		{"account", "Say where the worth of a day was lost", &accountCommand{out: out}},
+		{"compare", "Compare two builds on the same days", &compareCommand{out: out}},
+		{"soak", "Harm a fleet of real processes and check the promises", &soakCommand{out: out}},
+		{"demo", "Run a daemon with two example back ends", &demoCommand{out: out}},
+		{"platform", "Serve a stand-in for the platform", &platformCommand{}},
+		{"backend", "Serve a stand-in for a back end", &backendCommand{}},
+		{"fetch", "Print the whole answer to one request", &fetchCommand{out: out}},
+		{"sleep", "Wait", &sleepCommand{}},
+		{"claims", "Measure how many operations are claimed", &claimsCommand{out: out}},
+		{"data-path", "Measure what the daemon adds to a request", &dataPathCommand{out: out}},
+		{"rolling-restart", "Restart a fleet of daemon processes under load", &rollingCommand{out: out}},
+		{"load", "Send load", &loadCommand{out: out}},
+		{"site", "Bring up a whole site, send load, and end", &siteCommand{out: out}},
 	} {
-		if _, err := parser.AddCommand(one.name, one.short, "", one.action); err != nil {
+		if _, err := parser.AddCommand(command.name, command.short, "", command.action); err != nil {
 			return err
 		}
 	}
 	_, err = parser.ParseArgs(arguments)
-	var usage *flags.Error
-	if stderrors.As(err, &usage) && usage.Type == flags.ErrHelp {
-		_, err = fmt.Fprintln(out, usage.Message)
+	var flagsErr *flags.Error
+	if stderrors.As(err, &flagsErr) && flagsErr.Type == flags.ErrHelp {
+		_, err = fmt.Fprintln(out, flagsErr.Message)
 	}
 	return err
 }
 
-type experimentRun struct {
+type experimentCommand struct {
 	out       io.Writer
 	Save      string `long:"save" value-name:"FILE" description:"write the results as JSON"`
 	Arguments struct {
@@ -74,7 +74,7 @@
 }
 
 // Execute implements flags.Commander.
-func (c *experimentRun) Execute([]string) error {
+func (c *experimentCommand) Execute([]string) error {
 	file, err := experiment.Load(c.Arguments.File)
 	if err != nil {
 		return err
@@ -91,7 +91,7 @@
 	return report.Print(c.out)
 }
 
-type dataPathRun struct {
+type dataPathCommand struct {
 	out      io.Writer
 	Duration time.Duration `long:"duration" default:"1s" description:"length of one slice"`
 	Slices   int           `long:"slices" default:"5" description:"slices of each way, in turn"`
@@ -99,7 +99,7 @@
 }
 
 // Execute implements flags.Commander.
-func (c *dataPathRun) Execute([]string) error {
+func (c *dataPathCommand) Execute([]string) error {
 	rows, err := datapath.Run(context.Background(), datapath.Options{Duration: c.Duration, Slices: c.Slices}, c.out)
 	if err != nil {
 		return err
@@ -112,27 +112,27 @@
 	return datapath.Print(c.out, rows)
 }
 
-type claimsRun struct {
+type claimsCommand struct {
 	out    io.Writer
 	Length time.Duration `long:"length" default:"5s" description:"length of one row"`
 	Save   string        `long:"save" value-name:"FILE" description:"write the results as JSON"`
 }
 
 // Execute implements flags.Commander.
-func (c *claimsRun) Execute([]string) error {
-	var rows []claims.Result
+func (c *claimsCommand) Execute([]string) error {
+	var results []claims.Result
 	for _, callers := range []int{1, 10, 100, 1000} {
-		row := claims.Measure(settings.DefaultWritesPerSecond, callers, c.Length)
-		rows = append(rows, row)
+		result := claims.Measure(settings.DefaultWritesPerSecond, callers, c.Length)
+		results = append(results, result)
 		if _, err := fmt.Fprintf(c.out, "%d callers: %.0f operations/s, %.1f writes/s, %.0f bytes/s, claim %.0f ms\n",
-			callers, row.OperationsPerSecond, row.WritesPerSecond, row.BytesPerSecond, row.MeanClaimMS); err != nil {
+			callers, result.OperationsPerSecond, result.WritesPerSecond, result.BytesPerSecond, result.MeanClaimMS); err != nil {
 			return err
 		}
 	}
 	if c.Save == "" {
 		return nil
 	}
-	return saveJSON(c.Save, rows)
+	return saveJSON(c.Save, results)
 }
 
 func saveJSON(path string, value any) error {
@@ -143,7 +143,7 @@
 	return os.WriteFile(path, append(data, '\n'), 0o644)
 }
 
-type rollingRun struct {
+type rollingCommand struct {
 	out     io.Writer
 	Binary  string        `long:"binary" required:"true" value-name:"FILE" description:"tuliphalld, built before"`
 	Daemons int           `long:"daemons" default:"18" description:"number of processes"`
@@ -152,15 +152,15 @@
 }
 
 // Execute implements flags.Commander.
-func (c *rollingRun) Execute([]string) error {
-	folder, err := os.MkdirTemp("", "rolling")
+func (c *rollingCommand) Execute([]string) error {
+	directory, err := os.MkdirTemp("", "rolling")
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(folder)
+	defer os.RemoveAll(directory)
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Minute)
 	defer cancel()
-	result, err := rolling.Run(ctx, rolling.Options{Binary: c.Binary, Directory: folder, Daemons: c.Daemons, StreamDuration: c.Streams, Rate: c.Rate}, c.out)
+	result, err := rolling.Run(ctx, rolling.Options{Binary: c.Binary, Directory: directory, Daemons: c.Daemons, StreamDuration: c.Streams, Rate: c.Rate}, c.out)
 	if err != nil {
 		return err
 	}
--- a/lab/labcommand/plot.go
+++ b/lab/labcommand/plot.go
@@ -11,15 +11,15 @@
 	"github.com/tuliphall/tuliphall/lab/simulation"
 )
 
-// experimentPlot draws p99 against load for each service, and the timeline of one
+// plotCommand draws p99 against load for each service, and the timeline of a run with one
 // noisy neighbour.
-type experimentPlot struct {
+type plotCommand struct {
 	Results string `long:"results" required:"true" value-name:"FILE" description:"results as saved by run"`
 	Folder  string `long:"folder" default:"docs/results" description:"where the pictures go"`
 }
 
 // Execute implements flags.Commander.
-func (c *experimentPlot) Execute([]string) error {
+func (c *plotCommand) Execute([]string) error {
 	data, err := os.ReadFile(c.Results)
 	if err != nil {
 		return err
@@ -30,27 +30,28 @@
 	}
 	charts := make(map[string]*chart.Chart)
 	for _, s := range report.Summaries() {
-		drawn := charts[s.Service]
-		if drawn == nil {
-			drawn = &chart.Chart{Title: s.Service, XLabel: "load, % of capacity", YLabel: "p99 / oracle"}
-			charts[s.Service] = drawn
+		loadChart := charts[s.Service]
+		if loadChart == nil {
+			loadChart = &chart.Chart{Title: s.Service, XLabel: "load, % of capacity", YLabel: "p99 / oracle"}
+			charts[s.Service] = loadChart
 		}
-		drawn.Add(s.System, chart.Point{X: s.Load * 100, Y: s.Oracle})
+		loadChart.Add(s.System, chart.Point{X: s.Load * 100, Y: s.Oracle})
 	}
-	for service, drawn := range charts {
-		if err := drawn.Save(c.Folder, "p99-"+strings.ReplaceAll(service, "/", "-")); err != nil {
+	for service, loadChart := range charts {
+		if err := loadChart.Save(c.Folder, "p99-"+strings.ReplaceAll(service, "/", "-")); err != nil {
 			return err
 		}
 	}
 	return c.timeline()
 }
 
-// timelineStep is the length of one interval of the timeline.
-const timelineStep = 20 * time.Millisecond
+// timelineInterval is the length of one interval of the timeline.
+const timelineInterval = 20 * time.Millisecond
 
-// timeline slows one worker of ten threefold for 200 ms.
-func (c *experimentPlot) timeline() error {
-	drawn := chart.Chart{Title: "a neighbour slows one worker of ten threefold from 2.0 s to 2.2 s", XLabel: "s", YLabel: "p99 of the interval, ms"}
+// timeline simulates a run in which one of ten back ends is slowed threefold for 200 ms, and draws the p99
+// of each interval.
+func (c *plotCommand) timeline() error {
+	timelineChart := chart.Chart{Title: "a neighbour slows one worker of ten threefold from 2.0 s to 2.2 s", XLabel: "s", YLabel: "p99 of the interval, ms"}
 	for _, name := range []string{"own-least", experiment.ProductName, experiment.OracleName} {
 		system, err := experiment.Find(name)
 		if err != nil {
@@ -59,7 +60,7 @@
 		result := simulation.Run(simulation.Scenario{
 			Zones: 4, Daemons: 16, Workers: 10, Slots: 3, Work: 5 * time.Millisecond,
 			WireNear: 100 * time.Microsecond, WireFar: 1500 * time.Microsecond, HopCost: 60 * time.Microsecond,
-			Load: 0.85, Duration: 3 * time.Second, Seed: 1, Timeline: timelineStep,
+			Load: 0.85, Duration: 3 * time.Second, Seed: 1, Timeline: timelineInterval,
 			Faults: []simulation.Fault{{Kind: simulation.FaultSlow, Worker: 3, From: 2 * time.Second, Until: 2200 * time.Millisecond, Factor: 3}},
 		}, system)
 		line := chart.Line{Name: name}
@@ -68,7 +69,7 @@
 				line.Points = append(line.Points, chart.Point{X: interval.From.Seconds(), Y: float64(interval.Latency.ValueAtQuantile(99)) / 1000})
 			}
 		}
-		drawn.Lines = append(drawn.Lines, line)
+		timelineChart.Lines = append(timelineChart.Lines, line)
 	}
-	return drawn.Save(c.Folder, "timeline")
+	return timelineChart.Save(c.Folder, "timeline")
 }
--- a/lab/labcommand/serve.go
+++ b/lab/labcommand/serve.go
@@ -18,7 +18,7 @@
 	"github.com/tuliphall/tuliphall/lab/platformstub"
 )
 
-// serveUntilSignal serves on the address until the process is told to end.
+// serveUntilSignal serves on the address until the process gets an interrupt or SIGTERM.
 func serveUntilSignal(address string, handler http.Handler) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -37,16 +37,16 @@
 	return nil
 }
 
-type platformServe struct {
+type platformCommand struct {
 	Listen string `long:"listen" default:"127.0.0.1:9000" description:"IP:port"`
 }
 
 // Execute implements flags.Commander.
-func (c *platformServe) Execute([]string) error {
+func (c *platformCommand) Execute([]string) error {
 	return serveUntilSignal(c.Listen, platformstub.New().Handler())
 }
 
-type backendServe struct {
+type backendCommand struct {
 	Listen string        `long:"listen" default:"127.0.0.1:9101" description:"IP:port"`
 	Slots  int           `long:"slots" default:"3" description:"requests worked on at once"`
 	Work   time.Duration `long:"work" default:"5ms" description:"mean time of a request"`
@@ -60,7 +60,7 @@
 }
 
 // Execute implements flags.Commander.
-func (c *backendServe) Execute([]string) error {
+func (c *backendCommand) Execute([]string) error {
 	stub := backendstub.New(backendstub.Options{Slots: c.Slots, Work: c.Work, Seed: c.Seed})
 	stub.SetFault(backendstub.Fault(c.Fault))
 	stub.SetDraining(c.Drain)
@@ -68,20 +68,20 @@
 	if c.Pause != "" {
 		stub.SetPushback(c.Pause, c.Every)
 	}
-	return serveUntilSignal(c.Listen, c.mortal(stub.Handler()))
+	return serveUntilSignal(c.Listen, c.exitOnPath(stub.Handler()))
 }
 
-// mortal lets the process end under requests with a certain path, as a crash would.
-func (c *backendServe) mortal(handler http.Handler) http.Handler {
+// exitOnPath makes the process exit when it gets a request with the path of --ends-under, as in a crash.
+func (c *backendCommand) exitOnPath(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if c.Ends != "" && r.URL.Path == c.Ends {
-			os.Exit(0) // to those who are connected it is a crash, to scripts a process that ended
+			os.Exit(0) // connected clients see a crash, scripts a clean exit
 		}
 		handler.ServeHTTP(w, r)
 	})
 }
 
-type loadRun struct {
+type loadCommand struct {
 	out      io.Writer
 	Targets  []string      `long:"target" required:"true" description:"caller address of a daemon; may be given several times"`
 	Rate     float64       `long:"rate" default:"100" description:"requests a second"`
@@ -95,7 +95,7 @@
 }
 
 // Execute implements flags.Commander.
-func (c *loadRun) Execute([]string) error {
+func (c *loadCommand) Execute([]string) error {
 	result := load.Run(context.Background(), load.Options{
 		Targets: c.Targets, Rate: c.Rate, Duration: c.Duration, Seed: c.Seed,
 		Kinds: []load.Kind{{Name: "all", Method: c.Method, Path: c.Path, Share: 1, Once: c.Once, Key: c.Key}},
@@ -116,7 +116,7 @@
 	return err
 }
 
-type fetchRun struct {
+type fetchCommand struct {
 	out       io.Writer
 	Arguments struct {
 		URL string `positional-arg-name:"URL" required:"yes"`
@@ -124,7 +124,7 @@
 }
 
 // Execute implements flags.Commander.
-func (c *fetchRun) Execute([]string) error {
+func (c *fetchCommand) Execute([]string) error {
 	response, err := http.Get(c.Arguments.URL)
 	if err != nil {
 		return err
@@ -134,14 +134,14 @@
 	return err
 }
 
-type sleepRun struct {
+type sleepCommand struct {
 	Arguments struct {
 		Wait string `positional-arg-name:"DURATION" required:"yes"`
 	} `positional-args:"yes"`
 }
 
 // Execute implements flags.Commander.
-func (c *sleepRun) Execute([]string) error {
+func (c *sleepCommand) Execute([]string) error {
 	wait, err := time.ParseDuration(c.Arguments.Wait)
 	if err != nil {
 		return err
--- a/lab/labcommand/site.go
+++ b/lab/labcommand/site.go
@@ -15,59 +15,60 @@
 	"github.com/tuliphall/tuliphall/policy"
 )
 
-// noisy is a back end with a neighbour that slows it threefold a tenth of the time.
-func noisy(work time.Duration) backendstub.Options {
-	return backendstub.Options{Slots: slotsEach, Work: work, Probe: probeCost, Seed: 7, Slowdown: 3, Noisy: 50 * time.Millisecond, Quiet: 450 * time.Millisecond}
+// noisyBackend returns the options of a back end with a noisy neighbour, which slows it threefold for a
+// tenth of the time.
+func noisyBackend(work time.Duration) backendstub.Options {
+	return backendstub.Options{Slots: slotsPerBackend, Work: work, Probe: probeCost, Seed: 7, Slowdown: 3, Noisy: 50 * time.Millisecond, Quiet: 450 * time.Millisecond}
 }
 
-// A back end at Kingston, what a probe takes there, and the budget.
+// Slots of a back end at Kingston, slot time of one load probe there, and the probe budget.
 const (
-	slotsEach  = 3
-	probeCost  = 6 * time.Millisecond
-	probesRate = 5.0
+	slotsPerBackend = 3
+	probeCost       = 6 * time.Millisecond
+	probesPerSecond = 5.0
 )
 
-// probed lets a service be probed.
-func probed(declared config.Service) config.Service {
-	declared.ProbePath, declared.ProbesPerSecond, declared.ProbeCost = backendstub.PathLoad, probesRate, config.Duration(probeCost)
+// withLoadProbes adds load probes to a service.
+func withLoadProbes(declared config.Service) config.Service {
+	declared.ProbePath, declared.ProbesPerSecond, declared.ProbeCost = backendstub.PathLoad, probesPerSecond, config.Duration(probeCost)
 	return declared
 }
 
-// deployment is one user's site.
+// deployment describes one user's site.
 type deployment struct {
-	reads, changes, archives   string // names of the services
-	readers, changers, keepers int    // their back ends
+	reads, changes, archives                      string // service names
+	readBackends, changeBackends, archiveBackends int    // number of back ends of each
 }
 
-// The users' sites. Kingston's is cut down to 12 back ends.
+// deployments holds the users' sites by name. Kingston's is reduced to 12 back ends.
 var deployments = map[string]deployment{
-	"kingston": {reads: "price-query", changes: "correction", archives: "history", readers: 5, changers: 3, keepers: 4},
-	"zhetysu":  {reads: "roster", changes: "swap", archives: "archives", readers: 7, changers: 6, keepers: 14},
+	"kingston": {reads: "price-query", changes: "correction", archives: "history", readBackends: 5, changeBackends: 3, archiveBackends: 4},
+	"zhetysu":  {reads: "roster", changes: "swap", archives: "archives", readBackends: 7, changeBackends: 6, archiveBackends: 14},
 }
 
-// services declares the site's three services.
+// services returns the three services of the site.
 func (d deployment) services() []site.Service {
 	return []site.Service{
 		{
-			Declared: probed(config.Service{Name: d.reads, PathPrefix: "/" + d.reads, Policy: "reads"}),
+			Declared: withLoadProbes(config.Service{Name: d.reads, PathPrefix: "/" + d.reads, Policy: "reads"}),
 			Policy:   config.Policy{Name: "reads", Source: policy.Source{Class: `"read"`, Weight: "100", Retry: "true", Deadline: `duration("2s")`}},
-			Backends: d.readers, Backend: noisy(5 * time.Millisecond),
+			Backends: d.readBackends, Backend: noisyBackend(5 * time.Millisecond),
 		},
 		{
-			Declared: probed(config.Service{Name: d.changes, PathPrefix: "/" + d.changes, Policy: "changes", RefusalStatus: http.StatusServiceUnavailable}),
+			Declared: withLoadProbes(config.Service{Name: d.changes, PathPrefix: "/" + d.changes, Policy: "changes", RefusalStatus: http.StatusServiceUnavailable}),
 			Policy:   config.Policy{Name: "changes", Source: policy.Source{Class: `"change"`, Weight: "200", Once: "true", Deadline: `duration("5s")`}},
-			Backends: d.changers, Backend: noisy(10 * time.Millisecond),
+			Backends: d.changeBackends, Backend: noisyBackend(10 * time.Millisecond),
 		},
 		{
-			Declared: probed(config.Service{Name: d.archives, PathPrefix: "/" + d.archives, Policy: "batch"}),
+			Declared: withLoadProbes(config.Service{Name: d.archives, PathPrefix: "/" + d.archives, Policy: "batch"}),
 			Policy:   config.Policy{Name: "batch", Source: policy.Source{Class: `"batch"`, Weight: "1", Retry: "true", Wait: `duration("30s")`, Deadline: `duration("60s")`}},
-			Backends: d.keepers, Backend: noisy(40 * time.Millisecond),
+			Backends: d.archiveBackends, Backend: noisyBackend(40 * time.Millisecond),
 		},
 	}
 }
 
-// kinds is the mix of requests.
-func (d deployment) kinds() []load.Kind {
+// requestKinds returns the mix of requests.
+func (d deployment) requestKinds() []load.Kind {
 	return []load.Kind{
 		{Name: d.reads, Method: http.MethodGet, Path: "/" + d.reads, Share: 0.88},
 		{Name: d.changes, Method: http.MethodPost, Path: "/" + d.changes, Share: 0.05, Once: true},
@@ -75,7 +76,7 @@
 	}
 }
 
-type siteRun struct {
+type siteCommand struct {
 	out      io.Writer
 	Site     string        `long:"site" choice:"kingston" choice:"zhetysu" default:"kingston" description:"whose services"`
 	Duration time.Duration `long:"duration" default:"5s" description:"how long load is sent"`
@@ -84,12 +85,12 @@
 }
 
 // Execute implements flags.Commander.
-func (c *siteRun) Execute([]string) error {
+func (c *siteCommand) Execute([]string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), c.Duration+time.Minute)
 	defer cancel()
-	chosen := deployments[c.Site]
-	fmt.Fprintf(c.out, "starting: platform, 3 zones, 4 daemons, %d back ends\n", chosen.readers+chosen.changers+chosen.keepers)
-	options := site.Options{Zones: []string{"zone-a", "zone-b", "zone-c"}, Daemons: 4, Services: chosen.services(), Notice: 500 * time.Millisecond}
+	selected := deployments[c.Site]
+	fmt.Fprintf(c.out, "starting: platform, 3 zones, 4 daemons, %d back ends\n", selected.readBackends+selected.changeBackends+selected.archiveBackends)
+	options := site.Options{Zones: []string{"zone-a", "zone-b", "zone-c"}, Daemons: 4, Services: selected.services(), Notice: 500 * time.Millisecond}
 	if c.Verbose {
 		options.LogTo, options.LogLevel, options.Decisions = c.out, "info", true
 	}
@@ -101,7 +102,7 @@
 	fmt.Fprintf(c.out, "configuration in force at 4 daemons; sending load for %s\n", c.Duration)
 	done := make(chan *load.Result, 1)
 	go func() {
-		done <- load.Run(ctx, load.Options{Targets: running.Targets(), Rate: 600, Duration: c.Duration, Seed: c.Seed, Kinds: chosen.kinds()})
+		done <- load.Run(ctx, load.Options{Targets: running.Targets(), Rate: 600, Duration: c.Duration, Seed: c.Seed, Kinds: selected.requestKinds()})
 	}()
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
@@ -116,32 +117,32 @@
 	}
 }
 
-// print shows latency, decisions and platform calls.
-func (c *siteRun) print(running *site.Site, result *load.Result) error {
+// print prints latency, decisions, load probes, platform calls and operations that ran more than once.
+func (c *siteCommand) print(running *site.Site, result *load.Result) error {
 	if err := printLoad(c.out, result); err != nil {
 		return err
 	}
-	for _, kind := range deployments[c.Site].kinds() {
+	for _, kind := range deployments[c.Site].requestKinds() {
 		fmt.Fprintf(c.out, "  %-12s p50 %-10s p99 %s\n", kind.Name, result.KindQuantile(kind.Name, 50), result.KindQuantile(kind.Name, 99))
 	}
 	fmt.Fprintln(c.out, "decisions (requests run at each back end):")
-	for _, one := range running.Backends {
-		fmt.Fprintf(c.out, "  %-16s %s %d\n", one.ID, one.Zone, one.Stub.Total())
+	for _, backend := range running.Backends {
+		fmt.Fprintf(c.out, "  %-16s %s %d\n", backend.ID, backend.Zone, backend.Stub.Total())
 	}
 	probes := 0
-	for _, one := range running.Backends {
-		probes += len(one.Stub.Probes())
+	for _, backend := range running.Backends {
+		probes += len(backend.Stub.Probes())
 	}
-	slotTime := result.Elapsed.Seconds() * float64(len(running.Backends)*slotsEach)
-	fmt.Fprintf(c.out, "probes: %d, %.3f%% of slot time\n", probes, 100*float64(probes)*probeCost.Seconds()/slotTime)
+	slotSeconds := result.Elapsed.Seconds() * float64(len(running.Backends)*slotsPerBackend)
+	fmt.Fprintf(c.out, "probes: %d, %.3f%% of slot time\n", probes, 100*float64(probes)*probeCost.Seconds()/slotSeconds)
 	counts := running.Platform.Counts()
 	fmt.Fprintln(c.out, "platform calls:")
-	kinds := make([]string, 0, len(counts))
+	lines := make([]string, 0, len(counts))
 	for kind, count := range counts {
-		kinds = append(kinds, fmt.Sprintf("  %-9s %d", kind, count))
+		lines = append(lines, fmt.Sprintf("  %-9s %d", kind, count))
 	}
-	sort.Strings(kinds)
-	for _, line := range kinds {
+	sort.Strings(lines)
+	for _, line := range lines {
 		fmt.Fprintln(c.out, line)
 	}
 	duplicates := 0
--- a/lab/labcommand/soak.go
+++ b/lab/labcommand/soak.go
@@ -17,7 +17,7 @@
 	"github.com/tuliphall/tuliphall/lab/soak"
 )
 
-type soakRun struct {
+type soakCommand struct {
 	out     io.Writer
 	Binary  string        `long:"binary" value-name:"FILE" description:"tuliphalld; none: it is built"`
 	Seed    uint64        `long:"seed" description:"of the first run; 0: drawn"`
@@ -30,13 +30,13 @@
 	Quiet   bool          `long:"quiet" description:"print only what is broken and the sums"`
 }
 
-// maxSoakDaemons bounds the processes of one run.
+// maxSoakDaemons is the maximum number of daemon processes of one run.
 const maxSoakDaemons = 40
 
 // Execute implements flags.Commander.
-func (c *soakRun) Execute([]string) error {
+func (c *soakCommand) Execute([]string) error {
 	if c.Daemons < 1 || c.Daemons > maxSoakDaemons {
-		return errors.NotValidf("--daemons %d, allowed: 1 to %d; it", c.Daemons, maxSoakDaemons)
+		return errors.NotValidf("--daemons %d (allowed: 1 to %d)", c.Daemons, maxSoakDaemons)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -48,16 +48,16 @@
 		c.Seed = rand.Uint64() % 1_000_000
 	}
 	var failed []uint64
-	for number := range c.Seeds {
+	for index := range c.Seeds {
 		if ctx.Err() != nil {
 			break
 		}
-		seed := c.Seed + uint64(number)
-		broken, err := c.one(ctx, binary, seed)
+		seed := c.Seed + uint64(index)
+		violated, err := c.runSeed(ctx, binary, seed)
 		if err != nil {
 			return err
 		}
-		if broken {
+		if violated {
 			failed = append(failed, seed)
 		}
 	}
@@ -67,45 +67,45 @@
 	return nil
 }
 
-// one runs one seed. The folder with its logs is kept if a promise was broken.
-func (c *soakRun) one(ctx context.Context, binary string, seed uint64) (broken bool, err error) {
-	folder, err := os.MkdirTemp("", fmt.Sprintf("soak-%d-", seed))
+// runSeed runs one seed. It keeps the directory with the logs if a promise was broken.
+func (c *soakCommand) runSeed(ctx context.Context, binary string, seed uint64) (violated bool, err error) {
+	directory, err := os.MkdirTemp("", fmt.Sprintf("soak-%d-", seed))
 	if err != nil {
 		return false, err
 	}
-	history, err := os.Create(filepath.Join(folder, "history.log"))
+	historyLog, err := os.Create(filepath.Join(directory, "history.log"))
 	if err != nil {
 		return false, err
 	}
-	defer history.Close()
-	progress := io.Writer(history)
+	defer historyLog.Close()
+	progress := io.Writer(historyLog)
 	if !c.Quiet {
-		progress = io.MultiWriter(history, c.out)
+		progress = io.MultiWriter(historyLog, c.out)
 	}
 	result, err := soak.Run(ctx, soak.Options{
-		Binary: binary, Directory: folder, Seed: seed, Daemons: c.Daemons, Workers: c.Workers, FaultCount: c.Faults, FaultDuration: c.Length, Rate: c.Rate,
+		Binary: binary, Directory: directory, Seed: seed, Daemons: c.Daemons, Workers: c.Workers, FaultCount: c.Faults, FaultDuration: c.Length, Rate: c.Rate,
 	}, progress)
 	if err != nil {
 		return false, err
 	}
 	fmt.Fprintf(c.out, "seed %d: %d violations, %v\n", seed, len(result.Violations), result.Counts)
 	if len(result.Violations) == 0 {
-		return false, os.RemoveAll(folder)
+		return false, os.RemoveAll(directory)
 	}
-	fmt.Fprintf(c.out, "logs are kept in %s\n", folder)
+	fmt.Fprintf(c.out, "logs are kept in %s\n", directory)
 	return true, result.PrintViolations(c.out)
 }
 
-// binary returns the daemon's binary, built if none was named.
-func (c *soakRun) binary() (string, error) {
+// binary returns the path of the daemon's binary, which it builds unless --binary is given.
+func (c *soakCommand) binary() (string, error) {
 	if c.Binary != "" {
 		return c.Binary, nil
 	}
-	folder, err := os.MkdirTemp("", "soak-binary-")
+	directory, err := os.MkdirTemp("", "soak-binary-")
 	if err != nil {
 		return "", err
 	}
-	path := filepath.Join(folder, "tuliphalld")
-	built, err := exec.Command("go", "build", "-o", path, "./cmd/tuliphalld").CombinedOutput()
-	return path, errors.Annotatef(err, "building tuliphalld: %s", built)
+	path := filepath.Join(directory, "tuliphalld")
+	output, err := exec.Command("go", "build", "-o", path, "./cmd/tuliphalld").CombinedOutput()
+	return path, errors.Annotatef(err, "building tuliphalld: %s", output)
 }
--- a/lab/soak/crashing.go
+++ b/lab/soak/crashing.go
@@ -92,16 +92,16 @@
 // repeatCrashing sends a request that crashes back ends again and again for crashDuration, each time
 // under a new id and through a random daemon.
 func (c *callers) repeatCrashing(path string) {
-	var sending sync.WaitGroup
-	defer sending.Wait()
+	var inFlight sync.WaitGroup
+	defer inFlight.Wait()
 	for end := time.Now().Add(crashDuration); time.Now().Before(end); time.Sleep(crashInterval) {
 		target := c.fleet.daemons[rand.IntN(len(c.fleet.daemons))]
-		sending.Go(func() {
+		inFlight.Go(func() {
 			id := c.nextID()
 			c.fleet.report.recordSent(id, target.incarnationName(), false)
-			response, got, err := c.exchange(c.singleUseClient, target, http.MethodGet, id, path)
+			response, responseBody, err := c.exchange(c.singleUseClient, target, http.MethodGet, id, path)
 			if err == nil {
-				c.fleet.report.recordResponse(id, path, response, got)
+				c.fleet.report.recordResponse(id, path, response, responseBody)
 			}
 		})
 	}
