--- a/lab/claims/claims.go
+++ b/lab/claims/claims.go
@@ -1,5 +1,5 @@
-// Package claims measures how many operations a second one daemon claims and settles in the
-// journal of a store.
+// Package claims measures how many operations per second one daemon claims and completes
+// in the operation journal of a store.
 package claims
 
 import (
@@ -17,10 +17,10 @@
 	"github.com/tuliphall/tuliphall/operation"
 )
 
-// storeLatency is what one write to the platform's store takes.
+// storeLatency is the duration of one write to the platform's store.
 const storeLatency = 5 * time.Millisecond
 
-// slowStore answers writes after storeLatency and counts them.
+// slowStore is an in-memory store that delays writes by storeLatency and counts them.
 type slowStore struct {
 	*objectstore.Memory
 	writes atomic.Int64
@@ -35,7 +35,7 @@
 	return s.Memory.Put(ctx, key, value, expected)
 }
 
-// Result is how many operations one daemon claims and settles.
+// Result is the throughput of one daemon with a number of concurrent callers.
 type Result struct {
 	WriteLimit          float64 `json:"writes_limit_per_second"`
 	Callers             int     `json:"callers"`
@@ -45,36 +45,37 @@
 	MeanClaimMS         float64 `json:"mean_claim_ms"`
 }
 
-// Measure lets callers claim and finish operations one after another.
-func Measure(writes float64, callers int, length time.Duration) Result {
+// Measure lets concurrent callers claim and finish operations one after another for the given duration, with
+// a limit on writes per second.
+func Measure(writeLimit float64, callers int, duration time.Duration) Result {
 	store := &slowStore{Memory: objectstore.NewMemory()}
-	executor := operation.NewClaimer(operation.Options{
-		Store: store, WriteLimiter: rate.NewLimiter(rate.Limit(writes), 1), Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
+	claimer := operation.NewClaimer(operation.Options{
+		Store: store, WriteLimiter: rate.NewLimiter(rate.Limit(writeLimit), 1), Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 	})
-	ctx, cancel := context.WithTimeout(context.Background(), length)
+	ctx, cancel := context.WithTimeout(context.Background(), duration)
 	defer cancel()
-	var done, waited atomic.Int64
+	var claimed, claimTime atomic.Int64
 	var running sync.WaitGroup
-	begun := time.Now()
+	startedAt := time.Now()
 	for caller := range callers {
 		running.Go(func() {
-			for number := 0; ctx.Err() == nil; number++ {
-				called := time.Now()
-				claim, _, _ := executor.Claim(ctx, "swaps", fmt.Sprintf("%d-%d", caller, number), 1)
+			for sequence := 0; ctx.Err() == nil; sequence++ {
+				claimStart := time.Now()
+				claim, _, _ := claimer.Claim(ctx, "swaps", fmt.Sprintf("%d-%d", caller, sequence), 1)
 				if claim == nil {
 					continue
 				}
-				waited.Add(int64(time.Since(called)))
-				done.Add(1)
+				claimTime.Add(int64(time.Since(claimStart)))
+				claimed.Add(1)
 				claim.Finish(operation.Result{Status: 200, Complete: true})
 			}
 		})
 	}
 	running.Wait()
-	elapsed := time.Since(begun).Seconds()
-	executor.Close(context.Background())
+	elapsed := time.Since(startedAt).Seconds()
+	claimer.Close(context.Background())
 	return Result{
-		WriteLimit: writes, Callers: callers, OperationsPerSecond: float64(done.Load()) / elapsed, WritesPerSecond: float64(store.writes.Load()) / elapsed,
-		BytesPerSecond: float64(store.bytes.Load()) / elapsed, MeanClaimMS: float64(waited.Load()) / float64(max(done.Load(), 1)) / float64(time.Millisecond),
+		WriteLimit: writeLimit, Callers: callers, OperationsPerSecond: float64(claimed.Load()) / elapsed, WritesPerSecond: float64(store.writes.Load()) / elapsed,
+		BytesPerSecond: float64(store.bytes.Load()) / elapsed, MeanClaimMS: float64(claimTime.Load()) / float64(max(claimed.Load(), 1)) / float64(time.Millisecond),
 	}
 }
--- a/lab/launcher/launcher.go
+++ b/lab/launcher/launcher.go
@@ -1,5 +1,5 @@
-// Package launcher starts daemons as processes of their own, for the parts of the lab
-// that restart or harm them.
+// Package launcher starts daemons as separate processes, for the parts of the lab that
+// restart them or inject faults.
 package launcher
 
 import (
@@ -10,20 +10,20 @@
 	"github.com/juju/errors"
 )
 
-// Start starts the binary of a daemon with settings, which are written to a file in a
-// folder. What the daemon logs is added to a file beside it. The caller waits for the
-// command's end.
-func Start(binary, folder, name, settings string) (*exec.Cmd, error) {
-	path := filepath.Join(folder, name+".toml")
-	if err := os.WriteFile(path, []byte(settings), 0o600); err != nil {
+// Start starts the binary of a daemon with a settings file, which it writes to the
+// directory as NAME.toml. The output of the daemon is appended to NAME.log in the same
+// directory. The caller must wait for the command.
+func Start(binary, directory, name, settings string) (*exec.Cmd, error) {
+	settingsPath := filepath.Join(directory, name+".toml")
+	if err := os.WriteFile(settingsPath, []byte(settings), 0o600); err != nil {
 		return nil, err
 	}
-	log, err := os.OpenFile(filepath.Join(folder, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	logFile, err := os.OpenFile(filepath.Join(directory, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	defer log.Close()
-	command := exec.Command(binary, "--settings", path)
-	command.Stdout, command.Stderr = log, log
+	defer logFile.Close()
+	command := exec.Command(binary, "--settings", settingsPath)
+	command.Stdout, command.Stderr = logFile, logFile
 	return command, errors.Annotate(command.Start(), name)
 }
--- a/lab/rolling/rolling.go
+++ b/lab/rolling/rolling.go
@@ -1,5 +1,6 @@
-// Package rolling restarts a fleet of real daemon processes one after another
-// under load, with a long stream through each, and counts what was lost.
+// Package rolling performs a rolling restart of a fleet of real daemon processes under
+// load, with a long stream through each, and counts failed requests and interrupted
+// streams.
 package rolling
 
 import (
@@ -24,34 +25,34 @@
 	"github.com/tuliphall/tuliphall/lab/site"
 )
 
-// Options say what is restarted.
+// Options are the options of a rolling restart.
 type Options struct {
-	Binary         string // of tuliphalld
+	Binary         string // path of tuliphalld
 	Directory      string // for settings files and logs
 	Daemons        int
 	StreamDuration time.Duration // length of the stream through each daemon
 	Rate           float64       // requests a second, all daemons together
 }
 
-// Result is what came of it.
+// Result is the outcome of a rolling restart.
 type Result struct {
 	Restarts           int
 	Streams            int64
 	InterruptedStreams int64 // streams that ended early
 	SentRequests       int64
-	FailedRequests     int64 // requests without their whole answer
+	FailedRequests     int64 // requests without a complete response
 	FirstFailure       string
 }
 
-// Timing of a restart.
+// Timing and concurrency of restarts.
 const (
-	notice       = 1500 * time.Millisecond
-	balancerLag  = 500 * time.Millisecond // until the balancer stops sending
-	readyTimeout = 20 * time.Second
-	atOnce       = 3 // daemons that are being restarted
+	stopNotice            = 1500 * time.Millisecond
+	balancerDelay         = 500 * time.Millisecond // from SIGTERM until the balancer stops sending requests
+	readyTimeout          = 20 * time.Second
+	maxConcurrentRestarts = 3 // daemons that restart at the same time
 )
 
-// fleet is a running fleet.
+// fleet is the fleet of daemons under test.
 type fleet struct {
 	options Options
 	site    *site.Site
@@ -60,12 +61,12 @@
 	mutex   sync.Mutex
 }
 
-// process is one daemon's place in the fleet.
+// process is one daemon of the fleet, across its restart.
 type process struct {
-	name    string
-	address string // IP; each daemon has one of its own on the loopback
-	command *exec.Cmd
-	serving atomic.Bool // the balancer sends to it
+	name       string
+	address    string // IP; each daemon has its own loopback address
+	command    *exec.Cmd
+	inBalancer atomic.Bool // the balancer sends requests to it
 }
 
 // Ports of every daemon.
@@ -76,9 +77,9 @@
 	portAdmin   = "9090"
 )
 
-func (p *process) at(port string) string { return p.address + ":" + port }
+func (p *process) addr(port string) string { return p.address + ":" + port }
 
-// Run starts the fleet, restarts every daemon and counts.
+// Run starts the fleet, restarts every daemon under load, and returns the counts.
 func Run(ctx context.Context, options Options, progress io.Writer) (Result, error) {
 	running, err := site.Start(ctx, site.Options{
 		Zones:    []string{"zone-a", "zone-b", "zone-c"},
@@ -89,53 +90,53 @@
 	}
 	defer running.Close()
 	f := &fleet{options: options, site: running}
-	defer f.end()
+	defer f.close()
 	for number := range options.Daemons {
-		one := &process{name: fmt.Sprintf("entry-%d", number+1), address: fmt.Sprintf("127.0.1.%d", number+1)}
-		f.daemons = append(f.daemons, one)
-		if err := f.start(ctx, one); err != nil {
+		daemon := &process{name: fmt.Sprintf("entry-%d", number+1), address: fmt.Sprintf("127.0.1.%d", number+1)}
+		f.daemons = append(f.daemons, daemon)
+		if err := f.start(ctx, daemon); err != nil {
 			return Result{}, err
 		}
 	}
-	client := admin.NewClient("http://" + f.daemons[0].at(portAdmin))
+	client := admin.NewClient("http://" + f.daemons[0].addr(portAdmin))
 	if _, err := client.Apply(ctx, admin.ApplyRequest{Edit: config.Edit{ID: "rolling", Set: running.Content()}}); err != nil {
 		return Result{}, err
 	}
 	time.Sleep(2 * time.Second)
-	return f.roll(ctx, progress)
+	return f.restartAll(ctx, progress)
 }
 
-// roll sends load and restarts daemons, a few at once.
-func (f *fleet) roll(ctx context.Context, progress io.Writer) (Result, error) {
+// restartAll sends load and restarts all daemons, at most maxConcurrentRestarts at a time.
+func (f *fleet) restartAll(ctx context.Context, progress io.Writer) (Result, error) {
 	stopLoad := make(chan struct{})
-	var loading, restarting sync.WaitGroup
-	loading.Go(func() { f.load(ctx, stopLoad) })
-	slots := make(chan struct{}, atOnce)
-	var failed error
-	for _, one := range f.daemons {
-		slots <- struct{}{}
-		restarting.Go(func() {
-			defer func() { <-slots }()
-			if err := f.restart(ctx, one); err != nil {
+	var loadDone, restarts sync.WaitGroup
+	loadDone.Go(func() { f.sendLoad(ctx, stopLoad) })
+	restartSlots := make(chan struct{}, maxConcurrentRestarts)
+	var restartErr error
+	for _, daemon := range f.daemons {
+		restartSlots <- struct{}{}
+		restarts.Go(func() {
+			defer func() { <-restartSlots }()
+			if err := f.restart(ctx, daemon); err != nil {
 				f.mutex.Lock()
 				defer f.mutex.Unlock()
-				failed = err
+				restartErr = err
 				return
 			}
 			f.mutex.Lock()
 			defer f.mutex.Unlock()
 			f.result.Restarts++
-			fmt.Fprintf(progress, "%s restarted, %d of %d\n", one.name, f.result.Restarts, len(f.daemons))
+			fmt.Fprintf(progress, "%s restarted, %d of %d\n", daemon.name, f.result.Restarts, len(f.daemons))
 		})
 	}
-	restarting.Wait()
+	restarts.Wait()
 	close(stopLoad)
-	loading.Wait()
-	return f.result, failed
+	loadDone.Wait()
+	return f.result, restartErr
 }
 
-// settings is one daemon's settings file.
-const settings = `name = %q
+// settingsTemplate is the settings file of one daemon.
+const settingsTemplate = `name = %q
 region = "region-1"
 zone = "zone-a"
 peers = [%s]
@@ -150,27 +151,27 @@
 notice = %q
 `
 
-func (f *fleet) start(ctx context.Context, one *process) error {
+func (f *fleet) start(ctx context.Context, daemon *process) error {
 	var peers []string
 	for _, other := range f.daemons {
-		if other != one {
-			peers = append(peers, fmt.Sprintf("%q", other.at(portPeer)))
+		if other != daemon {
+			peers = append(peers, fmt.Sprintf("%q", other.addr(portPeer)))
 		}
 	}
-	text := fmt.Sprintf(settings, one.name, strings.Join(peers, ", "), one.at(portCaller), one.at(portPeer), one.at(portForward), one.at(portAdmin), f.site.PlatformURL(), notice)
-	command, err := launcher.Start(f.options.Binary, f.options.Directory, one.name, text)
+	settings := fmt.Sprintf(settingsTemplate, daemon.name, strings.Join(peers, ", "), daemon.addr(portCaller), daemon.addr(portPeer), daemon.addr(portForward), daemon.addr(portAdmin), f.site.PlatformURL(), stopNotice)
+	command, err := launcher.Start(f.options.Binary, f.options.Directory, daemon.name, settings)
 	if err != nil {
 		return err
 	}
-	one.command = command
-	if err := ready(ctx, "http://"+one.at(portAdmin)+admin.PathReady); err != nil {
-		return errors.Annotate(err, one.name)
+	daemon.command = command
+	if err := waitUntilReady(ctx, "http://"+daemon.addr(portAdmin)+admin.PathReady); err != nil {
+		return errors.Annotate(err, daemon.name)
 	}
-	one.serving.Store(true)
+	daemon.inBalancer.Store(true)
 	return nil
 }
 
-func ready(ctx context.Context, url string) error {
+func waitUntilReady(ctx context.Context, url string) error {
 	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) && ctx.Err() == nil {
 		response, err := http.Get(url)
@@ -185,52 +186,52 @@
 	return errors.Timeoutf("%s", url)
 }
 
-// restart begins a stream through a daemon, stops it as planned and starts it again.
-func (f *fleet) restart(ctx context.Context, one *process) error {
-	var streaming sync.WaitGroup
-	streaming.Go(func() { f.stream(ctx, one) })
+// restart starts a stream through a daemon, shuts the daemon down with SIGTERM and starts it again.
+func (f *fleet) restart(ctx context.Context, daemon *process) error {
+	var streamDone sync.WaitGroup
+	streamDone.Go(func() { f.stream(ctx, daemon) })
 	time.Sleep(200 * time.Millisecond)
-	if err := one.command.Process.Signal(syscall.SIGTERM); err != nil {
-		return errors.Annotate(err, one.name)
+	if err := daemon.command.Process.Signal(syscall.SIGTERM); err != nil {
+		return errors.Annotate(err, daemon.name)
 	}
-	time.Sleep(balancerLag)
-	one.serving.Store(false)
-	err := one.command.Wait()
-	streaming.Wait()
+	time.Sleep(balancerDelay)
+	daemon.inBalancer.Store(false)
+	err := daemon.command.Wait()
+	streamDone.Wait()
 	if err != nil {
-		return errors.Annotatef(err, "%s did not end cleanly", one.name)
+		return errors.Annotatef(err, "%s did not shut down cleanly", daemon.name)
 	}
-	return f.start(ctx, one)
+	return f.start(ctx, daemon)
 }
 
-// piece is the time between two pieces of a stream.
-const piece = 200 * time.Millisecond
+// streamInterval is the time between two chunks of a stream.
+const streamInterval = 200 * time.Millisecond
 
-func (f *fleet) stream(ctx context.Context, one *process) {
-	url := fmt.Sprintf("http://%s%s?pieces=%d&every=%s", one.at(portCaller), backendstub.PathStream, f.options.StreamDuration/piece, piece)
+func (f *fleet) stream(ctx context.Context, daemon *process) {
+	url := fmt.Sprintf("http://%s%s?pieces=%d&every=%s", daemon.addr(portCaller), backendstub.PathStream, f.options.StreamDuration/streamInterval, streamInterval)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
-	whole := false
+	complete := false
 	if err == nil {
 		var response *http.Response
 		if response, err = http.DefaultClient.Do(request); err == nil {
-			text, readErr := io.ReadAll(response.Body)
+			body, readErr := io.ReadAll(response.Body)
 			response.Body.Close()
-			whole = readErr == nil && strings.HasSuffix(string(text), "end\n")
+			complete = readErr == nil && strings.HasSuffix(string(body), "end\n")
 		}
 	}
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.result.Streams++
-	if !whole {
+	if !complete {
 		f.result.InterruptedStreams++
 	}
 }
 
-// loadSlice is how long the balancer keeps its list of daemons.
-const loadSlice = 200 * time.Millisecond
+// balancerRefreshInterval is how long the balancer keeps its list of daemons.
+const balancerRefreshInterval = 200 * time.Millisecond
 
-// load sends requests to the daemons that the balancer knows as ready.
-func (f *fleet) load(ctx context.Context, stop <-chan struct{}) {
+// sendLoad sends requests to the daemons that the balancer considers ready, until stop is closed.
+func (f *fleet) sendLoad(ctx context.Context, stop <-chan struct{}) {
 	for seed := uint64(1); ; seed++ {
 		select {
 		case <-stop:
@@ -238,13 +239,13 @@
 		default:
 		}
 		var targets []string
-		for _, one := range f.daemons {
-			if one.serving.Load() {
-				targets = append(targets, one.at(portCaller))
+		for _, daemon := range f.daemons {
+			if daemon.inBalancer.Load() {
+				targets = append(targets, daemon.addr(portCaller))
 			}
 		}
 		result := load.Run(ctx, load.Options{
-			Targets: targets, Rate: f.options.Rate, Duration: loadSlice, Seed: seed,
+			Targets: targets, Rate: f.options.Rate, Duration: balancerRefreshInterval, Seed: seed,
 			Kinds: []load.Kind{{Name: "all", Method: http.MethodGet, Path: "/work", Share: 1}},
 		})
 		f.mutex.Lock()
@@ -257,12 +258,12 @@
 	}
 }
 
-// end ends every process that this run started.
-func (f *fleet) end() {
-	for _, one := range f.daemons {
-		if one.command != nil && one.command.Process != nil && one.command.ProcessState == nil {
-			_ = one.command.Process.Kill()
-			_ = one.command.Wait()
+// close kills every process that this run started.
+func (f *fleet) close() {
+	for _, daemon := range f.daemons {
+		if daemon.command != nil && daemon.command.Process != nil && daemon.command.ProcessState == nil {
+			_ = daemon.command.Process.Kill()
+			_ = daemon.command.Wait()
 		}
 	}
 }
