--- a/lab/labcommand/account.go
+++ b/lab/labcommand/account.go
@@ -44,21 +44,21 @@
 }
 
 // loadAccount reads the report and the logs of a day, and attributes its losses to causes.
-func loadAccount(classSpecs []dayreport.ClassSpec, path string, logs []string) (dayreport.Report, account.Account, error) {
+func loadAccount(classSpecs []dayreport.ClassSpec, path string, logs []string) (dayreport.Report, account.Breakdown, error) {
 	report, err := dayreport.Read(path)
 	if err != nil {
-		return dayreport.Report{}, account.Account{}, err
+		return dayreport.Report{}, account.Breakdown{}, err
 	}
-	day := account.Day{Report: report, Sheet: classSpecs, Log: explain.NewLog()}
+	day := account.Day{Report: report, ClassSpecs: classSpecs, Log: explain.NewLog()}
 	for _, log := range logs {
 		if err := readLog(log, &day); err != nil {
-			return dayreport.Report{}, account.Account{}, err
+			return dayreport.Report{}, account.Breakdown{}, err
 		}
 	}
 	if day.Log.LineCount() == 0 {
-		return dayreport.Report{}, account.Account{}, errors.NotFoundf("daemon log lines for report %s", path)
+		return dayreport.Report{}, account.Breakdown{}, errors.NotFoundf("daemon log lines for report %s", path)
 	}
-	return report, account.Of(day), nil
+	return report, account.Compute(day), nil
 }
 
 // readLog adds a log to the day. The day begins at the latest start that the logs give.
@@ -72,29 +72,29 @@
 	if err != nil {
 		return errors.Annotate(err, path)
 	}
-	if startedAt.After(day.Began) {
-		day.Began = startedAt
+	if startedAt.After(day.Start) {
+		day.Start = startedAt
 	}
 	return nil
 }
 
 // print prints what each cause lost, by class of request, and the penalties.
-func (c *accountCommand) print(result account.Account, report dayreport.Report) error {
+func (c *accountCommand) print(result account.Breakdown, report dayreport.Report) error {
 	writer := tabwriter.NewWriter(c.out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	header := "lost\tof all\t"
 	for _, kind := range report.Classes {
 		header += kind.Name + "\t"
 	}
 	fmt.Fprintln(writer, header+" cause")
-	for _, row := range result.Rows {
-		line := fmt.Sprintf("%.4f\t%.0f%%\t", row.Lost, 100*row.Lost/result.Lost)
+	for _, row := range result.Losses {
+		line := fmt.Sprintf("%.4f\t%.0f%%\t", row.Fraction, 100*row.Fraction/result.LostFraction)
 		for _, kind := range report.Classes {
-			line += fmt.Sprintf("%.4f\t", row.ByKind[kind.Name])
+			line += fmt.Sprintf("%.4f\t", row.ByClass[kind.Name])
 		}
 		fmt.Fprintln(writer, line+" "+row.Cause)
 	}
-	for _, row := range result.Prices {
-		fmt.Fprintf(writer, "%.4f\t\t%s %s\n", row.Lost, strings.Repeat("\t", len(report.Classes)), row.Cause)
+	for _, row := range result.Penalties {
+		fmt.Fprintf(writer, "%.4f\t\t%s %s\n", row.Fraction, strings.Repeat("\t", len(report.Classes)), row.Cause)
 	}
 	if err := writer.Flush(); err != nil {
 		return errors.Trace(err)
@@ -102,13 +102,13 @@
 	if c.Seconds {
 		c.printBySecond(result)
 	}
-	_, err := fmt.Fprintf(c.out, "sum %.4f, by the report %.4f; unnamed %.0f%%\n", result.Lost, result.Reported, 100*result.Unnamed())
+	_, err := fmt.Fprintf(c.out, "sum %.4f, by the report %.4f; unnamed %.0f%%\n", result.LostFraction, result.ReportedFraction, 100*result.UnexplainedShare())
 	return errors.Trace(err)
 }
 
 // printBySecond prints what each cause lost in each second.
-func (c *accountCommand) printBySecond(result account.Account) {
-	for _, row := range result.Rows {
+func (c *accountCommand) printBySecond(result account.Breakdown) {
+	for _, row := range result.Losses {
 		seconds := make([]int, 0, len(row.BySecond))
 		for second := range row.BySecond {
 			seconds = append(seconds, second)
@@ -126,17 +126,17 @@
 const maxDrawnCauses = 6
 
 // lossChart returns the chart of the losses by the largest causes over the day.
-func lossChart(result account.Account) chart.Chart {
+func lossChart(result account.Breakdown) chart.Chart {
 	losses := chart.Chart{Title: "Worth lost by cause", XLabel: "second of the day", YLabel: "part of what was owed"}
 	last := 0
-	for _, row := range result.Rows {
+	for _, row := range result.Losses {
 		for second := range row.BySecond {
 			last = max(last, second)
 		}
 	}
-	for _, row := range result.Rows[:min(len(result.Rows), maxDrawnCauses)] {
+	for _, row := range result.Losses[:min(len(result.Losses), maxDrawnCauses)] {
 		for second := 0; second <= last; second += account.WindowSeconds {
-			losses.Add(row.Cause, chart.Point{X: float64(second), Y: row.BySecond[second]})
+			losses.AddPoint(row.Cause, chart.Point{X: float64(second), Y: row.BySecond[second]})
 		}
 	}
 	return losses
@@ -168,14 +168,14 @@
 	writer := tabwriter.NewWriter(c.out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(writer, "mean\tspread\tdiffers\t figure")
 	for _, difference := range differences {
-		fmt.Fprintf(writer, "%+.4f\t%.4f\t%t\t %s\n", difference.Mean, difference.Spread, difference.Differs(), difference.Name)
+		fmt.Fprintf(writer, "%+.4f\t%.4f\t%t\t %s\n", difference.Mean, difference.StandardError, difference.Significant(), difference.Name)
 	}
 	fmt.Fprintf(writer, "\t\t\t over %d days\n", len(before))
 	return errors.Trace(writer.Flush())
 }
 
 // loadRuns reads the reports of one side of the comparison, and their logs if given.
-func (c *compareCommand) loadRuns(reports, logs []string) ([]account.Played, error) {
+func (c *compareCommand) loadRuns(reports, logs []string) ([]account.DayResult, error) {
 	if len(logs) > 0 && (c.Site == "" || len(logs) != len(reports)) {
 		return nil, errors.NotValidf("%d logs for %d reports, --site %q (causes need --site and one log for each report)", len(logs), len(reports), c.Site)
 	}
@@ -186,21 +186,21 @@
 			return nil, err
 		}
 	}
-	runs := make([]account.Played, 0, len(reports))
+	runs := make([]account.DayResult, 0, len(reports))
 	for index, path := range reports {
 		if len(logs) == 0 {
 			report, err := dayreport.Read(path)
 			if err != nil {
 				return nil, err
 			}
-			runs = append(runs, account.Played{Report: report})
+			runs = append(runs, account.DayResult{Report: report})
 			continue
 		}
 		report, result, err := loadAccount(classSpecs, path, logs[index:index+1])
 		if err != nil {
 			return nil, err
 		}
-		runs = append(runs, account.Played{Report: report, Causes: result.Rows})
+		runs = append(runs, account.DayResult{Report: report, Losses: result.Losses})
 	}
 	return runs, nil
 }
--- a/lab/labcommand/agree.go
+++ b/lab/labcommand/agree.go
@@ -53,16 +53,16 @@
 func (c *agreeCommand) simulate(name string) float64 {
 	var p99 []float64
 	for seed := range uint64(3) {
-		system, err := experiment.Find(name)
+		system, err := experiment.FindSystem(name)
 		if err != nil {
 			panic(err) // the names are constants of this program
 		}
 		result := simulation.Run(simulation.Scenario{
 			Zones: 1, Daemons: agreeDaemons, Workers: agreeBackends, Slots: 3, Work: agreeWork, Noise: neighbourNoise,
-			WireNear: loopbackLatency, WireFar: loopbackLatency, HopCost: 100 * time.Microsecond,
+			SameZoneDelay: loopbackLatency, CrossZoneDelay: loopbackLatency, HopCost: 100 * time.Microsecond,
 			Load: c.Load, Duration: 30 * time.Second, WarmUp: 2 * time.Second, Seed: seed + 1,
 		}, system)
-		p99 = append(p99, float64(result.P(99))/float64(time.Millisecond))
+		p99 = append(p99, float64(result.Quantile(99))/float64(time.Millisecond))
 	}
 	sort.Float64s(p99)
 	return p99[1]
@@ -75,7 +75,7 @@
 	for _, independent := range []bool{true, false} {
 		started, err := site.Start(ctx, site.Options{
 			Zones: []string{"zone-a"}, Daemons: agreeDaemons,
-			Services: []site.Service{{Declared: config.Service{Name: "price-query", Direct: independent}, Backends: agreeBackends, Backend: noisyBackend(agreeWork)}},
+			Services: []site.Service{{Config: config.Service{Name: "price-query", Direct: independent}, Backends: agreeBackends, Backend: noisyBackend(agreeWork)}},
 		})
 		if err != nil {
 			return 0, 0, err
@@ -83,13 +83,13 @@
 		defer started.Close()
 		sites = append(sites, started)
 	}
-	capacity := float64(agreeBackends*3) / agreeWork.Seconds() * neighbourNoise.Share()
+	capacity := float64(agreeBackends*3) / agreeWork.Seconds() * neighbourNoise.MeanSpeed()
 	p99 := make([][]float64, len(sites))
 	for slice := range c.Slices {
 		for index, started := range sites {
 			result := load.Run(ctx, load.Options{
 				Targets: started.Targets(), Rate: capacity * c.Load, Duration: c.Duration, Seed: uint64(slice) + 1,
-				Kinds: []load.Kind{{Name: "read", Method: http.MethodGet, Path: "/", Share: 1}},
+				Kinds: []load.RequestKind{{Name: "read", Method: http.MethodGet, Path: "/", Share: 1}},
 			})
 			p99[index] = append(p99[index], float64(result.Quantile(99))/float64(time.Millisecond))
 		}
--- a/lab/labcommand/labcommand.go
+++ b/lab/labcommand/labcommand.go
@@ -100,7 +100,7 @@
 
 // Execute implements flags.Commander.
 func (c *dataPathCommand) Execute([]string) error {
-	rows, err := datapath.Run(context.Background(), datapath.Options{Duration: c.Duration, Slices: c.Slices}, c.out)
+	rows, err := datapath.Run(context.Background(), datapath.Options{SliceDuration: c.Duration, Slices: c.Slices}, c.out)
 	if err != nil {
 		return err
 	}
--- a/lab/labcommand/site.go
+++ b/lab/labcommand/site.go
@@ -18,7 +18,7 @@
 // noisyBackend returns the options of a back end with a noisy neighbour, which slows it threefold for a
 // tenth of the time.
 func noisyBackend(work time.Duration) backendstub.Options {
-	return backendstub.Options{Slots: slotsPerBackend, Work: work, Probe: probeCost, Seed: 7, Slowdown: 3, Noisy: 50 * time.Millisecond, Quiet: 450 * time.Millisecond}
+	return backendstub.Options{Slots: slotsPerBackend, MeanServiceTime: work, ProbeTime: probeCost, Seed: 7, Slowdown: 3, MeanNoisyPeriod: 50 * time.Millisecond, MeanQuietPeriod: 450 * time.Millisecond}
 }
 
 // Slots of a back end at Kingston, slot time of one load probe there, and the probe budget.
@@ -50,17 +50,17 @@
 func (d deployment) services() []site.Service {
 	return []site.Service{
 		{
-			Declared: withLoadProbes(config.Service{Name: d.reads, PathPrefix: "/" + d.reads, Policy: "reads"}),
+			Config:   withLoadProbes(config.Service{Name: d.reads, PathPrefix: "/" + d.reads, Policy: "reads"}),
 			Policy:   config.Policy{Name: "reads", Source: policy.Source{Class: `"read"`, Weight: "100", Retry: "true", Deadline: `duration("2s")`}},
 			Backends: d.readBackends, Backend: noisyBackend(5 * time.Millisecond),
 		},
 		{
-			Declared: withLoadProbes(config.Service{Name: d.changes, PathPrefix: "/" + d.changes, Policy: "changes", RefusalStatus: http.StatusServiceUnavailable}),
+			Config:   withLoadProbes(config.Service{Name: d.changes, PathPrefix: "/" + d.changes, Policy: "changes", RefusalStatus: http.StatusServiceUnavailable}),
 			Policy:   config.Policy{Name: "changes", Source: policy.Source{Class: `"change"`, Weight: "200", Once: "true", Deadline: `duration("5s")`}},
 			Backends: d.changeBackends, Backend: noisyBackend(10 * time.Millisecond),
 		},
 		{
-			Declared: withLoadProbes(config.Service{Name: d.archives, PathPrefix: "/" + d.archives, Policy: "batch"}),
+			Config:   withLoadProbes(config.Service{Name: d.archives, PathPrefix: "/" + d.archives, Policy: "batch"}),
 			Policy:   config.Policy{Name: "batch", Source: policy.Source{Class: `"batch"`, Weight: "1", Retry: "true", Wait: `duration("30s")`, Deadline: `duration("60s")`}},
 			Backends: d.archiveBackends, Backend: noisyBackend(40 * time.Millisecond),
 		},
@@ -68,10 +68,10 @@
 }
 
 // requestKinds returns the mix of requests.
-func (d deployment) requestKinds() []load.Kind {
-	return []load.Kind{
+func (d deployment) requestKinds() []load.RequestKind {
+	return []load.RequestKind{
 		{Name: d.reads, Method: http.MethodGet, Path: "/" + d.reads, Share: 0.88},
-		{Name: d.changes, Method: http.MethodPost, Path: "/" + d.changes, Share: 0.05, Once: true},
+		{Name: d.changes, Method: http.MethodPost, Path: "/" + d.changes, Share: 0.05, WithIdempotencyKey: true},
 		{Name: d.archives, Method: http.MethodGet, Path: "/" + d.archives, Share: 0.07},
 	}
 }
@@ -90,9 +90,9 @@
 	defer cancel()
 	selected := deployments[c.Site]
 	fmt.Fprintf(c.out, "starting: platform, 3 zones, 4 daemons, %d back ends\n", selected.readBackends+selected.changeBackends+selected.archiveBackends)
-	options := site.Options{Zones: []string{"zone-a", "zone-b", "zone-c"}, Daemons: 4, Services: selected.services(), Notice: 500 * time.Millisecond}
+	options := site.Options{Zones: []string{"zone-a", "zone-b", "zone-c"}, Daemons: 4, Services: selected.services(), StopNotice: 500 * time.Millisecond}
 	if c.Verbose {
-		options.LogTo, options.LogLevel, options.Decisions = c.out, "info", true
+		options.LogOutput, options.LogLevel, options.Decisions = c.out, "info", true
 	}
 	running, err := site.Start(ctx, options)
 	if err != nil {
@@ -127,11 +127,11 @@
 	}
 	fmt.Fprintln(c.out, "decisions (requests run at each back end):")
 	for _, backend := range running.Backends {
-		fmt.Fprintf(c.out, "  %-16s %s %d\n", backend.ID, backend.Zone, backend.Stub.Total())
+		fmt.Fprintf(c.out, "  %-16s %s %d\n", backend.ID, backend.Zone, backend.Stub.TotalRuns())
 	}
 	probes := 0
 	for _, backend := range running.Backends {
-		probes += len(backend.Stub.Probes())
+		probes += len(backend.Stub.ProbeTimes())
 	}
 	slotSeconds := result.Elapsed.Seconds() * float64(len(running.Backends)*slotsPerBackend)
 	fmt.Fprintf(c.out, "probes: %d, %.3f%% of slot time\n", probes, 100*float64(probes)*probeCost.Seconds()/slotSeconds)
@@ -146,7 +146,7 @@
 		fmt.Fprintln(c.out, line)
 	}
 	duplicates := 0
-	for _, count := range running.Keys() {
+	for _, count := range running.RunsByKey() {
 		if count > 1 {
 			duplicates++
 		}
--- a/lab/rolling/rolling.go
+++ b/lab/rolling/rolling.go
@@ -83,7 +83,7 @@
 func Run(ctx context.Context, options Options, progress io.Writer) (Result, error) {
 	running, err := site.Start(ctx, site.Options{
 		Zones:    []string{"zone-a", "zone-b", "zone-c"},
-		Services: []site.Service{{Declared: config.Service{Name: "work", Slots: 32}, Backends: 6, Backend: backendstub.Options{Slots: 32, Work: 5 * time.Millisecond}}},
+		Services: []site.Service{{Config: config.Service{Name: "work", Slots: 32}, Backends: 6, Backend: backendstub.Options{Slots: 32, MeanServiceTime: 5 * time.Millisecond}}},
 	})
 	if err != nil {
 		return Result{}, err
@@ -246,7 +246,7 @@
 		}
 		result := load.Run(ctx, load.Options{
 			Targets: targets, Rate: f.options.Rate, Duration: balancerRefreshInterval, Seed: seed,
-			Kinds: []load.Kind{{Name: "all", Method: http.MethodGet, Path: "/work", Share: 1}},
+			Kinds: []load.RequestKind{{Name: "all", Method: http.MethodGet, Path: "/work", Share: 1}},
 		})
 		f.mutex.Lock()
 		f.result.SentRequests += int64(result.Sent)
--- a/lab/soak/older.go
+++ b/lab/soak/older.go
@@ -17,15 +17,15 @@
 // rollBackStore makes the store unavailable for the given time and restores it from a backup of
 // snapshotAge. The lost entries are written again after rewriteDelay.
 func (f *fleet) rollBackStore(outage time.Duration) {
-	snapshot := f.store.Copy()
+	snapshot := f.store.Snapshot()
 	time.Sleep(snapshotAge)
 	defer f.report.beginFault()()
 	f.store.SetFaults(objectstub.Faults{Down: true})
 	time.Sleep(outage)
-	lost := f.store.ComeBackOlder(snapshot)
+	lost := f.store.RollBack(snapshot)
 	f.store.SetFaults(objectstub.Faults{})
 	time.Sleep(rewriteDelay)
 	for _, kind := range []string{"config", "evacuations", "servers"} {
-		f.store.WriteAgain(lost, kind)
+		f.store.RewriteLost(lost, kind)
 	}
 }
