--- a/backend/backend.go
+++ b/backend/backend.go
@@ -1,10 +1,10 @@
 // Package backend sends requests to one server, a back end or another daemon,
-// and says truly what became of each.
+// and reports the outcome of each.
 //
-// It wraps net/http's client with what the load balancer must promise: nothing
-// is ever resent by the transport itself; a failure says whether any byte of
-// the request left; an answer that was in the connection before the request was
-// sent, or whose end cannot be verified, is refused instead of passed on.
+// It wraps net/http's client with the guarantees that the load balancer needs:
+// the transport never resends a request; a failure says whether any byte of the
+// request may have been sent; a response that arrived before the request was
+// sent, or whose end cannot be verified, is rejected instead of forwarded.
 package backend
 
 import (
@@ -24,22 +24,22 @@
 	"github.com/tuliphall/tuliphall/resultcode"
 )
 
-// Options are a client's settings.
+// Options configures a Client.
 type Options struct {
 	Network        network.Network // nil: TCP
 	Address        string          // IP:port
-	MaxConnections int             // most connections at once; 0: no bound
+	MaxConnections int             // 0: unlimited
 	ConnectTimeout time.Duration   // 0: 1 s
-	// IdleTimeout closes unused connections. It stays below what servers
-	// commonly use, so that the server is seldom first. 0: 30 s.
+	// IdleTimeout is how long an unused connection is kept. It should be shorter
+	// than the servers' own timeout, so that the server rarely closes first. 0: 30 s.
 	IdleTimeout time.Duration
 	// NoReuse opens a connection for each request.
 	NoReuse bool
-	// AllowUnframed passes on answers that only the end of the connection
-	// delimits.
+	// AllowUnframed accepts responses that are delimited only by the end of the
+	// connection.
 	AllowUnframed bool
-	// EchoHeader is a header of which each answer must carry the request's value;
-	// empty: none.
+	// EchoHeader is a header whose value in the request must be repeated in each
+	// response; empty: none.
 	EchoHeader string
 }
 
@@ -58,7 +58,7 @@
 
 // NewClient returns a client for one server. It opens no connection.
 func NewClient(options Options) *Client {
-	options.provision()
+	options.setDefaults()
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
 	return &Client{options: options, transport: &http.Transport{
@@ -74,14 +74,13 @@
 	}}
 }
 
-// HasOptions says whether the client was made with these options.
+// HasOptions reports whether the client was created with these options.
 func (c *Client) HasOptions(options Options) bool {
-	options.provision()
+	options.setDefaults()
 	return c.options == options
 }
 
-// provision fills in the defaults.
-func (options *Options) provision() {
+func (options *Options) setDefaults() {
 	if options.Network == nil {
 		options.Network = network.TCP{}
 	}
@@ -98,14 +97,14 @@
 	c.transport.CloseIdleConnections()
 }
 
-// Failure is a request that got no answer that may be passed on. Its code says
-// whether the request may have run.
+// Failure is the error of a request without a response that can be forwarded.
+// Its code says whether the request may have run.
 type Failure struct {
 	Code  resultcode.Code
 	Cause error
 }
 
-// Error names the code and the cause.
+// Error returns the code and the cause.
 func (f *Failure) Error() string {
 	return f.Code.String() + ": " + f.Cause.Error()
 }
@@ -115,84 +114,84 @@
 	return f.Cause
 }
 
-// onceBody is a request body that the transport cannot rewind, so that it never
-// resends a request. It also keeps the caller's body from being closed twice.
-type onceBody struct {
-	reader io.Reader
-	failed atomic.Bool // the caller's body could not be read
+// singleUseBody is a request body that the transport cannot rewind, so that it never
+// resends a request. It also prevents the caller's body from being closed twice.
+type singleUseBody struct {
+	reader     io.Reader
+	readFailed atomic.Bool // the caller's body could not be read
 }
 
 // Read implements io.Reader.
-func (b *onceBody) Read(data []byte) (int, error) {
+func (b *singleUseBody) Read(data []byte) (int, error) {
 	n, err := b.reader.Read(data)
 	if err != nil && err != io.EOF {
-		b.failed.Store(true)
+		b.readFailed.Store(true)
 	}
 	return n, err
 }
 
 // Close implements io.Closer; the server closes the caller's body.
-func (*onceBody) Close() error {
+func (*singleUseBody) Close() error {
 	return nil
 }
 
-// eof is the body of a request without one.
-type eof struct{}
+// emptyBody replaces a missing request body.
+type emptyBody struct{}
 
 // Read implements io.Reader.
-func (eof) Read([]byte) (int, error) {
+func (emptyBody) Read([]byte) (int, error) {
 	return 0, io.EOF
 }
 
-// exchange follows one request over the connection it got.
+// exchange tracks one request on the connection that the transport chose for it.
 type exchange struct {
-	mutex      sync.Mutex
-	conn       *countedConn
-	writesThen int64
-	readsThen  int64
+	mutex        sync.Mutex
+	conn         *trackedConn
+	writesBefore int64
+	readsBefore  int64
 }
 
 func (e *exchange) gotConn(info httptrace.GotConnInfo) {
-	conn, ok := info.Conn.(*countedConn)
+	conn, ok := info.Conn.(*trackedConn)
 	if !ok {
 		return
 	}
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.conn = conn
-	conn.expectAnswer()
-	e.writesThen = conn.begunWrites()
-	e.readsThen = conn.reads.Load()
+	conn.startRecording()
+	e.writesBefore = conn.writesStarted()
+	e.readsBefore = conn.reads.Load()
 }
 
-// sent says whether any byte of the request may have left. When it says no,
-// none will leave later either.
-func (e *exchange) sent() bool {
+// maySent reports whether any byte of the request may have been sent. If it
+// returns false, no byte will be sent later either.
+func (e *exchange) maySent() bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.conn != nil && !e.conn.seal(e.writesThen)
+	return e.conn != nil && !e.conn.seal(e.writesBefore)
 }
 
-// fresh says whether anything was read since the request got the connection. An
-// answer without a fresh read was there before the request was sent: it belongs
-// to nobody.
-func (e *exchange) fresh() bool {
+// receivedAfterSend reports whether anything was read since the request got the
+// connection. A response without such a read was received before the request was
+// sent and belongs to no request.
+func (e *exchange) receivedAfterSend() bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.conn == nil || e.conn.reads.Load() != e.readsThen
+	return e.conn == nil || e.conn.reads.Load() != e.readsBefore
 }
 
-// unambiguous says why the answer could be read in two ways; nil: it can not.
-func (e *exchange) unambiguous() error {
+// checkHead returns an error if the framing of the response is ambiguous.
+func (e *exchange) checkHead() error {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if e.conn == nil {
 		return nil
 	}
-	return e.conn.checkAnswer()
+	return e.conn.checkResponseHead()
 }
 
-// close ends the connection, so that nothing more is read from it.
+// close closes the connection, so that nothing more is read from it.
 func (e *exchange) close() {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -201,10 +200,11 @@
 	}
 }
 
-// Do sends the request and returns the answer, whose body the caller reads and
-// closes; a short one is whole. request.URL needs path and query only. It blocks until
-// the answer's header is there, or all of a short answer, or ctx ends; a deadline is
-// told by the cause of ctx being context.DeadlineExceeded. The error is a *Failure.
+// Do sends the request and returns the response. The caller reads and closes its
+// body; a short one is already complete. request.URL needs path and query only. It
+// blocks until the response header, or all of a short response, has arrived, or ctx
+// ends; the deadline has passed if the cause of ctx is context.DeadlineExceeded. The
+// error is a *Failure.
 func (c *Client) Do(ctx context.Context, request *http.Request) (*http.Response, error) {
 	exchange := &exchange{}
 	trace := &httptrace.ClientTrace{GotConn: exchange.gotConn}
@@ -213,7 +213,7 @@
 	request.URL.Host = c.options.Address
 	request.RequestURI = ""
 	request.GetBody = nil
-	body := &onceBody{reader: eof{}}
+	body := &singleUseBody{reader: emptyBody{}}
 	if request.Body == nil || request.Body == http.NoBody {
 		request.ContentLength = 0
 	} else {
@@ -224,45 +224,45 @@
 	if err != nil {
 		return nil, c.failure(ctx, exchange, body, err)
 	}
-	if err := c.verify(exchange, response); err != nil {
+	if err := c.verifyResponse(exchange, response); err != nil {
 		exchange.close()
 		response.Body.Close()
 		return nil, &Failure{Code: resultcode.AnswerUnverifiable, Cause: err}
 	}
-	if err := readShort(response); err != nil {
+	if err := bufferShortBody(response); err != nil {
 		exchange.close()
 		return nil, c.failure(ctx, exchange, body, err)
 	}
 	return response, nil
 }
 
-// shortAnswer is up to which length an answer is read whole before it is returned: it is
-// as much as is copied at once. One that is cut short is a failure then that may be sent
-// again; of a longer one the caller has got a part already.
-const shortAnswer = 32 << 10
+// maxBufferedBody is the longest response body in bytes that is read completely before the
+// response is returned; it equals the size of a copy buffer. If such a body is truncated,
+// the request fails and may be retried; part of a longer one has already reached the caller.
+const maxBufferedBody = 32 << 10
 
-// readShort reads the body of a short answer into memory and closes it.
-func readShort(response *http.Response) error {
-	if response.ContentLength <= 0 || response.ContentLength > shortAnswer || !bodyAllowed(response) {
+// bufferShortBody reads the body of a short response into memory and closes it.
+func bufferShortBody(response *http.Response) error {
+	if response.ContentLength <= 0 || response.ContentLength > maxBufferedBody || !bodyAllowed(response) {
 		return nil
 	}
-	whole := make([]byte, response.ContentLength)
-	_, err := io.ReadFull(response.Body, whole)
+	body := make([]byte, response.ContentLength)
+	_, err := io.ReadFull(response.Body, body)
 	response.Body.Close()
-	response.Body = io.NopCloser(bytes.NewReader(whole))
+	response.Body = io.NopCloser(bytes.NewReader(body))
 	return err
 }
 
-func (c *Client) failure(ctx context.Context, exchange *exchange, body *onceBody, err error) *Failure {
-	sent := exchange.sent()
+func (c *Client) failure(ctx context.Context, exchange *exchange, body *singleUseBody, err error) *Failure {
+	sent := exchange.maySent()
 	var code resultcode.Code
-	late := context.Cause(ctx) == context.DeadlineExceeded
+	deadlineExceeded := context.Cause(ctx) == context.DeadlineExceeded
 	switch {
-	case late && sent:
+	case deadlineExceeded && sent:
 		code = resultcode.DeadlineExceeded
-	case late:
+	case deadlineExceeded:
 		code = resultcode.WaitExpired
-	case body.failed.Load():
+	case body.readFailed.Load():
 		code = resultcode.CallerGoneAfterSend
 	case ctx.Err() != nil && sent:
 		code = resultcode.CallerGoneAfterSend
@@ -276,17 +276,18 @@
 	return &Failure{Code: code, Cause: err}
 }
 
-// verify refuses an answer that was there too early or whose end could not be
-// told from a broken connection.
-func (c *Client) verify(exchange *exchange, response *http.Response) error {
-	if !exchange.fresh() {
-		return errors.New("bytes of the answer came before the request was sent")
+// verifyResponse returns an error for a response that arrived before its request was
+// sent, belongs to another request, or whose end cannot be distinguished from a broken
+// connection.
+func (c *Client) verifyResponse(exchange *exchange, response *http.Response) error {
+	if !exchange.receivedAfterSend() {
+		return errors.New("response received before the request was sent")
 	}
-	if err := exchange.unambiguous(); err != nil {
+	if err := exchange.checkHead(); err != nil {
 		return err
 	}
 	if c.options.EchoHeader != "" && response.Header.Get(c.options.EchoHeader) != response.Request.Header.Get(c.options.EchoHeader) {
-		return errors.Errorf("the answer belongs to request %q", response.Header.Get(c.options.EchoHeader))
+		return errors.Errorf("response belongs to request %q", response.Header.Get(c.options.EchoHeader))
 	}
 	if response.ContentLength >= 0 || c.options.AllowUnframed || response.StatusCode == http.StatusSwitchingProtocols {
 		return nil
@@ -297,7 +298,7 @@
 	if !bodyAllowed(response) {
 		return nil
 	}
-	return errors.New("the answer has neither a length nor chunks, so its end cannot be verified")
+	return errors.New("response has neither Content-Length nor chunked encoding, so its end cannot be verified")
 }
 
 func bodyAllowed(response *http.Response) bool {
@@ -307,13 +308,13 @@
 	return response.StatusCode != http.StatusNoContent && response.StatusCode != http.StatusNotModified && response.StatusCode >= http.StatusOK
 }
 
-// hopHeaders are the headers that belong to one connection (RFC 9110, 7.6.1).
+// hopHeaders are the hop-by-hop headers (RFC 9110, 7.6.1).
 var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
-// CopyHeader copies the end-to-end headers from source to target. The values are
-// shared: they may be replaced on either side, but not changed in place.
+// CopyHeader copies the end-to-end headers from source to target. The slices of values
+// are shared: they may be replaced on either side, but not modified.
 func CopyHeader(target, source http.Header) {
 	for name, values := range source {
 		target[name] = values[:len(values):len(values)]
--- a/backend/conn.go
+++ b/backend/conn.go
@@ -13,26 +13,26 @@
 	"github.com/tuliphall/tuliphall/network"
 )
 
-// errSealed is returned by writes to a connection that was given up on before
-// anything was written.
-const errSealed = errors.ConstError("connection given up on")
+// errSealed is returned by writes to a connection that was abandoned before
+// anything of the request was written.
+const errSealed = errors.ConstError("connection abandoned")
 
-// countedConn counts what passes over a connection, so that a failure can be
-// told apart by whether any byte of the request left.
-type countedConn struct {
+// trackedConn counts reads and writes, to determine after a failure whether any
+// byte of the request may have been sent.
+type trackedConn struct {
 	net.Conn
-	reads atomic.Int64 // reads that brought at least one byte
+	reads atomic.Int64 // reads that returned at least one byte
 
-	mutex  sync.Mutex
-	writes int64 // writes begun
-	sealed bool
-	answer []byte // what was read of the head of the present answer
-	keeps  bool   // the head has not been read whole
+	mutex        sync.Mutex
+	writes       int64  // started
+	sealed       bool   // no further write is allowed
+	responseHead []byte // the part read so far of the current response's head
+	recording    bool   // the head is not complete
 }
 
-// Write implements net.Conn. A write counts from its beginning, since a failed
-// one may have sent a part.
-func (c *countedConn) Write(data []byte) (int, error) {
+// Write implements net.Conn. A write counts when it starts, as a failed one may
+// have sent some bytes.
+func (c *trackedConn) Write(data []byte) (int, error) {
 	c.mutex.Lock()
 	if c.sealed {
 		c.mutex.Unlock()
@@ -44,75 +44,75 @@
 }
 
 // Read implements net.Conn.
-func (c *countedConn) Read(data []byte) (int, error) {
+func (c *trackedConn) Read(data []byte) (int, error) {
 	n, err := c.Conn.Read(data)
 	if n > 0 {
 		c.reads.Add(1)
-		c.keep(data[:n])
+		c.recordHead(data[:n])
 	}
 	return n, err
 }
 
-// maxAnswerHead is how much is kept of an answer: more than a head has in practice, and
-// less than net/http takes for one.
-const maxAnswerHead = 16 << 10
+// maxResponseHead bounds the recorded bytes of a response head: more than heads have in
+// practice, and less than net/http accepts.
+const maxResponseHead = 16 << 10
 
-// keep takes in what was read, while the head of an answer is due.
-func (c *countedConn) keep(read []byte) {
+// recordHead records bytes that were read until the response head is complete.
+func (c *trackedConn) recordHead(read []byte) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if !c.keeps {
+	if !c.recording {
 		return
 	}
-	c.answer = append(c.answer, read[:min(len(read), maxAnswerHead-len(c.answer))]...)
-	if length, whole := framing.HeadLength(c.answer); whole {
-		c.answer, c.keeps = c.answer[:length], false
+	c.responseHead = append(c.responseHead, read[:min(len(read), maxResponseHead-len(c.responseHead))]...)
+	if length, complete := framing.HeadLength(c.responseHead); complete {
+		c.responseHead, c.recording = c.responseHead[:length], false
 	}
 }
 
-// expectAnswer keeps what is read from now on.
-func (c *countedConn) expectAnswer() {
+// startRecording starts to record the head of the next response.
+func (c *trackedConn) startRecording() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.answer, c.keeps = c.answer[:0], true
+	c.responseHead, c.recording = c.responseHead[:0], true
 }
 
-// checkAnswer says why the answer whose head has been read must not be passed on; nil: it
-// may be. Nothing is kept any more.
-func (c *countedConn) checkAnswer() error {
+// checkResponseHead stops recording and returns an error if the response must not be
+// forwarded.
+func (c *trackedConn) checkResponseHead() error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.keeps = false
-	return framing.CheckAnswer(c.answer)
+	c.recording = false
+	return framing.CheckAnswer(c.responseHead)
 }
 
-func (c *countedConn) begunWrites() int64 {
+func (c *trackedConn) writesStarted() int64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.writes
 }
 
-// seal says whether no write has begun since the count was then, and if so lets
-// none begin any more. Only thereby is "not sent" true for good: the transport
-// writes in a goroutine of its own.
-func (c *countedConn) seal(then int64) bool {
+// seal reports whether no write has started since writesStarted returned
+// writesBefore. If so, it rejects all later writes: the transport writes in its own
+// goroutine and could otherwise still send the request.
+func (c *trackedConn) seal(writesBefore int64) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.writes != then {
+	if c.writes != writesBefore {
 		return false
 	}
 	c.sealed = true
 	return true
 }
 
-func dialer(over network.Network, timeout time.Duration) func(ctx context.Context, network, address string) (net.Conn, error) {
+func dialer(base network.Network, timeout time.Duration) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, _, address string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
-		conn, err := over.Dial(ctx, address)
+		conn, err := base.Dial(ctx, address)
 		if err != nil {
 			return nil, err
 		}
-		return &countedConn{Conn: conn}, nil
+		return &trackedConn{Conn: conn}, nil
 	}
 }
--- a/backend/dialect.go
+++ b/backend/dialect.go
@@ -1,50 +1,51 @@
 package backend
 
-// Dialect is how callers and back ends spell what travels with a request, and
-// what may be expected of them.
+// Dialect defines the headers that callers and back ends use, and which behavior
+// can be expected of them.
 type Dialect struct {
 	// RequestID is the header that identifies a request.
 	RequestID string
-	// Deadline is the header that holds the milliseconds that remain.
+	// Deadline is the header that holds the remaining time in milliseconds.
 	Deadline string
-	// Instance is the header that names the back end a request is meant for;
-	// any other one refuses it with 421. Empty: it is not sent.
+	// Instance is the header that names the intended back end of a request;
+	// any other one rejects it with status 421. Empty: it is not sent.
 	Instance string
-	// ProbedInstance is the header of a health answer that names the back end which gives it.
-	// Empty: none does.
+	// ProbedInstance is the header of a health check response that names the responding
+	// back end. Empty: none.
 	ProbedInstance string
-	// Tenant is the header that names the tenant whose key a request carries. What a caller
-	// sends under this name is not passed on. Empty: it is not sent.
+	// Tenant is the header that names the tenant whose key a request carries. A value that
+	// a caller sends is not forwarded. Empty: it is not sent.
 	Tenant string
-	// NotRun is the header by which a back end says that it did not run a
-	// request. Empty: a service's refusal status says so.
+	// NotRun is the response header that says that the back end did not run the
+	// request. Empty: the refusal status of the service says so.
 	NotRun string
-	// Report is the header that carries a back end's load on its answers.
+	// Report is the response header that carries the load of the back end.
 	Report string
-	// ParseReport reads that header. It returns false when the value has no
-	// usable count.
+	// ParseReport parses that header. It returns false if the value has no
+	// usable number of requests in flight.
 	ParseReport func(value string) (Report, bool)
-	// RequestLimit is the header of an answer that holds how many requests a second the back end
-	// takes from all daemons together; see package backendlimit. Empty: none does.
+	// RequestLimit is the response header that holds how many requests per second the back end
+	// accepts from all daemons together; see package backendlimit. Empty: none.
 	RequestLimit string
-	// Draining is the header of an answer by which a back end says that it is leaving, or is back.
+	// Draining is the response header that says that the back end started or stopped draining.
 	Draining string
-	// ParseDraining reads the values of that header. The error says why none of them could be read.
+	// ParseDraining parses the values of that header. It returns an error if none is valid.
 	ParseDraining func(values []string) (Draining, error)
-	// WarmUpLeft is the header of a health answer that holds for how many milliseconds the
-	// back end remains cold. Empty: none does.
+	// WarmUpLeft is the header of a health check response that holds the remaining warm-up
+	// time of the back end in milliseconds. Empty: none.
 	WarmUpLeft string
-	// SelfPrefix begins the headers of answers by which a back end speaks of itself. Those that are
-	// neither read nor among PassedOn are told to operators. Empty: none are looked for.
+	// SelfPrefix is the prefix of the response headers by which a back end describes its own
+	// state. Those that are neither read nor in CallerOnlyHeaders are logged. Empty: headers are
+	// not checked.
 	SelfPrefix string
-	// CallerOnlyHeaders are headers with that prefix that are for callers only.
+	// CallerOnlyHeaders are headers with that prefix that are meant for callers only.
 	CallerOnlyHeaders []string
-	// EchoesRequestID: every answer carries the id of its request. An answer
-	// without it, or with another one, is refused.
+	// EchoesRequestID: every response carries the id of its request. A response
+	// without it, or with another one, is rejected.
 	EchoesRequestID bool
-	// Transparent: nothing is added to a request besides the headers above.
+	// Transparent: no header is added to a request except those above.
 	Transparent bool
-	// FractionalRetryAfter: callers understand fractions of a second there.
+	// FractionalRetryAfter: callers understand fractions of a second in Retry-After.
 	FractionalRetryAfter bool
 }
 
@@ -53,11 +54,11 @@
 	HeaderRequestID = "X-Request-Id"
 	HeaderDeadline  = "Tuliphall-Deadline-Ms"
 	HeaderTenant    = "Tuliphall-Tenant"
-	// headerSelfPrefix begins what back ends say of themselves.
+	// headerSelfPrefix is the prefix of headers by which back ends describe their state.
 	headerSelfPrefix = "Endpoint-"
 )
 
-// DefaultDialect is the project's own.
+// DefaultDialect returns the project's own dialect.
 func DefaultDialect() Dialect {
 	return Dialect{
 		RequestID: HeaderRequestID, Deadline: HeaderDeadline, Tenant: HeaderTenant, Report: HeaderReport, ParseReport: ParseReport,
--- a/backend/draining.go
+++ b/backend/draining.go
@@ -2,36 +2,35 @@
 
 import "github.com/juju/errors"
 
-// Draining is what an answer of a back end says of whether it is leaving.
+// Draining says whether a back end is draining, according to one response.
 type Draining int
 
-// What it may say.
 const (
-	// DrainingUnspecified: nothing.
+	// DrainingUnspecified: the response does not say.
 	DrainingUnspecified Draining = iota
-	// DrainingTrue: it is.
+	// DrainingTrue: the back end is draining.
 	DrainingTrue
-	// DrainingFalse: it is not, or not any more.
+	// DrainingFalse: the back end is not draining, or no longer.
 	DrainingFalse
 )
 
-// ParseDraining reads the values of HeaderDraining: "true" or "false". Of several the first true one counts.
-// The error says why none of them could be read.
+// ParseDraining parses the values of HeaderDraining: "true" or "false". "true" takes precedence if there
+// are several. It returns an error if there are values and none is valid.
 func ParseDraining(values []string) (Draining, error) {
-	said := DrainingUnspecified
-	var unread error
+	draining := DrainingUnspecified
+	var invalid error
 	for _, value := range values {
 		switch value {
 		case "true":
 			return DrainingTrue, nil
 		case "false":
-			said = DrainingFalse
+			draining = DrainingFalse
 		default:
-			unread = errors.NotValidf("header %s: value %q: allowed: true or false; it", HeaderDraining, value)
+			invalid = errors.NotValidf("header %s: value %q: allowed: true or false; it", HeaderDraining, value)
 		}
 	}
-	if said != DrainingUnspecified {
-		return said, nil
+	if draining != DrainingUnspecified {
+		return draining, nil
 	}
-	return DrainingUnspecified, unread
+	return DrainingUnspecified, invalid
 }
--- a/backend/key.go
+++ b/backend/key.go
@@ -1,6 +1,6 @@
 package backend
 
-// Key names a back end of a service.
+// Key identifies a back end of a service.
 type Key struct {
 	Service string
 	Backend string
--- a/backend/liveness.go
+++ b/backend/liveness.go
@@ -7,25 +7,25 @@
 	"github.com/juju/errors"
 )
 
-// Liveness is what an attempt to connect tells of the process at an address.
+// Liveness is the state of the process at an address, according to a connection attempt.
 type Liveness string
 
 const (
-	// Alive: it accepts connections.
+	// Alive: the process accepts connections.
 	Alive Liveness = "alive"
-	// Exited: its machine answers that nothing listens there.
+	// Exited: the machine refuses the connection, as no process listens on the port.
 	Exited Liveness = "ended"
-	// Unreachable: nothing was heard. The machine may be dark, or the way to it cut.
+	// Unreachable: there was no reply. The machine may be down, or the network partitioned.
 	Unreachable Liveness = "unreached"
 )
 
-// IsConnectionRefused says whether an error is a connection that was refused: nothing listens there.
+// IsConnectionRefused reports whether the error is a refused connection: no process listens on the port.
 func IsConnectionRefused(err error) bool {
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// CheckLiveness opens one connection to the server and closes it. It blocks until that has
-// succeeded or failed, or ctx ends.
+// CheckLiveness opens one connection to the server and closes it. It blocks until the
+// connection is established or has failed, or ctx ends.
 func (c *Client) CheckLiveness(ctx context.Context) Liveness {
 	ctx, cancel := context.WithTimeout(ctx, c.options.ConnectTimeout)
 	defer cancel()
--- a/backend/report.go
+++ b/backend/report.go
@@ -7,40 +7,38 @@
 	"time"
 )
 
-// HeaderReport carries a back end's load on its answers, as published by the
-// Open Request Cost Aggregation (ORCA) format: "TEXT key=value, ..." or
-// "JSON {...}".
+// HeaderReport carries the load of a back end on its responses, in the Open
+// Request Cost Aggregation (ORCA) format: "TEXT key=value, ..." or "JSON {...}".
 const HeaderReport = "Endpoint-Load-Metrics"
 
-// HeaderDraining is set to "true" by a back end that is leaving, and to "false" by one that is not any more.
+// HeaderDraining is set to "true" by a back end that is draining, and to "false" by one that has stopped draining.
 const HeaderDraining = "Endpoint-Draining"
 
-// HeaderRequestLimit is set by a back end that takes only so many requests a second.
+// HeaderRequestLimit holds the number of requests per second that a back end accepts.
 const HeaderRequestLimit = "Endpoint-Request-Limit"
 
-// inFlightMetric is the named metric that holds the requests a back end has,
-// those in its queue included.
+// inFlightMetric is the named metric that holds the number of requests at a back end,
+// including its queue.
 const inFlightMetric = "named_metrics.in_flight"
 
-// Report is a back end's word on its load.
+// Report is a load report of a back end.
 type Report struct {
-	InFlight int // requests it has, those in its queue included
-	// Slowdown is how much longer work takes there now than usually; 0: not
-	// told.
+	InFlight int // including queued requests
+	// Slowdown is the factor by which requests currently take longer than usual;
+	// 0: not reported.
 	Slowdown float64
-	// WarmUpLeft is for how long it remains cold; 0: not told. Only answers to probes say so.
+	// WarmUpLeft is the remaining warm-up time; 0: not reported. Only responses to probes report it.
 	WarmUpLeft time.Duration
 }
 
-// jsonReport is the JSON form of a report.
 type jsonReport struct {
 	NamedMetrics struct {
 		InFlight *float64 `json:"in_flight"`
 	} `json:"named_metrics"`
 }
 
-// ParseReport reads the value of HeaderReport. It returns false when the value
-// has no usable count of requests in flight.
+// ParseReport parses the value of HeaderReport. It returns false if the value
+// has no usable number of requests in flight.
 func ParseReport(value string) (Report, bool) {
 	if text, ok := strings.CutPrefix(value, "TEXT "); ok {
 		return parseText(text)
@@ -50,7 +48,7 @@
 		if err := json.Unmarshal([]byte(text), &report); err != nil || report.NamedMetrics.InFlight == nil {
 			return Report{}, false
 		}
-		return reportOf(*report.NamedMetrics.InFlight)
+		return newReport(*report.NamedMetrics.InFlight)
 	}
 	return Report{}, false
 }
@@ -65,16 +63,16 @@
 		if err != nil {
 			return Report{}, false
 		}
-		return reportOf(number)
+		return newReport(number)
 	}
 	return Report{}, false
 }
 
-// maxReported bounds a count, so that a broken report cannot overflow.
-const maxReported = 1 << 20
+// maxInFlight bounds the reported count, so that an invalid report cannot overflow an int.
+const maxInFlight = 1 << 20
 
-func reportOf(number float64) (Report, bool) {
-	if !(number >= 0 && number <= maxReported) {
+func newReport(number float64) (Report, bool) {
+	if !(number >= 0 && number <= maxInFlight) {
 		return Report{}, false
 	}
 	return Report{InFlight: int(number)}, true
--- a/backend/reset_test.go
+++ b/backend/reset_test.go
@@ -19,14 +19,14 @@
 	"github.com/tuliphall/tuliphall/resultcode"
 )
 
-// reset ends a connection with a reset instead of an orderly close.
+// reset closes a connection with a TCP reset.
 func reset(conn net.Conn) {
-	_ = conn.(*net.TCPConn).SetLinger(0) // closing resets all the same if unread bytes are left
+	_ = conn.(*net.TCPConn).SetLinger(0) // Close sends a reset anyway if unread bytes are left
 	conn.Close()
 }
 
-// serveEach hands each connection to serve, one at a time a goroutine.
-func serveEach(t *testing.T, serve func(conn net.Conn)) (address string) {
+// listenAndServe runs serve in its own goroutine for each connection.
+func listenAndServe(t *testing.T, serve func(conn net.Conn)) (address string) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	var serving sync.WaitGroup
@@ -44,8 +44,8 @@
 	return listener.Addr().String()
 }
 
-// submit sends a request with a body that must not be run twice.
-func submit(t *testing.T, client *backend.Client, body string) (*http.Response, error) {
+// post sends a request that must not run twice.
+func post(t *testing.T, client *backend.Client, body string) (*http.Response, error) {
 	t.Helper()
 	return client.Do(t.Context(), &http.Request{
 		Method: http.MethodPost, URL: &url.URL{Path: "/"}, Header: make(http.Header),
@@ -53,19 +53,20 @@
 	})
 }
 
-// TestResetAtEachPoint resets the connection at each point of a request that may run once
-// only: it is told that its outcome is not known, and nothing of an answer that was cut.
+// TestResetAtEachPoint resets the connection at each stage of a request that may run only
+// once. The failure must say that the outcome is unknown, and no truncated response may be
+// returned.
 func TestResetAtEachPoint(t *testing.T) {
 	const bodyLength = 1 << 20
-	head := func(conn net.Conn) *http.Request {
+	readHead := func(conn net.Conn) *http.Request {
 		request, err := http.ReadRequest(bufio.NewReader(conn))
 		if err != nil {
 			return nil
 		}
 		return request
 	}
-	readWhole := func(conn net.Conn) {
-		if request := head(conn); request != nil {
+	readRequest := func(conn net.Conn) {
+		if request := readHead(conn); request != nil {
 			_, _ = io.Copy(io.Discard, request.Body)
 		}
 	}
@@ -75,62 +76,62 @@
 			reset(conn)
 		},
 		"in the body": func(conn net.Conn) {
-			if request := head(conn); request != nil {
+			if request := readHead(conn); request != nil {
 				_, _ = io.CopyN(io.Discard, request.Body, bodyLength/2)
 			}
 			reset(conn)
 		},
 		"before the answer": func(conn net.Conn) {
-			readWhole(conn)
+			readRequest(conn)
 			reset(conn)
 		},
 		"in the answer's head": func(conn net.Conn) {
-			readWhole(conn)
+			readRequest(conn)
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Le")
 			time.Sleep(10 * time.Millisecond)
 			reset(conn)
 		},
 		"in the answer's body": func(conn net.Conn) {
-			readWhole(conn)
+			readRequest(conn)
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf")
 			time.Sleep(10 * time.Millisecond)
 			reset(conn)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			client := backend.NewClient(backend.Options{Network: network.TCP{}, Address: serveEach(t, serve), MaxConnections: 1})
+			client := backend.NewClient(backend.Options{Network: network.TCP{}, Address: listenAndServe(t, serve), MaxConnections: 1})
 			defer client.Close()
-			_, err := submit(t, client, strings.Repeat("x", bodyLength))
-			var failed *backend.Failure
-			require.True(t, errors.As(err, &failed), "%v", err)
-			require.Equal(t, resultcode.Unknown, failed.Code.Info().Run, "%s", failed)
+			_, err := post(t, client, strings.Repeat("x", bodyLength))
+			var failure *backend.Failure
+			require.True(t, errors.As(err, &failure), "%v", err)
+			require.Equal(t, resultcode.Unknown, failure.Code.Info().Run, "%s", failure)
 		})
 	}
 }
 
-// TestNobodyListens is told as not run.
-func TestNobodyListens(t *testing.T) {
+// TestConnectionRefused checks that a request is reported as not run if no process listens.
+func TestConnectionRefused(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := listener.Addr().String()
 	listener.Close()
 	client := backend.NewClient(backend.Options{Network: network.TCP{}, Address: address, MaxConnections: 1})
 	defer client.Close()
-	_, err = submit(t, client, "x")
-	var failed *backend.Failure
-	require.True(t, errors.As(err, &failed), "%v", err)
-	require.Equal(t, resultcode.NotRun, failed.Code.Info().Run)
+	_, err = post(t, client, "x")
+	var failure *backend.Failure
+	require.True(t, errors.As(err, &failure), "%v", err)
+	require.Equal(t, resultcode.NotRun, failure.Code.Info().Run)
 }
 
-// TestDeadConnectionsAreNotTriedInTurn resets all kept connections at once: once that is
-// known, the next request gets a new connection and is answered.
-func TestDeadConnectionsAreNotTriedInTurn(t *testing.T) {
-	const kept = 5
+// TestResetIdleConnectionsAreSkipped resets all idle connections at once. Once the resets have
+// arrived, the next request must use a new connection instead of failing on each old one.
+func TestResetIdleConnectionsAreSkipped(t *testing.T) {
+	const idle = 5
 	var mutex sync.Mutex
 	var open []net.Conn
-	arrived := make(chan struct{}, kept+1)
+	arrived := make(chan struct{}, idle+1)
 	release := make(chan struct{})
-	address := serveEach(t, func(conn net.Conn) {
+	address := listenAndServe(t, func(conn net.Conn) {
 		mutex.Lock()
 		open = append(open, conn)
 		mutex.Unlock()
@@ -147,18 +148,18 @@
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		}
 	})
-	client := backend.NewClient(backend.Options{Network: network.TCP{}, Address: address, MaxConnections: kept + 1})
+	client := backend.NewClient(backend.Options{Network: network.TCP{}, Address: address, MaxConnections: idle + 1})
 	defer client.Close()
 	var sending sync.WaitGroup
-	for range kept {
+	for range idle {
 		sending.Go(func() {
-			response, err := submit(t, client, "x")
+			response, err := post(t, client, "x")
 			if err == nil {
 				response.Body.Close()
 			}
 		})
 	}
-	for range kept {
+	for range idle {
 		<-arrived // each on a connection of its own
 	}
 	close(release)
@@ -168,8 +169,8 @@
 		reset(conn)
 	}
 	mutex.Unlock()
-	time.Sleep(100 * time.Millisecond) // the resets are heard
-	response, err := submit(t, client, "x")
+	time.Sleep(100 * time.Millisecond) // until the resets have arrived
+	response, err := post(t, client, "x")
 	require.NoError(t, err)
 	response.Body.Close()
 }
--- a/backend/short_test.go
+++ b/backend/short_test.go
@@ -18,8 +18,8 @@
 	"github.com/tuliphall/tuliphall/resultcode"
 )
 
-// serveOnce reads one request, lets answer write what it will, and closes the connection.
-func serveOnce(t *testing.T, answer func(to net.Conn)) (address string) {
+// serveOnce reads one request, calls respond, and closes the connection.
+func serveOnce(t *testing.T, respond func(to net.Conn)) (address string) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { listener.Close() })
@@ -32,14 +32,14 @@
 		if _, err := http.ReadRequest(bufio.NewReader(accepted)); err != nil {
 			return
 		}
-		answer(accepted)
+		respond(accepted)
 	}()
 	return listener.Addr().String()
 }
 
-// serveCut answers one request with a body of some length, of which it sends a part and
-// then closes the connection.
-func serveCut(t *testing.T, length, sent int) (address string) {
+// serveTruncated announces a body of the given length, sends only a part of it, and closes
+// the connection.
+func serveTruncated(t *testing.T, length, sent int) (address string) {
 	return serveOnce(t, func(to net.Conn) {
 		fmt.Fprintf(to, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", length, strings.Repeat("x", sent))
 	})
@@ -51,20 +51,20 @@
 	return client.Do(t.Context(), &http.Request{Method: http.MethodGet, URL: &url.URL{Path: "/"}, Header: make(http.Header)})
 }
 
-// TestShortAnswerThatIsCut: nothing of it reaches the caller, and the failure says that
-// the request may have run.
-func TestShortAnswerThatIsCut(t *testing.T) {
-	_, err := get(t, serveCut(t, 400, 399))
-	var failed *backend.Failure
-	require.True(t, errors.As(err, &failed), "%v", err)
-	require.Equal(t, resultcode.ConnectionBroken, failed.Code)
+// TestTruncatedShortResponse checks that no part of a truncated short response is returned, and
+// that the failure says that the request may have run.
+func TestTruncatedShortResponse(t *testing.T) {
+	_, err := get(t, serveTruncated(t, 400, 399))
+	var failure *backend.Failure
+	require.True(t, errors.As(err, &failure), "%v", err)
+	require.Equal(t, resultcode.ConnectionBroken, failure.Code)
 }
 
-// TestAnswersAreWhole: a short one and a long one are as they were sent; the end of a long
-// one that is cut shows while it is read.
-func TestAnswersAreWhole(t *testing.T) {
+// TestResponsesAreComplete checks that short and long responses arrive unchanged, and that the
+// truncation of a long one is reported while its body is read.
+func TestResponsesAreComplete(t *testing.T) {
 	for length, sent := range map[int]int{0: 0, 1: 1, 32 << 10: 32 << 10, 100_000: 100_000, 100_001: 50_000} {
-		response, err := get(t, serveCut(t, length, sent))
+		response, err := get(t, serveTruncated(t, length, sent))
 		require.NoError(t, err)
 		body, err := io.ReadAll(response.Body)
 		require.Len(t, body, sent)
@@ -76,9 +76,9 @@
 	}
 }
 
-// TestAnswerWithTwoLengths refuses an answer that could be read in two ways, also behind an
-// interim one and when it comes byte by byte, and closes its connection.
-func TestAnswerWithTwoLengths(t *testing.T) {
+// TestAmbiguousResponseLength checks that a response with both Content-Length and chunked encoding
+// is rejected and its connection closed, also after an interim response and if it arrives byte by byte.
+func TestAmbiguousResponseLength(t *testing.T) {
 	const ambiguous = "HTTP/1.1 103 Early Hints\r\nA: b\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
 	for _, piece := range []int{1, len(ambiguous)} {
 		closed := make(chan struct{})
@@ -90,9 +90,9 @@
 			_, _ = io.Copy(io.Discard, to) // until the other side closes
 		})
 		_, err := get(t, address)
-		var failed *backend.Failure
-		require.True(t, errors.As(err, &failed), "%v", err)
-		require.Equal(t, resultcode.AnswerUnverifiable, failed.Code)
+		var failure *backend.Failure
+		require.True(t, errors.As(err, &failure), "%v", err)
+		require.Equal(t, resultcode.AnswerUnverifiable, failure.Code)
 		<-closed
 	}
 }
