--- a/backend/reset_test.go
+++ b/backend/reset_test.go
@@ -71,27 +71,27 @@
 		}
 	}
 	for name, serve := range map[string]func(conn net.Conn){
-		"in the head": func(conn net.Conn) {
+		"in the request head": func(conn net.Conn) {
 			_, _ = conn.Read(make([]byte, 1))
 			reset(conn)
 		},
-		"in the body": func(conn net.Conn) {
+		"in the request body": func(conn net.Conn) {
 			if request := readHead(conn); request != nil {
 				_, _ = io.CopyN(io.Discard, request.Body, bodyLength/2)
 			}
 			reset(conn)
 		},
-		"before the answer": func(conn net.Conn) {
+		"before the response": func(conn net.Conn) {
 			readRequest(conn)
 			reset(conn)
 		},
-		"in the answer's head": func(conn net.Conn) {
+		"in the response head": func(conn net.Conn) {
 			readRequest(conn)
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Le")
 			time.Sleep(10 * time.Millisecond)
 			reset(conn)
 		},
-		"in the answer's body": func(conn net.Conn) {
+		"in the response body": func(conn net.Conn) {
 			readRequest(conn)
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf")
 			time.Sleep(10 * time.Millisecond)
