--- a/admin/api.go
+++ b/admin/api.go
@@ -1,8 +1,8 @@
-// Package admin is the operators' interface of a daemon over HTTP: changes to
-// the configuration, its state, drains, health checks and metrics.
+// Package admin is the operators' HTTP interface of a daemon: changes of the
+// configuration, status, quarantine, health checks and metrics.
 //
-// Any daemon takes any operator's command. Server is the daemon's side, Client
-// the command's.
+// Any daemon accepts any command. NewHandler returns the server side; Client is
+// the client of the command line.
 package admin
 
 import (
@@ -24,23 +24,22 @@
 	PathProfile  = "/debug/pprof/"
 )
 
-// ApplyRequest asks for a change.
+// ApplyRequest requests a change of the configuration.
 type ApplyRequest struct {
 	Edit config.Edit `json:"edit"`
-	// DryRun checks the change and returns what it would do.
+	// DryRun validates the change and returns its result without applying it.
 	DryRun bool `json:"dry_run,omitempty"`
 }
 
-// ApplyResponse says what a change did.
+// ApplyResponse is the result of a change.
 type ApplyResponse struct {
 	Revision config.Revision       `json:"revision"`
 	Changed  []config.ObjectChange `json:"changed"`
 }
 
-// ErrorKind tells errors of the interface apart.
+// ErrorKind classifies errors of the interface.
 type ErrorKind string
 
-// The kinds of error.
 const (
 	ErrorInvalid     ErrorKind = "invalid"
 	ErrorConflict    ErrorKind = "conflict"
@@ -48,7 +47,7 @@
 	ErrorNotFound    ErrorKind = "not-found"
 )
 
-// ErrorResponse is the body of a call that failed.
+// ErrorResponse is the body of an unsuccessful response.
 type ErrorResponse struct {
 	Kind    ErrorKind `json:"kind"`
 	Message string    `json:"message"`
@@ -60,36 +59,36 @@
 	Region   string          `json:"region"`
 	Zone     string          `json:"zone"`
 	State    string          `json:"state"`
-	Revision config.Revision `json:"revision"` // in force; 0: not heard
+	Revision config.Revision `json:"revision"` // in force; 0: unknown
 	Problem  string          `json:"problem,omitempty"`
 }
 
-// Status says which daemon has which revision in force.
+// Status holds the state of a daemon and the revision in force at every member.
 type Status struct {
 	Daemon  string          `json:"daemon"`
 	Version string          `json:"version"`
-	Head    config.Revision `json:"head"` // highest revision heard of
-	// Stored is the version at which the store has the configuration in force at the asked daemon, the era of the store before the
-	// revision, and Era the latest era of which the asked daemon has heard: how often the store has come back older.
+	Head    config.Revision `json:"head"` // highest known revision
+	// Stored is the store version (era and revision) of the configuration in force at the queried daemon. Era is the latest era that
+	// the daemon knows: how often the store has been restored from an older backup.
 	Stored   string        `json:"stored"`
 	Era      uint64        `json:"era"`
 	Uptime   time.Duration `json:"uptime_ns"`
 	Members  []Member      `json:"members"`
 	Watching bool          `json:"watching"` // this daemon watches the platform
-	// Evacuated are the zones whose back ends get no new requests from the asked daemon.
+	// Evacuated are the zones to whose back ends the queried daemon sends no new requests.
 	Evacuated []string `json:"evacuated,omitempty"`
-	// Quarantined is how many requests the asked daemon holds back, as back ends ended under
-	// them.
+	// Quarantined is the number of requests that the queried daemon does not send to back ends, as back
+	// ends crashed while running them.
 	Quarantined int `json:"quarantined,omitempty"`
-	// Limited is how many back ends ask for fewer requests, as the asked daemon has heard.
+	// Limited is the number of back ends with a request limit that the queried daemon knows.
 	Limited int `json:"limited,omitempty"`
-	// Draining is how many back ends are leaving as they say themselves or the machine list does, and Paused how many have asked
-	// the asked daemon for a pause.
+	// Draining is the number of back ends that are draining according to themselves or the machine list, and Paused the number that
+	// have asked the queried daemon for a pause.
 	Draining int `json:"leaving,omitempty"`
 	Paused   int `json:"paused,omitempty"`
 }
 
-// ServiceStatus is what a daemon knows of one service.
+// ServiceStatus is the state of one service at a daemon.
 type ServiceStatus struct {
 	Name       string                   `json:"name"`
 	Dispatcher string                   `json:"dispatcher"`
--- a/admin/client.go
+++ b/admin/client.go
@@ -12,7 +12,7 @@
 	"github.com/tuliphall/tuliphall/config"
 )
 
-// CallError is an answer with which a daemon refused a command.
+// CallError is an error returned by a daemon.
 type CallError struct {
 	Kind    ErrorKind
 	Message string
@@ -23,47 +23,47 @@
 	return string(e.Kind) + ": " + e.Message
 }
 
-// Client calls a daemon's interface.
+// Client calls the interface of a daemon.
 type Client struct {
 	base   string
 	client *http.Client
 }
 
-// NewClient returns a client for the daemon whose interface is at base (a URL).
+// NewClient returns a client for the daemon at a base URL.
 func NewClient(base string) *Client {
 	return &Client{base: base, client: &http.Client{}}
 }
 
-// Apply asks for a change. An error that is not a *CallError leaves open
-// whether the change was made; asking again with the same id settles it.
+// Apply requests a change. After an error that is not a *CallError, it is unknown
+// whether the change was made; repeating the call with the same id is safe.
 func (c *Client) Apply(ctx context.Context, request ApplyRequest) (ApplyResponse, error) {
 	var response ApplyResponse
 	err := c.call(ctx, http.MethodPost, PathApply, request, &response)
 	return response, err
 }
 
-// Document returns the document in force at the daemon.
+// Document returns the configuration in force at the daemon.
 func (c *Client) Document(ctx context.Context) (config.Document, error) {
 	var document config.Document
 	err := c.call(ctx, http.MethodGet, PathDocument, nil, &document)
 	return document, err
 }
 
-// Status returns what every daemon has in force.
+// Status returns the state of the daemon and the revision in force at every member.
 func (c *Client) Status(ctx context.Context) (Status, error) {
 	var status Status
 	err := c.call(ctx, http.MethodGet, PathStatus, nil, &status)
 	return status, err
 }
 
-// Services returns what the daemon knows of its services.
+// Services returns the state of all services at the daemon.
 func (c *Client) Services(ctx context.Context) ([]ServiceStatus, error) {
 	var services []ServiceStatus
 	err := c.call(ctx, http.MethodGet, PathServices, nil, &services)
 	return services, err
 }
 
-func (c *Client) call(ctx context.Context, method, path string, body, into any) error {
+func (c *Client) call(ctx context.Context, method, path string, body, target any) error {
 	var payload io.Reader
 	if body != nil {
 		data, err := json.Marshal(body)
@@ -74,7 +74,7 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, method, c.base+path, payload)
 	if err != nil {
-		return errors.Annotate(err, "daemon address")
+		return errors.Annotate(err, "building the request to the daemon")
 	}
 	response, err := c.client.Do(request)
 	if err != nil {
@@ -84,13 +84,13 @@
 	if response.StatusCode != http.StatusOK {
 		return readError(response)
 	}
-	return errors.Annotate(json.NewDecoder(response.Body).Decode(into), "reading the daemon's answer")
+	return errors.Annotate(json.NewDecoder(response.Body).Decode(target), "decoding the daemon's response")
 }
 
 func readError(response *http.Response) error {
-	var refused ErrorResponse
-	if err := json.NewDecoder(response.Body).Decode(&refused); err != nil {
-		return errors.Errorf("the daemon answered %s", response.Status)
+	var body ErrorResponse
+	if err := json.NewDecoder(response.Body).Decode(&body); err != nil {
+		return errors.Errorf("daemon responded with status %s", response.Status)
 	}
-	return &CallError{Kind: refused.Kind, Message: refused.Message}
+	return &CallError{Kind: body.Kind, Message: body.Message}
 }
--- a/admin/server.go
+++ b/admin/server.go
@@ -15,7 +15,7 @@
 // maxRequestBytes bounds a request's body.
 const maxRequestBytes = 4 << 20
 
-// Daemon is what the server asks of the daemon. Methods may block on the
+// Daemon gives the server access to the daemon. Methods may block on the
 // platform or on peers until ctx ends.
 type Daemon interface {
 	Ready() error
@@ -28,16 +28,16 @@
 	TenantReporter
 }
 
-// MetricsHandler serves PathMetrics alone.
+// MetricsHandler serves only PathMetrics.
 func MetricsHandler(metrics http.Handler) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET "+PathMetrics, metrics)
 	return mux
 }
 
-// NewHandler returns the interface of a daemon. metrics serves PathMetrics.
-func NewHandler(backend Daemon, metrics http.Handler) http.Handler {
-	s := &server{backend: backend}
+// NewHandler returns the handler of the interface. metrics serves PathMetrics.
+func NewHandler(daemon Daemon, metrics http.Handler) http.Handler {
+	s := &server{daemon: daemon}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+PathHealth, s.health)
 	mux.HandleFunc("GET "+PathReady, s.ready)
@@ -46,16 +46,16 @@
 	mux.HandleFunc("GET "+PathDocument, s.document)
 	mux.HandleFunc("GET "+PathStatus, s.status)
 	mux.HandleFunc("GET "+PathServices, s.services)
-	mux.HandleFunc("GET "+PathQuarantine, s.quarantined)
+	mux.HandleFunc("GET "+PathQuarantine, s.crashingRequests)
 	mux.HandleFunc("GET "+PathTenants, s.tenants)
-	mux.HandleFunc("POST "+PathQuarantine, s.orderQuarantine)
+	mux.HandleFunc("POST "+PathQuarantine, s.updateQuarantine)
 	mux.HandleFunc(PathProfile, pprof.Index)
 	mux.HandleFunc(PathProfile+"profile", pprof.Profile)
 	return mux
 }
 
 type server struct {
-	backend Daemon
+	daemon Daemon
 }
 
 func (s *server) health(w http.ResponseWriter, _ *http.Request) {
@@ -63,7 +63,7 @@
 }
 
 func (s *server) ready(w http.ResponseWriter, _ *http.Request) {
-	if err := s.backend.Ready(); err != nil {
+	if err := s.daemon.Ready(); err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
@@ -82,11 +82,11 @@
 		writeError(w, http.StatusBadRequest, ErrorInvalid, errors.NotValidf("edit.ID: empty"))
 		return
 	}
-	act := s.backend.Apply
+	apply := s.daemon.Apply
 	if request.DryRun {
-		act = s.backend.Plan
+		apply = s.daemon.Plan
 	}
-	document, err := act(r.Context(), request.Edit)
+	document, err := apply(r.Context(), request.Edit)
 	if err != nil {
 		writeApplyError(w, err)
 		return
@@ -114,21 +114,21 @@
 }
 
 func (s *server) document(w http.ResponseWriter, _ *http.Request) {
-	writeJSON(w, s.backend.Document())
+	writeJSON(w, s.daemon.Document())
 }
 
 func (s *server) status(w http.ResponseWriter, r *http.Request) {
-	writeJSON(w, s.backend.Status(r.Context()))
+	writeJSON(w, s.daemon.Status(r.Context()))
 }
 
 func (s *server) services(w http.ResponseWriter, _ *http.Request) {
-	writeJSON(w, s.backend.Services())
+	writeJSON(w, s.daemon.Services())
 }
 
 func writeError(w http.ResponseWriter, status int, kind ErrorKind, err error) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// An operator that has gone cannot be told.
+	// The error is ignored: the client has disconnected.
 	_ = json.NewEncoder(w).Encode(ErrorResponse{Kind: kind, Message: err.Error()})
 }
 
--- a/admin/tenants.go
+++ b/admin/tenants.go
@@ -7,17 +7,17 @@
 	"github.com/tuliphall/tuliphall/ratelimit"
 )
 
-// PathTenants tells what tenants use of their rates.
+// PathTenants returns the usage of tenants with a rate limit.
 const PathTenants = "/v1/tenants"
 
-// TenantReporter is what the server asks of the daemon's tenants.
+// TenantReporter gives the server access to the usage of tenants.
 type TenantReporter interface {
-	// Tenants returns what tenants with a rate use, over all daemons. It blocks until the
-	// daemons that count have answered, or were given up on.
+	// Tenants returns the usage of tenants with a rate limit over all daemons. It blocks until
+	// the daemons that count requests have responded or timed out.
 	Tenants(ctx context.Context) []ratelimit.Usage
 }
 
-// Tenants returns what tenants with a rate use, over all daemons.
+// Tenants returns the usage of tenants with a rate limit over all daemons.
 func (c *Client) Tenants(ctx context.Context) ([]ratelimit.Usage, error) {
 	var usage []ratelimit.Usage
 	err := c.call(ctx, http.MethodGet, PathTenants, nil, &usage)
@@ -25,5 +25,5 @@
 }
 
 func (s *server) tenants(w http.ResponseWriter, r *http.Request) {
-	writeJSON(w, s.backend.Tenants(r.Context()))
+	writeJSON(w, s.daemon.Tenants(r.Context()))
 }
--- a/clock/boot_linux.go
+++ b/clock/boot_linux.go
@@ -6,23 +6,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// start is when the process started, by the time of day and by the time since the machine's start.
-// Times of Boot count from there, so that they read like times of day.
+// The start of the process by the wall clock and as time since boot. Boot adds the time since
+// then to startTime, so that its times resemble wall clock times.
 var (
-	startTime = time.Now().Round(0) // without the steady clock's reading
+	startTime = time.Now().Round(0) // without the monotonic clock reading
 	startBoot = sinceBoot()
 )
 
-// Boot counts the time that the machine sleeps, and no step of the time of day changes it.
+// Boot includes the time that the machine is suspended, and is not affected by adjustments of the wall clock.
 func Boot() time.Time {
 	since := sinceBoot()
 	if since == 0 || startBoot == 0 {
-		return time.Now() // the kernel does not tell
+		return time.Now() // the kernel does not provide the time since boot
 	}
 	return startTime.Add(since - startBoot)
 }
 
-// sinceBoot returns the time since the machine started; 0: the kernel does not tell.
+// sinceBoot returns the time since the machine booted; 0: the kernel does not provide it.
 func sinceBoot() time.Duration {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
--- a/clock/boot_other.go
+++ b/clock/boot_other.go
@@ -4,7 +4,7 @@
 
 import "time"
 
-// Boot is the steady clock: no other is known here.
+// Boot is the monotonic clock, as CLOCK_BOOTTIME is available on Linux only.
 func Boot() time.Time {
 	return time.Now()
 }
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,30 +1,30 @@
-// Package clock tells the time by which promises to others are kept.
+// Package clock provides the clocks for periods agreed with other processes.
 //
-// A machine that sleeps finds Go's steady clock where it left it, while others have waited: what
-// lapses by agreement with them (leases, claims, saved retries) is measured by a clock that counts
-// sleep. What is only one's own patience, such as a time-out, needs no other than the steady clock.
-// docs/PROMISES.md lists both.
+// Go's monotonic clock may stop while the machine is suspended, but the clocks of other machines
+// continue. Periods that several processes rely on (leases, claims, saved retries) are therefore
+// measured by a clock that includes suspension. Local periods such as timeouts use the monotonic
+// clock. docs/PROMISES.md lists both.
 package clock
 
 import "time"
 
-// Clock returns the present time. Times of one clock are compared with each other only. It does
-// not block.
+// Clock returns the current time. Its times may only be compared with times of the same clock. It
+// does not block.
 type Clock func() time.Time
 
-// Monotonic is Go's steady clock, which may stand still while the machine sleeps.
+// Monotonic is Go's monotonic clock, which may stop while the machine is suspended.
 func Monotonic() time.Time {
 	return time.Now()
 }
 
-// WallElapsedExceeds says whether more than a time has passed between two readings of the steady clock by the
-// time of day, which goes on while the machine sleeps. A step of the time of day looks the same:
-// it is for what may be given up without need. It takes 2 ns, where Boot takes a system call.
-func WallElapsedExceeds(earlier, later time.Time, more time.Duration) bool {
-	return later.Round(0).Sub(earlier.Round(0)) > more
+// WallElapsedExceeds reports whether more than threshold has passed between two times by the wall clock,
+// which continues while the machine is suspended. An adjustment of the wall clock has the same effect, so
+// use it only where a false positive is harmless. It takes 2 ns, while Boot makes a system call.
+func WallElapsedExceeds(earlier, later time.Time, threshold time.Duration) bool {
+	return later.Round(0).Sub(earlier.Round(0)) > threshold
 }
 
-// Later returns the later one of two times.
+// Later returns the later of two times.
 func Later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
@@ -32,10 +32,10 @@
 	return b
 }
 
-// OrMonotonic returns the clock, and Steady where there is none.
-func OrMonotonic(chosen Clock) Clock {
-	if chosen == nil {
+// OrMonotonic returns the clock, or Monotonic if it is nil.
+func OrMonotonic(clock Clock) Clock {
+	if clock == nil {
 		return Monotonic
 	}
-	return chosen
+	return clock
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -47,23 +47,23 @@
 // Version is the version of this build.
 const Version = "0.1.0"
 
-// Options are what a daemon is built from.
+// Options configures a Daemon.
 type Options struct {
 	Settings settings.Settings
 	Network  network.Network // nil: TCP
 	// Store and Machines are the platform; nil: the one in the settings.
 	Store    objectstore.Store
 	Machines objectstore.Machines
-	// Sources makes what the configuration is read from, which logs to log; nil: the
+	// Sources creates the sources of the configuration, which log to log; nil: the
 	// head object of the store.
 	Sources func(log *slog.Logger) []dissemination.Source
-	// Dialect is how callers and back ends spell headers; nil: the project's.
+	// Dialect defines the headers of callers and back ends; nil: the project's own.
 	Dialect *backend.Dialect
-	// Rollouts records how far rollouts are; nil: in the head object of the store.
+	// Rollouts records the state of rollouts; nil: in the head object of the store.
 	Rollouts  rollout.Recorder
 	LogOutput io.Writer
-	// Now is the clock of promises to others; nil: clock.Steady. It must count the time that
-	// the machine sleeps.
+	// Now is the clock for periods agreed with other processes, such as leases; nil:
+	// clock.Monotonic. It must include the time that the machine is suspended.
 	Now clock.Clock
 }
 
@@ -80,9 +80,9 @@
 	machines  objectstore.Machines
 	client    *objectstore.Client // nil when the platform was given
 	logWriter *logging.Writer
-	logBound  *logging.Bound
+	logLimit  *logging.Bound
 	logLevel  slog.LevelVar
-	// logDecisions says whether each decision and answered request gets a line.
+	// logDecisions enables a log line for each decision and answered request.
 	logDecisions atomic.Bool
 	logger       *slog.Logger
 	log          *slog.Logger
@@ -96,7 +96,7 @@
 	callers    *pipelining.Server
 	prober     *measure.Prober
 	quarantine *quarantine.Tracker
-	rates      *ratelimit.FleetLimiter
+	rateLimits *ratelimit.FleetLimiter
 	limits     *backendlimit.Tracker
 	drains     *drain.Tracker
 	pauses     *pushback.Tracker
@@ -105,8 +105,9 @@
 	recorder   rollout.Recorder
 	editor     *config.Editor
 
-	// headLost has room for one: the head object lacks changes that are in force; nil: operators do not declare by it.
-	headLost chan struct{}
+	// headRestore, of capacity 1, signals that the head object lacks changes that are in force; nil: the configuration has
+	// another source.
+	headRestore chan struct{}
 
 	listeners    Addresses
 	servers      []*http.Server
@@ -117,16 +118,16 @@
 	stopping     atomic.Bool
 }
 
-// Addresses are where a daemon listens.
+// Addresses holds the addresses on which a daemon listens.
 type Addresses struct {
 	Caller  string
 	Peer    string
 	Forward string
 	Admin   string
-	Metrics string // empty: Admin's alone
+	Metrics string // empty: metrics are served on Admin only
 }
 
-// Start builds a daemon and begins to serve. The caller ends it with Stop.
+// Start creates a daemon and starts to serve. The caller must end it with Stop or Kill.
 func Start(options Options) (*Daemon, error) {
 	d := &Daemon{settings: options.Settings, network: options.Network, started: time.Now(), now: options.Now}
 	d.reloaded.Store(&options.Settings)
@@ -134,7 +135,7 @@
 		d.network = network.TCP{}
 	}
 	d.meter = network.NewMeter(d.network)
-	d.startLogging(options.LogOutput)
+	d.setUpLogging(options.LogOutput)
 	d.connectPlatform(options)
 	listeners, err := d.listen()
 	if err != nil {
@@ -151,13 +152,13 @@
 	return d, nil
 }
 
-func (d *Daemon) startLogging(target io.Writer) {
-	chosen := d.settings.Log
-	d.logWriter = logging.NewWriter(target)
-	d.logBound = logging.NewBound(time.Now(), chosen.LinesPerSecond, chosen.BytesPerSecond)
-	d.logger = logging.New(d.logWriter, logging.Options{Level: &d.logLevel, JSON: chosen.Format == "json", Daemon: d.settings.Name, Bound: d.logBound})
+func (d *Daemon) setUpLogging(output io.Writer) {
+	options := d.settings.Log
+	d.logWriter = logging.NewWriter(output)
+	d.logLimit = logging.NewBound(time.Now(), options.LinesPerSecond, options.BytesPerSecond)
+	d.logger = logging.New(d.logWriter, logging.Options{Level: &d.logLevel, JSON: options.Format == "json", Daemon: d.settings.Name, Bound: d.logLimit})
 	d.log = logging.Part(d.logger, "daemon")
-	d.applyLogSettings(chosen)
+	d.applyLogSettings(options)
 }
 
 func (d *Daemon) connectPlatform(options Options) {
@@ -175,7 +176,7 @@
 		d.sources = options.Sources(d.logger)
 	} else {
 		d.sources = []dissemination.Source{dissemination.NewHeadSource(d.store, time.Duration(d.settings.Platform.Timeout))}
-		d.headLost = make(chan struct{}, 1)
+		d.headRestore = make(chan struct{}, 1)
 	}
 	d.dialect = backend.DefaultDialect()
 	if options.Dialect != nil {
@@ -183,16 +184,16 @@
 	}
 }
 
-// opened are a daemon's listeners.
-type opened struct {
+// listenerSet holds a daemon's listeners.
+type listenerSet struct {
 	caller, peer, forward, admin net.Listener
-	metrics                      net.Listener // nil: none of its own
+	metrics                      net.Listener // nil: metrics are served on admin only
 }
 
-func (d *Daemon) listen() (opened, error) {
-	var listeners opened
-	var made []net.Listener
-	for _, one := range []struct {
+func (d *Daemon) listen() (listenerSet, error) {
+	var listeners listenerSet
+	var opened []net.Listener
+	for _, entry := range []struct {
 		setting string
 		address string
 		into    *net.Listener
@@ -204,33 +205,33 @@
 		{"listen.admin", d.settings.Listen.Admin, &listeners.admin, &d.listeners.Admin},
 		{"listen.metrics", d.settings.Listen.Metrics, &listeners.metrics, &d.listeners.Metrics},
 	} {
-		if one.address == "" {
-			continue // an address that may be left out
+		if entry.address == "" {
+			continue // an optional address
 		}
-		listener, err := d.network.Listen(one.address)
+		listener, err := d.network.Listen(entry.address)
 		if err != nil {
-			for _, open := range made {
-				open.Close()
+			for _, earlier := range opened {
+				earlier.Close()
 			}
-			return opened{}, errors.Annotatef(err, "setting %s: value %q", one.setting, one.address)
+			return listenerSet{}, errors.Annotatef(err, "setting %s: value %q", entry.setting, entry.address)
 		}
-		made = append(made, listener)
-		*one.into, *one.bound = listener, listener.Addr().String()
+		opened = append(opened, listener)
+		*entry.into, *entry.bound = listener, listener.Addr().String()
 	}
 	return listeners, nil
 }
 
-func (d *Daemon) metricFailed(err error) {
+func (d *Daemon) logMetricError(err error) {
 	d.log.Error("metric not registered", "error", err)
 }
 
-// metricsInterval is how often counters are handed to the reporter.
+// metricsInterval is how often counters are passed to the reporter.
 const metricsInterval = time.Second
 
 func (d *Daemon) startMetrics() (tally.Scope, http.Handler) {
-	// A registry of its own lets several daemons live in one test process.
+	// A separate registry allows several daemons in one test process.
 	registry := client.NewRegistry()
-	reporter := prometheus.NewReporter(prometheus.Options{Registerer: registry, Gatherer: registry, OnRegisterError: d.metricFailed})
+	reporter := prometheus.NewReporter(prometheus.Options{Registerer: registry, Gatherer: registry, OnRegisterError: d.logMetricError})
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
 		Prefix: "tuliphall", CachedReporter: reporter, Separator: prometheus.DefaultSeparator,
 		SanitizeOptions: &prometheus.DefaultSanitizerOpts,
@@ -239,25 +240,25 @@
 	return scope, reporter.HTTPHandler()
 }
 
-// build makes the parts and joins them.
+// build creates and connects the components.
 func (d *Daemon) build(scope tally.Scope) {
 	seed := rand.Uint64()
 	d.quarantine = quarantine.NewTracker(quarantine.Options{
 		Policy: d.settings.Quarantine.Policy(), Store: d.store, StoreTimeout: time.Duration(d.settings.Platform.Timeout),
-		ReadsStore: d.readsQuarantine, Broadcast: d.tellCrashingRequest, Log: d.logger, Metrics: scope,
+		ReadsStore: d.readsQuarantine, Broadcast: d.broadcastCrashingRequest, Log: d.logger, Metrics: scope,
 	})
-	d.limits = backendlimit.NewTracker(backendlimit.Options{Header: d.dialect.RequestLimit, Declared: d.isDeclared, Apply: d.applyLimit, Broadcast: d.tellLimit, Log: d.logger, Metrics: scope})
-	d.drains = drain.NewTracker(drain.Options{Declared: d.isDeclared, Apply: d.applyDrain, Broadcast: d.tellDrain, Log: d.logger, Metrics: scope})
+	d.limits = backendlimit.NewTracker(backendlimit.Options{Header: d.dialect.RequestLimit, Declared: d.isDeclared, Apply: d.applyLimit, Broadcast: d.broadcastLimit, Log: d.logger, Metrics: scope})
+	d.drains = drain.NewTracker(drain.Options{Declared: d.isDeclared, Apply: d.applyDrain, Broadcast: d.broadcastDrain, Log: d.logger, Metrics: scope})
 	d.pauses = pushback.NewTracker(pushback.Options{Apply: d.applyPause, Log: d.logger, Metrics: scope})
 	d.signals = signals.NewReader(signals.Options{Dialect: d.dialect, Limits: d.limits, Drains: d.drains, Pauses: d.pauses, Log: d.logger, Metrics: scope})
-	d.rates = ratelimit.NewFleetLimiter(ratelimit.Options{Name: d.settings.Name, Limits: d.limitOf, Now: d.now, Random: rand.New(rand.NewPCG(seed, 3)), Log: d.logger, Metrics: scope})
-	d.services = service.NewRegistry(service.Options{Network: d.meter.For("backends"), Seed: seed, EchoHeader: d.echo(), Quarantine: d.quarantine, Rates: d.rates, Limits: &serviceLimits{Tracker: d.limits, daemon: d}, Drains: d.drains, Pauses: d.pauses, InOtherRegion: d.elsewhere, Log: d.logger})
+	d.rateLimits = ratelimit.NewFleetLimiter(ratelimit.Options{Name: d.settings.Name, Limits: d.limitOf, Now: d.now, Random: rand.New(rand.NewPCG(seed, 3)), Log: d.logger, Metrics: scope})
+	d.services = service.NewRegistry(service.Options{Network: d.meter.For("backends"), Seed: seed, EchoHeader: d.echoHeader(), Quarantine: d.quarantine, Rates: d.rateLimits, Limits: &serviceLimits{Tracker: d.limits, daemon: d}, Drains: d.drains, Pauses: d.pauses, InOtherRegion: d.inOtherRegion, Log: d.logger})
 	d.editor = config.NewEditor(d.store, time.Now, func() config.Document { return d.follower.Document() })
 	d.follower = dissemination.NewFollower(dissemination.Options{
 		Sources: d.sources, Services: d.services, Timeout: time.Duration(d.settings.Platform.Timeout),
 		Watchers: max(d.settings.Platform.Watchers, 0), MaxBackoff: time.Duration(d.settings.Platform.MaxBackoff),
-		WatchInterval: time.Duration(d.settings.Platform.WatchInterval), WatchGap: time.Duration(d.settings.Platform.WatchGap), Log: d.logger, Random: rand.New(rand.NewPCG(seed, 1)), Seeds: d.otherSeeds,
-		FirstStart: d.settings.Platform.FirstStart, ObserveEra: d.store.ObserveEra, OnLostChanges: d.lostHead,
+		WatchInterval: time.Duration(d.settings.Platform.WatchInterval), WatchGap: time.Duration(d.settings.Platform.WatchGap), Log: d.logger, Random: rand.New(rand.NewPCG(seed, 1)), Seeds: d.peerSeedAddresses,
+		FirstStart: d.settings.Platform.FirstStart, ObserveEra: d.store.ObserveEra, OnLostChanges: d.requestHeadRestore,
 	})
 	d.node = peer.NewNode(peer.Options{
 		Self: membership.Member{
@@ -266,7 +267,7 @@
 			Cores: d.settings.Cores, Incarnation: uint64(d.started.UnixMilli()),
 		},
 		Meter: d.meter, Random: rand.New(rand.NewPCG(seed, 2)), Log: d.logger,
-		Configuration: d.follower, Slots: slots.NewServer(d.services, d.rates), Seeds: d.seeds,
+		Configuration: d.follower, Slots: slots.NewServer(d.services, d.rateLimits), Seeds: d.seedAddresses,
 		Quarantine: d.quarantine, Limits: d.limits, Drains: d.drains, OnNoAnswer: d.follower.RecordNoAnswer,
 	})
 	d.follower.SetPeers(d.node)
@@ -275,40 +276,41 @@
 	})
 	d.slots = slots.NewClient(d.meter.For("places"), d.logger)
 	d.rollouts = rollout.NewRunner(rollout.Options{Services: d.rolloutServices, Recorder: d.recorder, Log: d.logger})
-	d.rates.SetFleet(&rateFleet{daemon: d})
+	d.rateLimits.SetFleet(&rateFleet{daemon: d})
 	d.handler = frontend.NewHandler(frontend.Options{
 		Name: d.settings.Name, Zone: d.settings.Zone, Network: d.meter.For("forward"), Services: d.services, Peers: d, Slots: d.slots, Operations: d.operations,
 		Log: d.logger, Metrics: scope, LogDecisions: d.logDecisions.Load, Dialect: d.dialect,
 		Configured: d.follower.Serving, Quarantine: d.quarantine, Signals: d.signals,
 	})
 	d.prober = measure.NewProber(measure.Options{
-		Holder: d.settings.Name + "@" + d.listeners.Peer, Store: d.store, Services: d.services, Dispatches: d.probes, Now: d.now, Dialect: d.dialect, Signals: d.signals, Log: d.logger, Metrics: scope,
+		Holder: d.settings.Name + "@" + d.listeners.Peer, Store: d.store, Services: d.services, Dispatches: d.shouldProbe, Now: d.now, Dialect: d.dialect, Signals: d.signals, Log: d.logger, Metrics: scope,
 	})
 }
 
-// elsewhere says whether a zone lies in another region.
-func (d *Daemon) elsewhere(zone string) bool {
+// inOtherRegion reports whether a zone belongs to another region.
+func (d *Daemon) inOtherRegion(zone string) bool {
 	region, known := d.settings.Zones[zone]
 	return known && region != d.settings.Region
 }
 
-// echo is the header that answers of back ends must carry back.
-func (d *Daemon) echo() string {
+// echoHeader returns the request header that responses of back ends must repeat; empty: none.
+func (d *Daemon) echoHeader() string {
 	if d.dialect.EchoesRequestID {
 		return d.dialect.RequestID
 	}
 	return ""
 }
 
-// probes says whether this daemon dispatches a service and is to probe its back ends. A
-// daemon that dispatches for a moment only would take the lease for that from the next.
-func (d *Daemon) probes(name string) bool {
+// shouldProbe reports whether this daemon is the dispatcher of a service and probes its back ends.
+// It returns false while the membership is forming: a daemon that is the dispatcher only briefly
+// would hold the lease for probing, which its successor needs.
+func (d *Daemon) shouldProbe(name string) bool {
 	_, other := d.node.DispatcherOf(name)
 	return !other && !d.node.Forming()
 }
 
-// run starts a goroutine for each duty.
-func (d *Daemon) run(ctx context.Context, listeners opened, scope tally.Scope, metrics http.Handler) {
+// run starts a goroutine for each task.
+func (d *Daemon) run(ctx context.Context, listeners listenerSet, scope tally.Scope, metrics http.Handler) {
 	d.serveCallers(listeners.caller, scope)
 	d.serveHTTP(listeners.forward, d.handler.ForwardedHandler())
 	d.serveHTTP(listeners.admin, admin.NewHandler(d, metrics))
@@ -320,30 +322,30 @@
 			d.log.Error("peer server ended", "error", err)
 		}
 	})
-	// The daemon is known to others before it has a configuration, which they may
-	// bring it. Until then it gives out no places, and they do without.
+	// The daemon joins the others before it has a configuration, which they may
+	// send. Until then it grants no permits, and they decide without it.
 	d.running.Go(func() { d.node.Run(ctx) })
 	d.running.Go(func() { d.follower.Run(ctx) })
 	d.running.Go(func() { d.restoreHead(ctx) })
 	d.running.Go(func() { d.watchMachines(ctx) })
 	d.running.Go(func() { d.quarantine.Run(ctx) })
-	d.running.Go(func() { d.rates.Run(ctx) })
+	d.running.Go(func() { d.rateLimits.Run(ctx) })
 	d.running.Go(func() { d.limits.Run(ctx) })
 	d.running.Go(func() { d.drains.Run(ctx) })
 	d.running.Go(func() { d.pauses.Run(ctx) })
 	d.running.Go(func() { d.rollouts.Run(ctx) })
 	d.running.Go(func() { d.prober.Run(ctx) })
 	d.running.Go(func() { d.reportTraffic(ctx, scope) })
-	d.running.Go(func() { d.reportLeftOut(ctx, scope) })
+	d.running.Go(func() { d.reportDroppedLines(ctx, scope) })
 }
 
-// Bounds of the HTTP servers.
+// Limits of the HTTP servers.
 const (
 	headerTimeout  = 10 * time.Second
 	maxHeaderBytes = 64 << 10
 )
 
-// newServer returns a server of what other daemons, operators and callers ask.
+// newServer returns a server for requests of peers, operators or callers.
 func (d *Daemon) newServer(handler http.Handler) *http.Server {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
@@ -358,13 +360,13 @@
 	d.serve(d.newServer(handler), listener)
 }
 
-// serveCallers serves callers, who may pipeline and are told to come back on a new
-// connection while the daemon stops.
+// serveCallers serves callers, who may pipeline requests. While the daemon is stopping,
+// responses close their connections.
 func (d *Daemon) serveCallers(listener net.Listener, scope tally.Scope) {
-	chosen := d.settings.Pipelining
+	options := d.settings.Pipelining
 	d.callers = pipelining.New(pipelining.Options{
 		Handler: d.handler, Repeatable: d.handler.Repeatable, Refuse: d.handler.RefuseAmbiguous, Closing: d.stopping.Load, IDHeader: d.dialect.RequestID, Metrics: scope,
-		PerConnection: max(chosen.Requests, 0), Total: chosen.Total, RequestBytes: chosen.RequestBytes, AnswerBytes: chosen.AnswerBytes,
+		PerConnection: max(options.Requests, 0), Total: options.Total, RequestBytes: options.RequestBytes, AnswerBytes: options.AnswerBytes,
 	})
 	server := d.newServer(d.callers)
 	server.ConnContext = d.callers.ConnContext
@@ -380,21 +382,21 @@
 	})
 }
 
-// Addresses returns where the daemon listens.
+// Addresses returns the addresses on which the daemon listens.
 func (d *Daemon) Addresses() Addresses {
 	return d.listeners
 }
 
-// Stop ends the daemon without cutting a request: it stops being ready, goes on
-// accepting until the platform's balancer has noticed, tells its peers, finishes
-// every request, and only then closes. ctx bounds the whole; when it ends, what
-// is still running is cut and the error says so.
+// Stop ends the daemon without aborting requests: it reports that it is not ready,
+// tells its peers that it leaves, continues to accept requests until the platform's
+// balancer has noticed, waits for all requests, and closes. When ctx ends, the
+// remaining requests are aborted and an error is returned.
 func (d *Daemon) Stop(ctx context.Context) error {
 	d.stopping.Store(true)
 	notice := time.Duration(d.reloaded.Load().Stop.Notice)
 	d.log.Info("stopping", "notice", notice, "in_flight", d.handler.InFlight())
 	var leaving sync.WaitGroup
-	leaving.Go(func() { d.node.Leave(ctx) }) // peers that do not answer take none of the time
+	leaving.Go(func() { d.node.Leave(ctx) }) // peers that do not respond must not delay the rest
 	wait.Sleep(ctx, notice)
 	err := d.finishRequests(ctx)
 	leaving.Wait()
@@ -403,7 +405,7 @@
 	return err
 }
 
-// finishRequests waits for every request and session.
+// finishRequests waits for all requests and sessions to end.
 func (d *Daemon) finishRequests(ctx context.Context) error {
 	if limit := time.Duration(d.reloaded.Load().Stop.Sessions); limit > 0 {
 		var cancel context.CancelFunc
@@ -411,10 +413,10 @@
 		defer cancel()
 	}
 	d.callers.Drain(ctx)
-	var first error
+	var firstErr error
 	for _, server := range d.servers[:2] {
-		if err := server.Shutdown(ctx); err != nil && first == nil {
-			first = errors.Annotatef(err, "%d requests were cut", d.handler.InFlight())
+		if err := server.Shutdown(ctx); err != nil && firstErr == nil {
+			firstErr = errors.Annotatef(err, "%d requests were aborted", d.handler.InFlight())
 		}
 	}
 	upgraded := make(chan struct{})
@@ -426,7 +428,7 @@
 	case <-upgraded:
 	case <-ctx.Done():
 	}
-	return first
+	return firstErr
 }
 
 func (d *Daemon) close() {
@@ -436,7 +438,7 @@
 		server.Close()
 	}
 	d.running.Wait()
-	d.operations.Close(canceled())
+	d.operations.Close(canceledContext())
 	d.services.Close()
 	if d.client != nil {
 		d.client.Close()
@@ -446,13 +448,13 @@
 	d.logWriter.Close()
 }
 
-// Kill ends the daemon at once, as a crash would: requests in flight are cut and
-// peers are not told.
+// Kill ends the daemon immediately, as a crash would: requests in flight are aborted
+// and peers are not notified.
 func (d *Daemon) Kill() {
 	d.close()
 }
 
-func canceled() context.Context {
+func canceledContext() context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	return ctx
--- a/daemon/doc.go
+++ b/daemon/doc.go
@@ -1,4 +1,4 @@
-// Package daemon puts the parts of a load balancer process together: it builds
-// them from the settings, starts a goroutine for each duty, and stops them in
-// the order that cuts no request in flight.
+// Package daemon assembles a load balancer process: it creates the components
+// from the settings, starts a goroutine for each task, and stops them in an
+// order that does not abort requests in flight.
 package daemon
--- a/daemon/drains.go
+++ b/daemon/drains.go
@@ -5,14 +5,14 @@
 	"github.com/tuliphall/tuliphall/drain"
 )
 
-// applyDrain puts in force what is known of whether a back end is leaving.
+// applyDrain applies the known drain state of a back end.
 func (d *Daemon) applyDrain(key backend.Key) {
 	if running, ok := d.services.Find(key.Service); ok {
 		running.RefreshDrain(key.Backend)
 	}
 }
 
-// tellDrain tells the other daemons that a back end is leaving, or is back.
-func (d *Daemon) tellDrain(record drain.Record) {
+// broadcastDrain tells the other daemons that a back end started or stopped draining.
+func (d *Daemon) broadcastDrain(record drain.Record) {
 	d.node.BroadcastDrain(record)
 }
--- a/daemon/duties.go
+++ b/daemon/duties.go
@@ -17,18 +17,17 @@
 	"github.com/tuliphall/tuliphall/objectstore"
 )
 
-// Timing of the daemon's own duties.
 const (
-	// machineInterval is how often the machine list is read, by watchers only.
-	machineInterval = 5 * time.Second
-	machineDuty     = "read/machines"
-	// statusParallel is how many daemons a status asks at once.
-	statusParallel = 32
+	// machineInterval is how often the chosen daemon reads the machine list.
+	machineInterval   = 5 * time.Second
+	machineWatcherKey = "read/machines"
+	// maxParallelStatus bounds how many daemons are queried at once for a status.
+	maxParallelStatus = 32
 )
 
-// seeds returns peer addresses of other daemons: those in the settings and those
-// on the machine list.
-func (d *Daemon) seeds(ctx context.Context) []string {
+// seedAddresses returns the peer addresses in the settings and those of other daemons on
+// the machine list.
+func (d *Daemon) seedAddresses(ctx context.Context) []string {
 	addresses := append([]string(nil), d.reloaded.Load().Peers...)
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(d.settings.Platform.Timeout))
 	defer cancel()
@@ -44,13 +43,13 @@
 	return addresses
 }
 
-// otherSeeds are the seeds but for this daemon itself.
-func (d *Daemon) otherSeeds(ctx context.Context) []string {
-	return slices.DeleteFunc(d.seeds(ctx), func(one string) bool { return one == d.listeners.Peer })
+// peerSeedAddresses returns the seed addresses except that of this daemon.
+func (d *Daemon) peerSeedAddresses(ctx context.Context) []string {
+	return slices.DeleteFunc(d.seedAddresses(ctx), func(address string) bool { return address == d.listeners.Peer })
 }
 
-// watchMachines reads the machine list while this daemon is chosen to, and tells
-// of back ends that leave.
+// watchMachines reads the machine list while this daemon is chosen to do so, and
+// records which back ends are draining.
 func (d *Daemon) watchMachines(ctx context.Context) {
 	ticker := time.NewTicker(machineInterval)
 	defer ticker.Stop()
@@ -60,7 +59,7 @@
 			return
 		case <-ticker.C:
 		}
-		if !d.node.IsChosen(machineDuty, 1) {
+		if !d.node.IsChosen(machineWatcherKey, 1) {
 			continue
 		}
 		d.readMachines(ctx)
@@ -75,17 +74,17 @@
 		d.log.Warn("machine list not read", "error", err)
 		return
 	}
-	leaving := make(map[string]bool, len(machines))
+	draining := make(map[string]bool, len(machines))
 	for _, machine := range machines {
 		if machine.Role == objectstore.RoleBackend {
-			leaving[machine.Address] = machine.State == objectstore.MachineLeaving
+			draining[machine.Address] = machine.State == objectstore.MachineLeaving
 		}
 	}
 	for name, running := range d.services.All() {
-		for _, one := range running.Target().Backends {
-			// A back end that is not on the list is not known to leave.
-			key := drain.SignalKey{Key: backend.Key{Service: name, Backend: one.ID}, Source: drain.FromMachineList}
-			d.drains.Observe(drain.Signal{SignalKey: key, Draining: leaving[one.Address], Started: one.Started, Sent: time.Now()})
+		for _, declared := range running.Target().Backends {
+			// A back end that is not on the list counts as not draining.
+			key := drain.SignalKey{Key: backend.Key{Service: name, Backend: declared.ID}, Source: drain.FromMachineList}
+			d.drains.Observe(drain.Signal{SignalKey: key, Draining: draining[declared.Address], Started: declared.Started, Sent: time.Now()})
 		}
 	}
 }
@@ -105,7 +104,7 @@
 	d.node.Suspect(name)
 }
 
-// Ready implements admin.Backend.
+// Ready implements admin.Daemon.
 func (d *Daemon) Ready() error {
 	if d.stopping.Load() {
 		return errors.New("stopping")
@@ -118,7 +117,7 @@
 	}
 }
 
-// Apply implements admin.Backend.
+// Apply implements admin.Daemon.
 func (d *Daemon) Apply(ctx context.Context, edit config.Edit) (config.Document, error) {
 	document, err := d.editor.Apply(ctx, edit)
 	if err != nil {
@@ -127,7 +126,7 @@
 	return document, d.follower.Offer(document, "operator")
 }
 
-// Plan implements admin.Backend.
+// Plan implements admin.Daemon.
 func (d *Daemon) Plan(ctx context.Context, edit config.Edit) (config.Document, error) {
 	current, _, err := config.Load(ctx, d.store)
 	if err != nil {
@@ -136,39 +135,39 @@
 	return d.editor.Plan(current, edit)
 }
 
-// Document implements admin.Backend.
+// Document implements admin.Daemon.
 func (d *Daemon) Document() config.Document {
 	return d.follower.Document()
 }
 
-// evacuated returns the zones whose back ends get no new requests from this daemon.
-func (d *Daemon) evacuated() []string {
+// evacuatedZones returns the zones to whose back ends this daemon sends no new requests.
+func (d *Daemon) evacuatedZones() []string {
 	if snapshot := d.services.Snapshot(); snapshot != nil {
 		return snapshot.Document.EvacuatedZones()
 	}
 	return nil
 }
 
-// Status implements admin.Backend. It asks every member which revision it has in
-// force; the platform is not asked.
+// Status implements admin.Daemon. It asks every member for the revision it has in
+// force; it does not query the platform.
 func (d *Daemon) Status(ctx context.Context) admin.Status {
 	status := admin.Status{
 		Daemon: d.settings.Name, Version: Version, Head: d.follower.HighestRevision(), Stored: d.follower.Position().StoreVersion.String(), Era: d.store.Era(), Uptime: time.Since(d.started), Watching: d.follower.Watching(),
-		Evacuated: d.evacuated(), Quarantined: d.quarantine.QuarantinedCount(), Limited: d.limits.LimitedCount(),
+		Evacuated: d.evacuatedZones(), Quarantined: d.quarantine.QuarantinedCount(), Limited: d.limits.LimitedCount(),
 		Draining: d.drains.DrainingCount(), Paused: d.pauses.PauseCount(),
 	}
-	var waiting sync.WaitGroup
+	var group sync.WaitGroup
 	members := d.node.Members()
 	rows := make([]admin.Member, len(members))
-	slots := make(chan struct{}, statusParallel)
+	semaphore := make(chan struct{}, maxParallelStatus)
 	for index, member := range members {
-		waiting.Go(func() {
-			slots <- struct{}{}
-			defer func() { <-slots }()
+		group.Go(func() {
+			semaphore <- struct{}{}
+			defer func() { <-semaphore }()
 			rows[index] = d.memberStatus(ctx, member)
 		})
 	}
-	waiting.Wait()
+	group.Wait()
 	status.Members = rows
 	for _, row := range rows {
 		status.Head = max(status.Head, row.Revision)
@@ -195,24 +194,24 @@
 	return row
 }
 
-// Services implements admin.Backend.
+// Services implements admin.Daemon.
 func (d *Daemon) Services() []admin.ServiceStatus {
 	var rows []admin.ServiceStatus
 	for name, running := range d.services.All() {
-		backends, waiting := running.Dispatcher.Status()
+		backends, queued := running.Dispatcher.Status()
 		running.AddSignals(backends)
-		dispatcher, other := d.node.DispatcherOf(name)
-		if !other {
+		dispatcher, remote := d.node.DispatcherOf(name)
+		if !remote {
 			dispatcher.Name = d.settings.Name
 		}
-		rows = append(rows, admin.ServiceStatus{Name: name, Dispatcher: dispatcher.Name, Waiting: waiting, Backends: backends})
+		rows = append(rows, admin.ServiceStatus{Name: name, Dispatcher: dispatcher.Name, Waiting: queued, Backends: backends})
 	}
 	sort.Slice(rows, func(i, j int) bool { return rows[i].Name < rows[j].Name })
 	return rows
 }
 
-// AliveCount returns how many daemons this one takes for alive, itself
-// included.
+// AliveCount returns the number of daemons that are alive as far as this one
+// knows, including itself.
 func (d *Daemon) AliveCount() int {
 	return len(d.node.View().Serving)
 }
@@ -222,7 +221,7 @@
 	return d.settings.Region
 }
 
-// IsAlive says whether this daemon takes another one for alive.
+// IsAlive reports whether another daemon is alive as far as this one knows.
 func (d *Daemon) IsAlive(name string) bool {
 	for _, member := range d.node.View().Serving {
 		if member.Name == name {
--- a/daemon/leftout.go
+++ b/daemon/leftout.go
@@ -8,10 +8,10 @@
 	"github.com/tuliphall/tuliphall/logging"
 )
 
-// reportLeftOut logs and counts the lines that the bound of the log left out, until
-// ctx ends.
-func (d *Daemon) reportLeftOut(ctx context.Context, scope tally.Scope) {
-	logging.ReportLeftOut(ctx, d.logger, d.logBound, func(kind string, lines int) {
+// reportDroppedLines logs and counts the log lines dropped by the rate limit of the log,
+// until ctx ends.
+func (d *Daemon) reportDroppedLines(ctx context.Context, scope tally.Scope) {
+	logging.ReportLeftOut(ctx, d.logger, d.logLimit, func(kind string, lines int) {
 		scope.Tagged(map[string]string{"kind": kind}).Counter("log_lines_left_out").Inc(int64(lines))
 	})
 }
--- a/daemon/limits.go
+++ b/daemon/limits.go
@@ -8,36 +8,36 @@
 	"github.com/tuliphall/tuliphall/backendlimit"
 )
 
-// isDeclared says whether a back end is declared.
+// isDeclared reports whether the configuration contains a back end.
 func (d *Daemon) isDeclared(key backend.Key) bool {
 	running, ok := d.services.Find(key.Service)
 	return ok && running.HasBackend(key.Backend)
 }
 
-// applyLimit puts a back end's limit in force.
+// applyLimit applies the request limit of a back end.
 func (d *Daemon) applyLimit(key backend.Key) {
 	if running, ok := d.services.Find(key.Service); ok {
 		running.RefreshLimit(key.Backend)
 	}
 }
 
-// tellLimit tells the other daemons of a back end's limit.
-func (d *Daemon) tellLimit(record backendlimit.Record) {
+// broadcastLimit sends the request limit of a back end to the other daemons.
+func (d *Daemon) broadcastLimit(record backendlimit.Record) {
 	d.node.BroadcastLimit(record)
 }
 
-// partsInterval is how often the parts of limits are reckoned anew, which takes a walk over all
-// members; members are lost and found no faster than heartbeats tell, once a second.
-const partsInterval = 250 * time.Millisecond
+// sharesInterval is how often the shares of limits are recomputed, which iterates over all members.
+// Members are lost and found no faster than the heartbeat interval of one second.
+const sharesInterval = 250 * time.Millisecond
 
-// serviceLimits is what the daemon's services ask of limits. It implements service.Limits.
+// serviceLimits provides the limits of back ends to the services. It implements service.Limits.
 type serviceLimits struct {
 	*backendlimit.Tracker
 	daemon *Daemon
 
-	mutex    sync.Mutex
-	parts    backendlimit.Shares
-	reckoned time.Time
+	mutex      sync.Mutex
+	shares     backendlimit.Shares
+	computedAt time.Time
 }
 
 // Shares implements service.Limits.
@@ -47,10 +47,10 @@
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if now := time.Now(); now.Sub(l.reckoned) >= partsInterval {
-		l.reckoned = now
-		alive, all := l.daemon.node.FleetSize(lostFor)
-		l.parts = l.parts.Next(now, alive, all, l.daemon.node.RegionSize(), l.daemon.node.LastContact())
+	if now := time.Now(); now.Sub(l.computedAt) >= sharesInterval {
+		l.computedAt = now
+		alive, all := l.daemon.node.FleetSize(lostDaemonTimeout)
+		l.shares = l.shares.Next(now, alive, all, l.daemon.node.RegionSize(), l.daemon.node.LastContact())
 	}
-	return l.parts
+	return l.shares
 }
--- a/daemon/pauses.go
+++ b/daemon/pauses.go
@@ -2,7 +2,7 @@
 
 import "github.com/tuliphall/tuliphall/backend"
 
-// applyPause puts in force for this daemon's probes that a back end asked it for a pause. Requests look it up.
+// applyPause applies the pause that a back end has asked for to this daemon's probes. Requests look the pause up.
 func (d *Daemon) applyPause(key backend.Key) {
 	if running, ok := d.services.Find(key.Service); ok {
 		running.RefreshPause(key.Backend)
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -7,30 +7,31 @@
 	"github.com/tuliphall/tuliphall/quarantine"
 )
 
-// readsQuarantine says whether this daemon reads from the store which requests are held back:
-// as those that watch it do. A daemon that has run since the whole system started has been told.
+// readsQuarantine reports whether this daemon reads the quarantined requests from the store, as
+// the daemons that watch the store do. A daemon that has run since the first start of the whole
+// system has received them from its peers.
 func (d *Daemon) readsQuarantine() bool {
 	return d.follower.Watching() && !d.settings.Platform.FirstStart
 }
 
-// tellCrashingRequest tells others what was noted of a request under which back ends ended.
-func (d *Daemon) tellCrashingRequest(record quarantine.Record) {
+// broadcastCrashingRequest sends the record of a request under which back ends crashed to the other daemons.
+func (d *Daemon) broadcastCrashingRequest(record quarantine.Record) {
 	d.node.BroadcastCrashingRequest(record)
 }
 
-// CrashingRequests implements admin.QuarantineBackend.
+// CrashingRequests implements admin.QuarantineManager.
 func (d *Daemon) CrashingRequests() []admin.CrashingRequest {
 	rows := []admin.CrashingRequest{}
-	for _, noted := range d.quarantine.Entries() {
+	for _, entry := range d.quarantine.Entries() {
 		rows = append(rows, admin.CrashingRequest{
-			Fingerprint: noted.Fingerprint.String(), Service: noted.Service, Description: noted.Description, Crashes: len(noted.Crashes),
-			Quarantined: noted.Quarantined, Manual: noted.ManualAt > 0, Until: noted.Until,
+			Fingerprint: entry.Fingerprint.String(), Service: entry.Service, Description: entry.Description, Crashes: len(entry.Crashes),
+			Quarantined: entry.Quarantined, Manual: entry.ManualAt > 0, Until: entry.Until,
 		})
 	}
 	return rows
 }
 
-// Quarantine implements admin.QuarantineBackend.
+// Quarantine implements admin.QuarantineManager.
 func (d *Daemon) Quarantine(fingerprint quarantine.Fingerprint, release bool) error {
 	if !release {
 		d.quarantine.Quarantine(quarantine.Record{Fingerprint: fingerprint})
--- a/daemon/rollouts.go
+++ b/daemon/rollouts.go
@@ -8,14 +8,14 @@
 	"github.com/tuliphall/tuliphall/rollout"
 )
 
-// rolloutServices returns the services with a rollout that this daemon dispatches.
+// rolloutServices returns the services with a rollout of which this daemon is the dispatcher.
 func (d *Daemon) rolloutServices() map[string]rollout.Service {
 	var services map[string]rollout.Service
 	for name, running := range d.services.All() {
-		if _, ordered := running.Recorded(); !ordered {
+		if _, known := running.Recorded(); !known {
 			continue
 		}
-		if _, other := d.node.DispatcherOf(name); other || d.node.Forming() {
+		if _, remote := d.node.DispatcherOf(name); remote || d.node.Forming() {
 			continue
 		}
 		if services == nil {
@@ -26,17 +26,17 @@
 	return services
 }
 
-// rolloutRecorder records rollouts in the head object of the store, as operators declare them. It
-// implements rollout.Recorder.
+// rolloutRecorder records the state of rollouts in the head object of the store, which holds the
+// operators' orders. It implements rollout.Recorder.
 type rolloutRecorder struct {
 	daemon *Daemon
 }
 
 // RecordRollout implements rollout.Recorder.
-func (r *rolloutRecorder) RecordRollout(ctx context.Context, decided config.Rollout) error {
+func (r *rolloutRecorder) RecordRollout(ctx context.Context, decision config.Rollout) error {
 	_, err := r.daemon.Apply(ctx, config.Edit{
-		ID: rand.Text(), Author: r.daemon.settings.Name, Summary: "rollout " + decided.Service + " " + string(decided.Phase),
-		Base: r.daemon.follower.Revision(), Set: config.Content{Rollouts: []config.Rollout{decided}},
+		ID: rand.Text(), Author: r.daemon.settings.Name, Summary: "rollout " + decision.Service + " " + string(decision.Phase),
+		Base: r.daemon.follower.Revision(), Set: config.Content{Rollouts: []config.Rollout{decision}},
 	})
 	return err
 }
--- a/daemon/tenants.go
+++ b/daemon/tenants.go
@@ -10,12 +10,12 @@
 	"github.com/tuliphall/tuliphall/ratelimit"
 )
 
-// lostFor is for how long a daemon that was lost without a word counts as one that may go on
-// letting requests of tenants through, out of sight of the others: longer than most cuts
-// last. Each of n lost ones takes 1/n of every tenant's rate meanwhile.
-const lostFor = 10 * time.Minute
+// lostDaemonTimeout is how long a daemon that was lost without leaving is assumed to be partitioned
+// and still to admit requests of tenants: longer than most partitions last. Meanwhile 1/n of every
+// tenant's rate is reserved for each lost daemon, where n is the number of all daemons.
+const lostDaemonTimeout = 10 * time.Minute
 
-// limitOf returns the limit of a tenant that is in force.
+// limitOf returns the rate limit of a tenant. It returns false if the tenant has none.
 func (d *Daemon) limitOf(name string) (ratelimit.Limit, bool) {
 	snapshot := d.services.Snapshot()
 	if snapshot == nil {
@@ -28,23 +28,23 @@
 	return ratelimit.Limit{Rate: tenant.Rate, Burst: tenant.Burst}, true
 }
 
-// Tenants implements admin.TenantBackend.
+// Tenants implements admin.TenantReporter.
 func (d *Daemon) Tenants(ctx context.Context) []ratelimit.Usage {
-	return d.rates.Usage(ctx)
+	return d.rateLimits.Usage(ctx)
 }
 
-// rateFleet is what the daemon's rates ask of the other daemons. It implements
+// rateFleet provides the other daemons to the rate limiter. It implements
 // ratelimit.Fleet.
 type rateFleet struct {
 	daemon *Daemon
 
 	mutex sync.Mutex
-	// grantors are those of a view and a snapshot: choosing them takes a hash for each
-	// member and service, and they are asked for up to 20 times a second.
-	view     *peer.View
-	snapshot *config.Snapshot
-	grantors []ratelimit.Grantor
-	self     bool
+	// grantors is cached for a view and a snapshot: choosing them computes a hash for each
+	// member and service, and they are requested up to 20 times a second.
+	view      *peer.View
+	snapshot  *config.Snapshot
+	grantors  []ratelimit.Grantor
+	isGrantor bool
 }
 
 // Grantors implements ratelimit.Fleet.
@@ -56,7 +56,7 @@
 		return nil, false
 	}
 	if view == f.view && snapshot == f.snapshot {
-		return f.grantors, f.self
+		return f.grantors, f.isGrantor
 	}
 	var names []string
 	for _, target := range snapshot.Targets {
@@ -69,13 +69,13 @@
 	for _, member := range members {
 		f.grantors = append(f.grantors, ratelimit.Grantor{Name: member.Name, Address: member.PeerAddress})
 	}
-	f.view, f.snapshot, f.self = view, snapshot, self
+	f.view, f.snapshot, f.isGrantor = view, snapshot, self
 	return f.grantors, self
 }
 
 // Alive implements ratelimit.Fleet.
 func (f *rateFleet) Alive() (alive, all int) {
-	return f.daemon.node.FleetSize(lostFor)
+	return f.daemon.node.FleetSize(lostDaemonTimeout)
 }
 
 // Exchange implements ratelimit.Fleet.
--- a/daemon/traffic.go
+++ b/daemon/traffic.go
@@ -11,15 +11,15 @@
 	"github.com/tuliphall/tuliphall/network"
 )
 
-// trafficInterval is how often the traffic by purpose is counted and logged.
+// trafficInterval is how often the traffic by purpose is reported.
 const trafficInterval = 10 * time.Second
 
-// reportTraffic counts and logs what passed over the connections that this daemon
-// opened, by what they are for, until ctx ends.
+// reportTraffic counts and logs the traffic on connections that this daemon opened, by
+// purpose, until ctx ends.
 func (d *Daemon) reportTraffic(ctx context.Context, scope tally.Scope) {
 	ticker := time.NewTicker(trafficInterval)
 	defer ticker.Stop()
-	var before map[string]network.Traffic
+	var previous map[string]network.Traffic
 	era := scope.Gauge("store_era")
 	for {
 		select {
@@ -29,23 +29,23 @@
 		}
 		era.Update(float64(d.store.Era()))
 		totals := d.meter.Totals()
-		countTraffic(scope, before, totals)
-		d.log.LogAttrs(ctx, slog.LevelInfo, "traffic", trafficAttributes(before, totals)...)
-		before = totals
+		countTraffic(scope, previous, totals)
+		d.log.LogAttrs(ctx, slog.LevelInfo, "traffic", trafficAttributes(previous, totals)...)
+		previous = totals
 	}
 }
 
-func countTraffic(scope tally.Scope, before, totals map[string]network.Traffic) {
+func countTraffic(scope tally.Scope, previous, totals map[string]network.Traffic) {
 	for purpose, total := range totals {
 		tagged := scope.Tagged(map[string]string{"purpose": purpose})
-		tagged.Counter("network_connections").Inc(total.Connections - before[purpose].Connections)
-		tagged.Counter("network_sent_bytes").Inc(total.Sent - before[purpose].Sent)
-		tagged.Counter("network_received_bytes").Inc(total.Received - before[purpose].Received)
+		tagged.Counter("network_connections").Inc(total.Connections - previous[purpose].Connections)
+		tagged.Counter("network_sent_bytes").Inc(total.Sent - previous[purpose].Sent)
+		tagged.Counter("network_received_bytes").Inc(total.Received - previous[purpose].Received)
 	}
 }
 
-// trafficAttributes gives the bytes of each purpose since the last line, both ways.
-func trafficAttributes(before, totals map[string]network.Traffic) []slog.Attr {
+// trafficAttributes returns the bytes sent and received for each purpose since the last report.
+func trafficAttributes(previous, totals map[string]network.Traffic) []slog.Attr {
 	purposes := make([]string, 0, len(totals))
 	for purpose := range totals {
 		purposes = append(purposes, purpose)
@@ -53,8 +53,8 @@
 	sort.Strings(purposes)
 	attributes := make([]slog.Attr, 0, len(purposes))
 	for _, purpose := range purposes {
-		total, earlier := totals[purpose], before[purpose]
-		attributes = append(attributes, slog.Int64(purpose, total.Sent+total.Received-earlier.Sent-earlier.Received))
+		total, last := totals[purpose], previous[purpose]
+		attributes = append(attributes, slog.Int64(purpose, total.Sent+total.Received-last.Sent-last.Received))
 	}
 	return attributes
 }
--- a/launch/launch.go
+++ b/launch/launch.go
@@ -1,4 +1,4 @@
-// Package launch is the daemon's command line: it reads flags and settings,
+// Package launch implements the daemon's command line: it reads flags and settings,
 // starts the daemon, and stops it on a signal.
 package launch
 
@@ -38,63 +38,63 @@
 // Run runs the daemon's command line until the daemon has stopped, and returns
 // the exit code.
 func Run(arguments []string) int {
-	var chosen options
-	parser := flags.NewParser(&chosen, flags.Default)
-	rest, err := parser.ParseArgs(arguments)
+	var flagValues options
+	parser := flags.NewParser(&flagValues, flags.Default)
+	positional, err := parser.ParseArgs(arguments)
 	if flags.WroteHelp(err) {
 		return exitOK
 	}
 	if err != nil {
-		return exitSettings // the parser has printed the error
+		return exitSettings // the parser has already printed the error
 	}
-	if chosen.Version {
+	if flagValues.Version {
 		fmt.Println("tuliphalld", daemon.Version)
 		return exitOK
 	}
-	built, err := build(chosen, rest)
+	built, err := build(flagValues, positional)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "tuliphalld:", err)
 		return exitSettings
 	}
-	if chosen.CheckConfig {
+	if flagValues.CheckConfig {
 		fmt.Println("configuration is valid")
 		return exitOK
 	}
-	if err := serve(chosen, built); err != nil {
+	if err := serve(flagValues, built); err != nil {
 		fmt.Fprintln(os.Stderr, "tuliphalld:", err)
 		return exitFailed
 	}
 	return exitOK
 }
 
-// build reads and checks the file that was named.
-func build(chosen options, rest []string) (daemon.Options, error) {
-	if len(rest) > 0 {
-		return daemon.Options{}, errors.NotValidf("argument %q", rest[0])
+// build checks the arguments and loads the specified file.
+func build(flagValues options, positional []string) (daemon.Options, error) {
+	if len(positional) > 0 {
+		return daemon.Options{}, errors.NotValidf("argument %q", positional[0])
 	}
-	if (chosen.Settings == "") == (chosen.Standalone == "") {
+	if (flagValues.Settings == "") == (flagValues.Standalone == "") {
 		return daemon.Options{}, errors.New("give either --settings FILE or --standalone FILE")
 	}
-	return load(chosen)
+	return load(flagValues)
 }
 
-// load reads and checks the file that was named, and lets flags override it.
-func load(chosen options) (daemon.Options, error) {
+// load reads and validates the specified file, and applies the flags that override it.
+func load(flagValues options) (daemon.Options, error) {
 	var built daemon.Options
 	var err error
-	if chosen.Standalone != "" {
-		built, err = standalone.Load(chosen.Standalone)
+	if flagValues.Standalone != "" {
+		built, err = standalone.Load(flagValues.Standalone)
 	} else {
-		built, err = fromSettings(chosen.Settings)
+		built, err = fromSettings(flagValues.Settings)
 	}
 	if err != nil {
 		return daemon.Options{}, err
 	}
-	if chosen.LogLevel != "" {
-		built.Settings.Log.Level = chosen.LogLevel
+	if flagValues.LogLevel != "" {
+		built.Settings.Log.Level = flagValues.LogLevel
 	}
-	if chosen.LogFormat != "" {
-		built.Settings.Log.Format = chosen.LogFormat
+	if flagValues.LogFormat != "" {
+		built.Settings.Log.Format = flagValues.LogFormat
 	}
 	built.LogOutput, built.Now = os.Stdout, clock.Boot
 	return built, errors.Annotate(built.Settings.Validate(), "flags")
@@ -110,48 +110,47 @@
 	}
 	built := daemon.Options{Settings: loaded}
 	if loaded.Platform.Protocol == settings.ProtocolObjects {
-		connect(&built)
+		usePlatform(&built)
 	}
 	return built, nil
 }
 
-// connect lets a daemon follow a platform that declares services and lists back
+// usePlatform configures a daemon for a platform that declares services and lists back
 // ends itself.
-func connect(built *daemon.Options) {
-	chosen := built.Settings.Platform
-	connected := platform.New(platform.Options{
-		Address: chosen.Address, Direct: chosen.Direct, MaxConnections: chosen.Connections,
-		RetryRatio: chosen.RetryRatio, RetryBurst: chosen.RetryBurst, ProbesPerBackend: chosen.ProbesPerBackend, Rollouts: chosen.Rollouts,
+func usePlatform(built *daemon.Options) {
+	options := built.Settings.Platform
+	store := platform.New(platform.Options{
+		Address: options.Address, Direct: options.Direct, MaxConnections: options.Connections,
+		RetryRatio: options.RetryRatio, RetryBurst: options.RetryBurst, ProbesPerBackend: options.ProbesPerBackend, Rollouts: options.Rollouts,
 	})
 	dialect := platform.Dialect()
-	built.Store, built.Machines, built.Sources, built.Dialect = connected, connected, connected.Sources, &dialect
-	built.Rollouts = connected
+	built.Store, built.Machines, built.Sources, built.Dialect = store, store, store.Sources, &dialect
+	built.Rollouts = store
 }
 
 // serve runs the daemon until SIGTERM or SIGINT, and then stops it without
-// cutting a request. A second signal ends it at once. SIGHUP reads the settings file
-// again; it never ends the daemon, whenever it comes.
-func serve(chosen options, built daemon.Options) error {
+// aborting requests. A second signal ends it immediately. SIGHUP reloads the settings
+// file; it never ends the daemon, even during startup.
+func serve(flagValues options, built daemon.Options) error {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	running, err := daemon.Start(built)
 	if err != nil {
 		return err
 	}
-	go reloadOn(hangups, chosen, running)
-	first, release := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
+	go reloadOn(hangups, flagValues, running)
+	first, stopFirst := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	<-first.Done()
-	release()
-	second, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
-	defer stop()
+	stopFirst()
+	second, stopSecond := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
+	defer stopSecond()
 	return running.Stop(second)
 }
 
-// reloadOn reads the settings file again at each signal. It runs as long as the
-// process.
-func reloadOn(hangups <-chan os.Signal, chosen options, running *daemon.Daemon) {
+// reloadOn reloads the settings file at each signal, until the process ends.
+func reloadOn(hangups <-chan os.Signal, flagValues options, running *daemon.Daemon) {
 	for range hangups {
-		built, err := load(chosen)
+		built, err := load(flagValues)
 		if err != nil {
 			running.LogReloadError(err)
 			continue
--- a/network/meter.go
+++ b/network/meter.go
@@ -7,17 +7,17 @@
 	"sync/atomic"
 )
 
-// Traffic is what passed over the connections opened for one purpose.
+// Traffic is the traffic on the connections opened for one purpose.
 type Traffic struct {
 	Connections int64
 	Sent        int64 // bytes
 	Received    int64 // bytes
 }
 
-// Meter counts what passes over the connections that a daemon opens, by what they
-// are for. It is safe for concurrent use.
+// Meter counts the traffic on the connections that a daemon opens, by their purpose.
+// It is safe for concurrent use.
 type Meter struct {
-	under Network
+	base Network
 
 	mutex    sync.Mutex
 	counters map[string]*counter
@@ -27,45 +27,45 @@
 	connections, sent, received atomic.Int64
 }
 
-// NewMeter returns a meter that opens connections over a network.
-func NewMeter(under Network) *Meter {
-	return &Meter{under: under, counters: make(map[string]*counter)}
+// NewMeter returns a meter that opens connections on a network.
+func NewMeter(base Network) *Meter {
+	return &Meter{base: base, counters: make(map[string]*counter)}
 }
 
-// For returns the network with connections counted under a purpose. Purposes are
-// few and fixed in the code.
+// For returns a network whose connections are counted for a purpose. Purposes must be
+// constants, as their counters are never removed.
 func (m *Meter) For(purpose string) Network {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	counted, known := m.counters[purpose]
+	purposeCounter, known := m.counters[purpose]
 	if !known {
-		counted = &counter{}
-		m.counters[purpose] = counted
+		purposeCounter = &counter{}
+		m.counters[purpose] = purposeCounter
 	}
-	return &metered{Network: m.under, counter: counted}
+	return &meteredNetwork{Network: m.base, counter: purposeCounter}
 }
 
-// Totals returns the traffic since the start, by purpose.
+// Totals returns the traffic since the meter was created, by purpose.
 func (m *Meter) Totals() map[string]Traffic {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	totals := make(map[string]Traffic, len(m.counters))
-	for purpose, counted := range m.counters {
+	for purpose, purposeCounter := range m.counters {
 		totals[purpose] = Traffic{
-			Connections: counted.connections.Load(), Sent: counted.sent.Load(), Received: counted.received.Load(),
+			Connections: purposeCounter.connections.Load(), Sent: purposeCounter.sent.Load(), Received: purposeCounter.received.Load(),
 		}
 	}
 	return totals
 }
 
-// metered implements Network.
-type metered struct {
+// meteredNetwork implements Network.
+type meteredNetwork struct {
 	Network
 	counter *counter
 }
 
 // Dial implements Network.
-func (m *metered) Dial(ctx context.Context, address string) (net.Conn, error) {
+func (m *meteredNetwork) Dial(ctx context.Context, address string) (net.Conn, error) {
 	conn, err := m.Network.Dial(ctx, address)
 	if err != nil {
 		return nil, err
--- a/network/meter_test.go
+++ b/network/meter_test.go
@@ -10,7 +10,7 @@
 	"github.com/tuliphall/tuliphall/network"
 )
 
-// TestMeterCountsByPurpose sends over two connections for two purposes.
+// TestMeterCountsByPurpose checks the counts of two connections with different purposes.
 func TestMeterCountsByPurpose(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/network/network.go
+++ b/network/network.go
@@ -1,5 +1,5 @@
-// Package network is how a daemon reaches others and is reached: the machine's
-// TCP, or in tests a network in memory whose faults are scripted.
+// Package network abstracts the network of a daemon: TCP, or in tests a network in
+// memory with scripted faults.
 package network
 
 import (
@@ -13,7 +13,7 @@
 	Listen(address string) (net.Listener, error)
 }
 
-// TCP is the machine's own network.
+// TCP is the TCP network of the machine.
 type TCP struct{}
 
 // Dial implements Network.
--- a/standalone/standalone.go
+++ b/standalone/standalone.go
@@ -1,6 +1,6 @@
-// Package standalone runs a daemon from one file, with the platform's store
-// replaced by one in memory. It is for trying tuliphall out and for development;
-// nothing is kept when the daemon ends.
+// Package standalone configures a daemon from one file, with a store in memory
+// instead of the platform's. It is for evaluation and development: nothing persists
+// after the daemon ends.
 package standalone
 
 import (
@@ -15,36 +15,36 @@
 	"github.com/tuliphall/tuliphall/settings"
 )
 
-// file holds a daemon's settings and the objects it serves.
+// file holds the settings of a daemon and the objects of its configuration.
 type file struct {
 	settings.Settings
 	config.Content
 }
 
-// Load reads and checks the file.
+// Load reads and validates the file.
 func Load(path string) (daemon.Options, error) {
-	text, err := os.ReadFile(path)
+	data, err := os.ReadFile(path)
 	if err != nil {
 		return daemon.Options{}, errors.Annotate(err, "standalone file")
 	}
-	return Decode(path, text)
+	return Decode(path, data)
 }
 
-// Decode reads the file from a text; name stands for it in errors.
+// Decode decodes and validates the content of a file. name identifies it in errors.
 func Decode(name string, text []byte) (daemon.Options, error) {
-	var read file
-	if err := config.DecodeStrictTOML(name, text, &read); err != nil {
+	var decoded file
+	if err := config.DecodeStrictTOML(name, text, &decoded); err != nil {
 		return daemon.Options{}, err
 	}
-	read.Settings.SetDefaults()
-	if err := read.Settings.Validate(); err != nil {
+	decoded.Settings.SetDefaults()
+	if err := decoded.Settings.Validate(); err != nil {
 		return daemon.Options{}, errors.Annotate(err, name)
 	}
-	if err := read.Content.Validate(); err != nil {
+	if err := decoded.Content.Validate(); err != nil {
 		return daemon.Options{}, config.AnnotateLine(name, text, err)
 	}
 	store := objectstore.NewMemory()
-	document, err := config.Document{}.Advance(read.Content, config.Change{ID: "standalone", Author: "standalone", Summary: name})
+	document, err := config.Document{}.Advance(decoded.Content, config.Change{ID: "standalone", Author: "standalone", Summary: name})
 	if err != nil {
 		return daemon.Options{}, err
 	}
@@ -55,5 +55,5 @@
 	if _, err := store.Put(context.Background(), config.HeadKey, data, 0); err != nil {
 		return daemon.Options{}, errors.Annotate(err, name)
 	}
-	return daemon.Options{Settings: read.Settings, Store: store, Machines: store}, nil
+	return daemon.Options{Settings: decoded.Settings, Store: store, Machines: store}, nil
 }
