--- a/backend/draining.go
+++ b/backend/draining.go
@@ -26,7 +26,7 @@
 		case "false":
 			draining = DrainingFalse
 		default:
-			invalid = errors.NotValidf("header %s: value %q: allowed: true or false; it", HeaderDraining, value)
+			invalid = errors.NotValidf("header %s: value %q (allowed: true or false)", HeaderDraining, value)
 		}
 	}
 	if draining != DrainingUnspecified {
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -69,8 +69,8 @@
 
 // Daemon is one running load balancer process.
 type Daemon struct {
-	settings  settings.Settings // of the start
-	reloaded  atomic.Pointer[settings.Settings]
+	settings  settings.Settings                 // at startup
+	reloaded  atomic.Pointer[settings.Settings] // with the changes of Reload
 	network   network.Network
 	now       clock.Clock
 	meter     *network.Meter
@@ -287,7 +287,7 @@
 	})
 }
 
-// inOtherRegion reports whether a zone belongs to another region.
+// inOtherRegion reports whether a zone belongs to another region. It returns false for an unknown zone.
 func (d *Daemon) inOtherRegion(zone string) bool {
 	region, known := d.settings.Zones[zone]
 	return known && region != d.settings.Region
