--- a/backend/conn.go
+++ b/backend/conn.go
@@ -83,7 +83,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.recording = false
-	return framing.CheckAnswer(c.responseHead)
+	return framing.CheckResponse(c.responseHead)
 }
 
 func (c *trackedConn) writesStarted() int64 {
--- a/backendlimit/tracker.go
+++ b/backendlimit/tracker.go
@@ -42,7 +42,7 @@
 	// further processing.
 	limited atomic.Int64
 	// warned are the back ends for which an unreadable limit was logged.
-	warned *logging.Once[backend.Key]
+	warned *logging.Deduplicator[backend.Key]
 
 	mutex sync.Mutex
 	table *Table
@@ -51,7 +51,7 @@
 // NewTracker returns a tracker without records.
 func NewTracker(options Options) *Tracker {
 	return &Tracker{
-		options: options, log: logging.Part(options.Log, "limits"), table: NewTable(), warned: logging.NewOnce[backend.Key](maxRecords),
+		options: options, log: logging.Component(options.Log, "limits"), table: NewTable(), warned: logging.NewDeduplicator[backend.Key](maxRecords),
 		unreadable: options.Metrics.Counter("backend_limits_unreadable"), gauge: options.Metrics.Gauge("backends_limited"),
 	}
 }
@@ -89,7 +89,7 @@
 // noteUnreadable counts an unreadable limit, and logs the first of each back end.
 func (t *Tracker) noteUnreadable(key backend.Key, err error) {
 	t.unreadable.Inc(1)
-	if t.warned.First(key) {
+	if t.warned.FirstSeen(key) {
 		t.log.Warn("limit not understood; keeping the last known one", "service", key.Service, "backend", key.Backend, "error", err)
 	}
 }
@@ -164,6 +164,6 @@
 		t.table.Forget(time.Now(), t.options.Declared)
 		t.updateCount()
 		t.mutex.Unlock()
-		t.warned.Keep(t.options.Declared)
+		t.warned.Retain(t.options.Declared)
 	}
 }
--- a/command/explain.go
+++ b/command/explain.go
@@ -88,8 +88,8 @@
 }
 
 func (c *explainCommand) printJSON(one explain.Explanation) error {
-	printed := explained{Request: one.Request, Cause: one.Cause.Kind, At: one.Cause.At, Sentence: one.Cause.Sentence, Belief: one.Cause.Belief}
-	for _, line := range one.Story {
+	printed := explained{Request: one.Request, Cause: one.Cause.Kind, At: one.Cause.Subject, Sentence: one.Cause.Description, Belief: one.Cause.Assumption}
+	for _, line := range one.Lines {
 		printed.Lines = append(printed.Lines, line.Text)
 	}
 	return json.NewEncoder(c.global.out).Encode(printed)
@@ -110,7 +110,7 @@
 	printed := make([]group, 0, len(groups))
 	for _, one := range groups {
 		printed = append(printed, group{
-			Cause: one.Kind, Requests: one.Requests, Most: one.Most, Count: one.MostCount,
+			Cause: one.Kind, Requests: one.Requests, Most: one.TopSubject, Count: one.TopCount,
 			From: one.First.Time, To: one.Last.Time, Example: one.Example.Request,
 		})
 	}
@@ -125,7 +125,7 @@
 	rows := [][]string{{"REQUESTS", "CAUSE", "MOST AT", "FROM", "TO", "FOR EXAMPLE"}}
 	for _, one := range groups {
 		rows = append(rows, []string{
-			strconv.Itoa(one.Requests), one.Kind, fmt.Sprintf("%s (%d)", one.Most, one.MostCount),
+			strconv.Itoa(one.Requests), one.Kind, fmt.Sprintf("%s (%d)", one.TopSubject, one.TopCount),
 			one.First.Time.Format(time.TimeOnly), one.Last.Time.Format(time.TimeOnly), one.Example.Request,
 		})
 	}
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -80,7 +80,7 @@
 	machines  objectstore.Machines
 	client    *objectstore.Client // nil when the platform was given
 	logWriter *logging.Writer
-	logLimit  *logging.Bound
+	logLimit  *logging.Limiter
 	logLevel  slog.LevelVar
 	// logDecisions enables a log line for each decision and answered request.
 	logDecisions atomic.Bool
@@ -155,9 +155,9 @@
 func (d *Daemon) setUpLogging(output io.Writer) {
 	options := d.settings.Log
 	d.logWriter = logging.NewWriter(output)
-	d.logLimit = logging.NewBound(time.Now(), options.LinesPerSecond, options.BytesPerSecond)
-	d.logger = logging.New(d.logWriter, logging.Options{Level: &d.logLevel, JSON: options.Format == "json", Daemon: d.settings.Name, Bound: d.logLimit})
-	d.log = logging.Part(d.logger, "daemon")
+	d.logLimit = logging.NewLimiter(time.Now(), options.LinesPerSecond, options.BytesPerSecond)
+	d.logger = logging.New(d.logWriter, logging.Options{Level: &d.logLevel, JSON: options.Format == "json", Daemon: d.settings.Name, Limiter: d.logLimit})
+	d.log = logging.Component(d.logger, "daemon")
 	d.applyLogSettings(options)
 }
 
@@ -165,7 +165,7 @@
 	d.store, d.machines = options.Store, options.Machines
 	if d.store == nil {
 		d.client = objectstore.NewClient(d.meter.For("store"), d.settings.Platform.Address, d.settings.Name)
-		d.client.SetLogger(logging.Part(d.logger, "store"))
+		d.client.SetLogger(logging.Component(d.logger, "store"))
 		d.store, d.machines = d.client, d.client
 	}
 	d.recorder = options.Rollouts
@@ -352,7 +352,7 @@
 	protocols.SetUnencryptedHTTP2(true)
 	return &http.Server{
 		Handler: handler, Protocols: protocols, ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes,
-		ErrorLog: slog.NewLogLogger(logging.Part(d.logger, "http").Handler(), slog.LevelDebug),
+		ErrorLog: slog.NewLogLogger(logging.Component(d.logger, "http").Handler(), slog.LevelDebug),
 	}
 }
 
@@ -366,11 +366,11 @@
 	options := d.settings.Pipelining
 	d.callers = pipelining.New(pipelining.Options{
 		Handler: d.handler, Repeatable: d.handler.Repeatable, Refuse: d.handler.RefuseAmbiguous, Closing: d.stopping.Load, IDHeader: d.dialect.RequestID, Metrics: scope,
-		PerConnection: max(options.Requests, 0), Total: options.Total, RequestBytes: options.RequestBytes, AnswerBytes: options.AnswerBytes,
+		MaxPerConnection: max(options.Requests, 0), MaxTotal: options.Total, MaxReadAheadBytes: options.RequestBytes, MaxBufferedBodyBytes: options.AnswerBytes,
 	})
 	server := d.newServer(d.callers)
 	server.ConnContext = d.callers.ConnContext
-	d.serve(server, d.callers.Listener(listener))
+	d.serve(server, d.callers.WrapListener(listener))
 }
 
 func (d *Daemon) serve(server *http.Server, listener net.Listener) {
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -235,7 +235,7 @@
 func BenchmarkLog(b *testing.B) {
 	writer := logging.NewWriter(io.Discard)
 	defer writer.Close()
-	log := logging.Part(logging.New(writer, logging.Options{Level: slog.LevelInfo, Daemon: "entry-1"}), "routing")
+	log := logging.Component(logging.New(writer, logging.Options{Level: slog.LevelInfo, Daemon: "entry-1"}), "routing")
 	b.ReportAllocs()
 	for b.Loop() {
 		log.Info("chosen", "request", "entry-1-1", "service", "prices", "class", "read", "backend", "b1",
--- a/dissemination/follower.go
+++ b/dissemination/follower.go
@@ -149,7 +149,7 @@
 		options.MaxBackoff = maxBackoff
 	}
 	return &Follower{
-		options: options, log: logging.Part(options.Log, "configuration"), behind: make(chan news, behindQueue),
+		options: options, log: logging.Component(options.Log, "configuration"), behind: make(chan news, behindQueue),
 		toAnnounce: make(chan struct{}, 1), toPassOn: make(chan struct{}, 1), configured: make(chan struct{}), retained: make(chan struct{}, 1),
 		standIn: newStandIn(len(options.Sources)),
 	}
--- a/drain/keeper.go
+++ b/drain/keeper.go
@@ -44,7 +44,7 @@
 
 // NewTracker returns a tracker without records.
 func NewTracker(options Options) *Tracker {
-	return &Tracker{options: options, log: logging.Part(options.Log, "drains"), table: NewTable(), gauge: options.Metrics.Gauge("backends_leaving")}
+	return &Tracker{options: options, log: logging.Component(options.Log, "drains"), table: NewTable(), gauge: options.Metrics.Gauge("backends_leaving")}
 }
 
 // Observe takes in a signal that this daemon observes. It is called on the request path.
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -11,10 +11,10 @@
 // Explanation is how one request ended and why.
 type Explanation struct {
 	Request string
-	Story   []Line
+	Lines   []Line
 	Cause   Cause
-	// Known is what daemons knew of the back ends that the request was sent to, where that might have kept it away.
-	Known []string
+	// BackendSignals is what daemons knew of the back ends that the request was sent to, where that might have kept it away.
+	BackendSignals []string
 }
 
 // Explain explains a request. The error is errors.NotFound where no line has its id.
@@ -23,21 +23,21 @@
 	if len(story) == 0 {
 		return Explanation{}, errors.NotFoundf("request %s in %d lines: it never reached a daemon whose log this is, or its lines were left out; it", request, l.lines)
 	}
-	return Explanation{Request: request, Story: story, Cause: l.causeOf(story), Known: l.knownOf(story)}, nil
+	return Explanation{Request: request, Lines: story, Cause: l.causeOf(story), BackendSignals: l.knownOf(story)}, nil
 }
 
 // Print writes the explanation for a person.
 func (e Explanation) Print(out io.Writer) error {
-	for _, line := range e.Story {
+	for _, line := range e.Lines {
 		if _, err := fmt.Fprintf(out, "%s  %-20s  %s\n", clock(line.Time), line.Daemon, line.summary()); err != nil {
 			return err
 		}
 	}
-	_, err := fmt.Fprintf(out, "\nCause: %s.\n%s\n", e.Cause.Kind, e.Cause.Sentence)
-	if err == nil && e.Cause.Belief != "" {
-		_, err = fmt.Fprintf(out, "Believed: %s\n", e.Cause.Belief)
+	_, err := fmt.Fprintf(out, "\nCause: %s.\n%s\n", e.Cause.Kind, e.Cause.Description)
+	if err == nil && e.Cause.Assumption != "" {
+		_, err = fmt.Fprintf(out, "Believed: %s\n", e.Cause.Assumption)
 	}
-	for _, known := range e.Known {
+	for _, known := range e.BackendSignals {
 		if err == nil {
 			_, err = fmt.Fprintf(out, "Known: %s\n", known)
 		}
@@ -72,9 +72,9 @@
 	Example  Explanation
 	First    Line // outcome of the first, by its daemon's clock
 	Last     Line
-	// Most is where most of them were, and how many.
-	Most      string
-	MostCount int
+	// TopSubject is where most of them were, and how many.
+	TopSubject string
+	TopCount   int
 
 	places map[string]int
 }
@@ -89,7 +89,7 @@
 			continue
 		}
 		group, known := groups[one.Cause.Kind]
-		end := one.Story[len(one.Story)-1]
+		end := one.Lines[len(one.Lines)-1]
 		if !known {
 			group = &Group{Kind: one.Cause.Kind, Example: one, First: end, Last: end, places: make(map[string]int)}
 			groups[one.Cause.Kind] = group
@@ -117,8 +117,8 @@
 	if end.Time.After(g.Last.Time) {
 		g.Last = end
 	}
-	g.places[one.Cause.At]++
-	if count := g.places[one.Cause.At]; count > g.MostCount {
-		g.Most, g.MostCount = one.Cause.At, count
+	g.places[one.Cause.Subject]++
+	if count := g.places[one.Cause.Subject]; count > g.TopCount {
+		g.TopSubject, g.TopCount = one.Cause.Subject, count
 	}
 }
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -110,11 +110,11 @@
 			explained, err := read(t, text(one.lines...)).Explain("r1")
 			require.NoError(t, err)
 			require.Equal(t, one.kind, explained.Cause.Kind)
-			require.Equal(t, one.at, explained.Cause.At)
-			require.Contains(t, explained.Cause.Sentence, one.sentence)
-			require.Contains(t, explained.Cause.Belief, one.belief)
+			require.Equal(t, one.at, explained.Cause.Subject)
+			require.Contains(t, explained.Cause.Description, one.sentence)
+			require.Contains(t, explained.Cause.Assumption, one.belief)
 			if one.belief == "" {
-				require.NotContains(t, explained.Cause.Belief, "around then")
+				require.NotContains(t, explained.Cause.Assumption, "around then")
 			}
 			var printed bytes.Buffer
 			require.NoError(t, explained.Print(&printed))
@@ -131,11 +131,11 @@
 		`1.3s|d1|frontend: answered|"request":"r1","service":"s","backend":"b1","status":200`), "\n{", "\n2.5 node-a {")
 	dispatcher := text("1.2s|d2|routing: chosen|"+chosen, `1.1s|d2|frontend: answered|"request":"r1","service":"s","backend":"b1","status":200`)
 	log := read(t, dispatcher, entry, "no line\n{\"a\": 1}\n")
-	require.Equal(t, 4, log.Lines())
+	require.Equal(t, 4, log.LineCount())
 	explained, err := log.Explain("r1")
 	require.NoError(t, err)
 	var order []string
-	for _, line := range explained.Story {
+	for _, line := range explained.Lines {
 		order = append(order, line.Daemon+" "+line.Message)
 	}
 	require.Equal(t, []string{
@@ -151,8 +151,8 @@
 `).Explain("12e4")
 	require.NoError(t, err)
 	require.Equal(t, "service overloaded", explained.Cause.Kind)
-	require.Equal(t, 34939697*time.Nanosecond, time.Duration(explained.Story[0].Total))
-	require.Equal(t, uint64(5), explained.Story[0].Revision)
+	require.Equal(t, 34939697*time.Nanosecond, time.Duration(explained.Lines[0].Total))
+	require.Equal(t, uint64(5), explained.Lines[0].Revision)
 }
 
 // TestSummary groups failed requests by cause.
@@ -165,8 +165,8 @@
 	groups := read(t, text(lines...)).Summarize()
 	require.Len(t, groups, 2)
 	require.Equal(t, 3, groups[0].Requests)
-	require.Equal(t, "b1", groups[0].Most)
-	require.Equal(t, 2, groups[0].MostCount)
+	require.Equal(t, "b1", groups[0].TopSubject)
+	require.Equal(t, 2, groups[0].TopCount)
 	require.Equal(t, "r0", groups[0].Example.Request)
 	require.Equal(t, 2*time.Second, groups[0].Last.Time.Sub(groups[0].First.Time))
 	require.Equal(t, "caller left while it waited", groups[1].Kind)
@@ -197,10 +197,10 @@
 			explained, err := read(t, text(append(one.lines, "1s|d1|routing: chosen|"+chosen, answered)...)).Explain("r1")
 			require.NoError(t, err)
 			if one.known == "" {
-				require.Empty(t, explained.Known)
+				require.Empty(t, explained.BackendSignals)
 				return
 			}
-			require.Equal(t, []string{one.known}, explained.Known)
+			require.Equal(t, []string{one.known}, explained.BackendSignals)
 			var printed bytes.Buffer
 			require.NoError(t, explained.Print(&printed))
 			require.Contains(t, printed.String(), "Known: "+one.known)
--- a/explain/late.go
+++ b/explain/late.go
@@ -12,17 +12,17 @@
 // Kinds of cause of an answer that came after its objective. The first that fits counts: what could have been
 // decided otherwise goes before what happened to the request.
 const (
-	LateAfterFailure    = "late: sent again after a failure"
-	LateWaited          = "late: waited for a place"
-	LateNoSecondAttempt = "late: second attempt due and not made"
-	LateSecondAttempt   = "late: second attempt came too late"
-	LateWithoutReport   = "late: back end chosen without a report"
-	LateOldReport       = "late: back end chosen on an old report"
-	LateBesideAnother   = "late: back end worked on another request beside it"
-	LateDisturbed       = "late: back end disturbed"
-	LateSlow            = "late: back end slow after the start"
-	LateAtDaemon        = "late: time was spent at the daemon"
-	LateUnnamed         = "unnamed"
+	LateAfterFailure      = "late: sent again after a failure"
+	LateQueued            = "late: waited for a place"
+	LateHedgeMissing      = "late: second attempt due and not made"
+	LateHedgeTooLate      = "late: second attempt came too late"
+	LateWithoutReport     = "late: back end chosen without a report"
+	LateStaleReport       = "late: back end chosen on an old report"
+	LateConcurrentRequest = "late: back end worked on another request beside it"
+	LateDisturbed         = "late: back end disturbed"
+	LateBackendSlow       = "late: back end slow after the start"
+	LateAtDaemon          = "late: time was spent at the daemon"
+	LateUnexplained       = "unnamed"
 )
 
 // Bounds of what counts as the cause of a late answer.
@@ -33,32 +33,32 @@
 	oldReport = 100 * time.Millisecond
 )
 
-// Ending is how one request ended.
-type Ending struct {
-	Outcome Line
-	Cause   Cause
+// RequestOutcome is how one request ended.
+type RequestOutcome struct {
+	Line  Line
+	Cause Cause
 	// Late: it was answered after its objective.
 	Late bool
 }
 
-// Answered says whether the request got an answer that a back end had made well.
-func (e Ending) Answered() bool {
-	return e.Outcome.Message == messageAnswered && e.Cause.Kind != kindOwnFailure
+// Succeeded says whether the request got an answer that a back end had made well.
+func (e RequestOutcome) Succeeded() bool {
+	return e.Line.Message == messageAnswered && e.Cause.Kind != kindOwnFailure
 }
 
-// Endings returns how all requests ended, those without an outcome's line included. objective returns the
+// Outcomes returns how all requests ended, those without an outcome's line included. objective returns the
 // objective of the requests of a class; 0: they have none.
-func (l *Log) Endings(objective func(class string) time.Duration) []Ending {
-	endings := make([]Ending, 0, len(l.requests))
+func (l *Log) Outcomes(objective func(class string) time.Duration) []RequestOutcome {
+	endings := make([]RequestOutcome, 0, len(l.requests))
 	for _, request := range l.requests {
 		story := l.story(request)
-		ending := Ending{Outcome: story[len(story)-1], Cause: l.causeOf(story)}
+		ending := RequestOutcome{Line: story[len(story)-1], Cause: l.causeOf(story)}
 		if end := outcomeOf(story); end >= 0 {
-			ending.Outcome = story[end]
+			ending.Line = story[end]
 		}
-		within := objective(ending.Outcome.Class)
-		if ending.Answered() && within > 0 && time.Duration(ending.Outcome.Total) > within {
-			ending.Late, ending.Cause = true, lateCause(story, ending.Outcome, within)
+		within := objective(ending.Line.Class)
+		if ending.Succeeded() && within > 0 && time.Duration(ending.Line.Total) > within {
+			ending.Late, ending.Cause = true, lateCause(story, ending.Line, within)
 		}
 		endings = append(endings, ending)
 	}
@@ -67,8 +67,8 @@
 
 // lateCause names why an answer came after its objective.
 func lateCause(story []Line, outcome Line, objective time.Duration) Cause {
-	cause := Cause{Kind: lateKind(story, outcome, objective), At: outcome.Backend}
-	cause.Sentence = fmt.Sprintf("Back end %s answered after %s; %s in all, %s were allowed.", outcome.Backend, outcome.Latency, outcome.Total, objective)
+	cause := Cause{Kind: lateKind(story, outcome, objective), Subject: outcome.Backend}
+	cause.Description = fmt.Sprintf("Back end %s answered after %s; %s in all, %s were allowed.", outcome.Backend, outcome.Latency, outcome.Total, objective)
 	return cause
 }
 
@@ -79,25 +79,25 @@
 	case slices.ContainsFunc(story, func(line Line) bool { return line.Message == messageAttempt }):
 		return LateAfterFailure
 	case chosen.Waited >= patience:
-		return LateWaited
+		return LateQueued
 	case strings.Contains(outcome.Hedge, "none:"), strings.Contains(outcome.Hedge, "no attempt left"):
-		return LateNoSecondAttempt
+		return LateHedgeMissing
 	case outcome.Hedge != "" && outcome.Sent > 1:
-		return LateSecondAttempt
+		return LateHedgeTooLate
 	case chosen.Message != "" && chosen.ReportAge < 0:
 		return LateWithoutReport
 	case time.Duration(chosen.ReportAge) > oldReport:
-		return LateOldReport
+		return LateStaleReport
 	case outcome.InFlight > 1:
-		return LateBesideAnother
+		return LateConcurrentRequest
 	case outcome.Slowdown >= routing.DisturbedFactor:
 		return LateDisturbed
 	case time.Duration(outcome.Latency) >= objective:
-		return LateSlow
+		return LateBackendSlow
 	case outcome.Total-outcome.Latency >= patience:
 		return LateAtDaemon
 	}
-	return LateUnnamed
+	return LateUnexplained
 }
 
 // chosenFor returns the line of the choice of the back end that answered.
--- a/explain/line.go
+++ b/explain/line.go
@@ -54,10 +54,10 @@
 	Hedge      string   `json:"hedge"`
 
 	// Of what a daemon believes.
-	Revision       uint64 `json:"revision"`
-	BeforeRevision Text   `json:"before"`
-	Source         Text   `json:"source"`
-	Error          string `json:"error"`
+	Revision uint64 `json:"revision"`
+	Previous Text   `json:"before"`
+	Source   Text   `json:"source"`
+	Error    string `json:"error"`
 	// Of a configuration that was not put in force, and of the store's era.
 	OfferedRevision uint64 `json:"offered_revision"`
 	OfferedStored   string `json:"offered_stored"`
--- a/explain/log.go
+++ b/explain/log.go
@@ -54,8 +54,8 @@
 	return &Log{byRequest: make(map[string][]Line), byBackend: make(map[string][]Line), byDaemon: make(map[string][]Line), loads: make(map[loadKey]load)}
 }
 
-// Lines returns how many lines were taken in.
-func (l *Log) Lines() int {
+// LineCount returns how many lines were taken in.
+func (l *Log) LineCount() int {
 	return l.lines
 }
 
--- a/framing/framing.go
+++ b/framing/framing.go
@@ -17,12 +17,12 @@
 
 // The reasons for which a head is refused.
 const (
-	ErrBareLineFeed   = errors.ConstError("a line of the head ends with a line feed alone")
-	ErrBareReturn     = errors.ConstError("a carriage return stands within a line of the head")
-	ErrContinuedLine  = errors.ConstError("a header is continued on the next line")
-	ErrTwoLengths     = errors.ConstError("the message has both a Content-Length and a Transfer-Encoding")
-	ErrOldTransfer    = errors.ConstError("the message has a Transfer-Encoding, and is not of HTTP/1.1")
-	ErrSpaceBeforeEnd = errors.ConstError("a header's name ends with a space")
+	ErrBareLF                    = errors.ConstError("a line of the head ends with a line feed alone")
+	ErrBareCR                    = errors.ConstError("a carriage return stands within a line of the head")
+	ErrLineFolding               = errors.ConstError("a header is continued on the next line")
+	ErrLengthAndTransferEncoding = errors.ConstError("the message has both a Content-Length and a Transfer-Encoding")
+	ErrTransferEncodingVersion   = errors.ConstError("the message has a Transfer-Encoding, and is not of HTTP/1.1")
+	ErrSpaceBeforeColon          = errors.ConstError("a header's name ends with a space")
 )
 
 // Names of the headers that say where a message ends.
@@ -41,34 +41,34 @@
 		rest = after
 		switch {
 		case !ended || len(line) == 0 || line[len(line)-1] != '\r':
-			return ErrBareLineFeed
+			return ErrBareLF
 		case bytes.IndexByte(line[:len(line)-1], '\r') >= 0:
-			return ErrBareReturn
+			return ErrBareCR
 		case first == nil:
 			first = line
 			continue
 		case line[0] == ' ' || line[0] == '\t':
-			return ErrContinuedLine
+			return ErrLineFolding
 		}
 		name, _, _ := bytes.Cut(line, []byte{':'})
 		if trimmed := bytes.TrimRight(name, " \t"); len(trimmed) < len(name) {
-			return ErrSpaceBeforeEnd
+			return ErrSpaceBeforeColon
 		}
 		lengths = lengths || is(name, contentLength)
 		transfers = transfers || is(name, transferEncoding)
 	}
 	switch {
 	case lengths && transfers:
-		return ErrTwoLengths
+		return ErrLengthAndTransferEncoding
 	case transfers && !bytes.HasSuffix(first, []byte(" HTTP/1.1\r")):
-		return ErrOldTransfer
+		return ErrTransferEncodingVersion
 	}
 	return nil
 }
 
-// CheckAnswer says why an answer must not be passed on; nil: it may be. What was read of it
+// CheckResponse says why an answer must not be passed on; nil: it may be. What was read of it
 // may hold heads of interim answers before its own, and a part of its body.
-func CheckAnswer(read []byte) error {
+func CheckResponse(read []byte) error {
 	for {
 		head, after, ended := cutHead(read)
 		if ended && isInterim(head) {
@@ -76,7 +76,7 @@
 			continue
 		}
 		if hasHeader(head, contentLength) && hasHeader(head, transferEncoding) {
-			return ErrTwoLengths
+			return ErrLengthAndTransferEncoding
 		}
 		return nil
 	}
--- a/framing/framing_test.go
+++ b/framing/framing_test.go
@@ -20,16 +20,16 @@
 	{"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n", nil},
 	{"GET / HTTP/1.0\r\nHost: a\r\n\r\n", nil},
 	{"GET / HTTP/1.1\r\nHost: a\r\nX-Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", nil},
-	{"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n", ErrTwoLengths},
-	{"POST / HTTP/1.1\r\nHost: a\r\ntransfer-ENCODING: chunked\r\nCONTENT-length: 3\r\n\r\n", ErrTwoLengths},
-	{"POST / HTTP/1.0\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n", ErrOldTransfer},
-	{"GET / HTTP/1.1\r\nHost: a\n\r\n", ErrBareLineFeed},
-	{"GET / HTTP/1.1\nHost: a\r\n\r\n", ErrBareLineFeed},
-	{"GET / HTTP/1.1\r\nHost: a\r\n\n", ErrBareLineFeed},
-	{"GET / HTTP/1.1\r\nHost: a\r\nX: b\rContent-Length: 3\r\n\r\n", ErrBareReturn},
-	{"GET / HTTP/1.1\r\nHost: a\r\nX: b\r\n c\r\n\r\n", ErrContinuedLine},
-	{"GET / HTTP/1.1\r\nHost: a\r\nX: b\r\n\tc\r\n\r\n", ErrContinuedLine},
-	{"POST / HTTP/1.1\r\nHost: a\r\nContent-Length : 3\r\n\r\n", ErrSpaceBeforeEnd},
+	{"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n", ErrLengthAndTransferEncoding},
+	{"POST / HTTP/1.1\r\nHost: a\r\ntransfer-ENCODING: chunked\r\nCONTENT-length: 3\r\n\r\n", ErrLengthAndTransferEncoding},
+	{"POST / HTTP/1.0\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n", ErrTransferEncodingVersion},
+	{"GET / HTTP/1.1\r\nHost: a\n\r\n", ErrBareLF},
+	{"GET / HTTP/1.1\nHost: a\r\n\r\n", ErrBareLF},
+	{"GET / HTTP/1.1\r\nHost: a\r\n\n", ErrBareLF},
+	{"GET / HTTP/1.1\r\nHost: a\r\nX: b\rContent-Length: 3\r\n\r\n", ErrBareCR},
+	{"GET / HTTP/1.1\r\nHost: a\r\nX: b\r\n c\r\n\r\n", ErrLineFolding},
+	{"GET / HTTP/1.1\r\nHost: a\r\nX: b\r\n\tc\r\n\r\n", ErrLineFolding},
+	{"POST / HTTP/1.1\r\nHost: a\r\nContent-Length : 3\r\n\r\n", ErrSpaceBeforeColon},
 }
 
 func TestCheckRequest(t *testing.T) {
@@ -42,13 +42,13 @@
 	for read, why := range map[string]error{
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok":                                                                         nil,
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nContent-Length: 3\r\n":                                        nil,
-		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Length: 2\r\n\r\n":                                             ErrTwoLengths,
-		"HTTP/1.1 200 OK\ncontent-length: 2\ntransfer-encoding: chunked\n\n":                                                     ErrTwoLengths,
-		"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Length: 2\r\n\r\n":                ErrTwoLengths,
+		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Length: 2\r\n\r\n":                                             ErrLengthAndTransferEncoding,
+		"HTTP/1.1 200 OK\ncontent-length: 2\ntransfer-encoding: chunked\n\n":                                                     ErrLengthAndTransferEncoding,
+		"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Length: 2\r\n\r\n":                ErrLengthAndTransferEncoding,
 		"HTTP/1.1 103 Early Hints\r\nContent-Length: 2\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0": nil,
 		"": nil,
 	} {
-		require.Equal(t, why, CheckAnswer([]byte(read)), "%q", read)
+		require.Equal(t, why, CheckResponse([]byte(read)), "%q", read)
 	}
 }
 
--- a/frontend/forward.go
+++ b/frontend/forward.go
@@ -77,7 +77,7 @@
 // back ends that this daemon knows.
 func isStale(response *http.Response) bool {
 	number, err := strconv.Atoi(response.Header.Get(resultcode.HeaderCode))
-	return err == nil && resultcode.Code(number).Lacks()
+	return err == nil && resultcode.Code(number).MissingConfiguration()
 }
 
 // handleForwardFailure reports whether the call has been answered. It returns false if the call is to
--- a/frontend/handler.go
+++ b/frontend/handler.go
@@ -92,9 +92,9 @@
 	}
 	h := &Handler{
 		options:        options,
-		log:            logging.Part(options.Log, "frontend"),
-		routing:        logging.Routine(logging.Part(options.Log, "routing")),
-		outcomes:       logging.Routine(logging.Part(options.Log, "frontend")),
+		log:            logging.Component(options.Log, "frontend"),
+		routing:        logging.Routine(logging.Component(options.Log, "routing")),
+		outcomes:       logging.Routine(logging.Component(options.Log, "frontend")),
 		metrics:        newMetrics(options.Metrics),
 		forwardClients: newForwardClients(options.Network),
 		splitPhase:     rand.Float64(),
--- a/lab/account/account.go
+++ b/lab/account/account.go
@@ -16,39 +16,39 @@
 
 // Causes that the logs do not name.
 const (
-	// CameBack is a request that was late only from its first try on, which had been refused or had failed.
-	CameBack = "late: came back after a refusal or a failure"
-	// Unreached is one that no daemon took.
-	Unreached = "failed: no daemon took the connection"
-	// Unnamed is what no rule explains.
-	Unnamed = explain.LateUnnamed
+	// LateAfterCallerRetry is a request that was late only from its first try on, which had been refused or had failed.
+	LateAfterCallerRetry = "late: came back after a refusal or a failure"
+	// Unconnected is one that no daemon took.
+	Unconnected = "failed: no daemon took the connection"
+	// Unexplained is what no rule explains.
+	Unexplained = explain.LateUnexplained
 	// pricePrefix begins the names of prices.
 	pricePrefix = "price: "
 )
 
-// Row is what was lost for one cause, as a part of what was owed over the day.
-type Row struct {
-	Cause  string
-	Lost   float64
-	ByKind map[string]float64
+// Loss is what was lost for one cause, as a part of what was owed over the day.
+type Loss struct {
+	Cause    string
+	Fraction float64
+	ByClass  map[string]float64
 	// BySecond is what of it was lost in the span that begins at a second of the day.
 	BySecond map[int]float64
 }
 
-// Account is where the worth of a day was lost.
-type Account struct {
-	// Rows are the causes, the largest first; prices are none of them.
-	Rows   []Row
-	Prices []Row
-	// Lost is the sum of the rows, and Reported what the report says was not earned.
-	Lost, Reported float64
+// Breakdown is where the worth of a day was lost.
+type Breakdown struct {
+	// Losses are the causes, the largest first; prices are none of them.
+	Losses    []Loss
+	Penalties []Loss
+	// LostFraction is the sum of the rows, and Reported what the report says was not earned.
+	LostFraction, ReportedFraction float64
 }
 
-// Unnamed returns the part of what was lost that has no named cause.
-func (a Account) Unnamed() float64 {
-	for _, row := range a.Rows {
-		if row.Cause == Unnamed && a.Lost > 0 {
-			return row.Lost / a.Lost
+// UnexplainedShare returns the part of what was lost that has no named cause.
+func (a Breakdown) UnexplainedShare() float64 {
+	for _, row := range a.Losses {
+		if row.Cause == Unexplained && a.LostFraction > 0 {
+			return row.Fraction / a.LostFraction
 		}
 	}
 	return 0
@@ -56,11 +56,11 @@
 
 // Day is what an account is made of.
 type Day struct {
-	Report dayreport.Report
-	Sheet  []dayreport.ClassSpec
-	Log    *explain.Log
-	// Began is when the day's seconds begin to count, by the daemons' clocks.
-	Began time.Time
+	Report     dayreport.Report
+	ClassSpecs []dayreport.ClassSpec
+	Log        *explain.Log
+	// Start is when the day's seconds begin to count, by the daemons' clocks.
+	Start time.Time
 }
 
 // ended is how the requests of a policy ended, by cause and window.
@@ -91,31 +91,31 @@
 // WindowSeconds is how long the spans of the day are in which causes are counted.
 const WindowSeconds = 2
 
-// Of makes the account of a day.
-func Of(day Day) Account {
+// Compute makes the account of a day.
+func Compute(day Day) Breakdown {
 	seen := endingsOf(day)
 	owed := 0.0
 	worths := make(map[string]dayreport.ClassSpec)
-	for _, sheet := range day.Sheet {
+	for _, sheet := range day.ClassSpecs {
 		worths[sheet.Name] = sheet
 	}
 	for _, kind := range day.Report.Classes {
 		owed += worths[kind.Name].Value * float64(kind.Counted())
 	}
-	book := ledger{rows: make(map[string]*Row)}
+	book := ledger{rows: make(map[string]*Loss)}
 	for _, kind := range day.Report.Classes {
 		sheet := worths[kind.Name]
 		book.unit = sheet.Value / owed
 		book.charge(kind, sheet, seen[sheet.Policy()], day.Report)
 	}
-	made := Account{Reported: 1 - day.Report.GrossScore, Rows: book.sorted()}
-	for _, row := range made.Rows {
-		made.Lost += row.Lost
+	made := Breakdown{ReportedFraction: 1 - day.Report.GrossScore, Losses: book.sorted()}
+	for _, row := range made.Losses {
+		made.LostFraction += row.Fraction
 	}
 	for _, price := range day.Report.Penalties {
-		made.Prices = append(made.Prices, Row{Cause: pricePrefix + price.Name, Lost: price.Fraction})
+		made.Penalties = append(made.Penalties, Loss{Cause: pricePrefix + price.Name, Fraction: price.Fraction})
 	}
-	slices.SortFunc(made.Prices, func(a, b Row) int { return cmp.Compare(b.Lost, a.Lost) })
+	slices.SortFunc(made.Penalties, func(a, b Loss) int { return cmp.Compare(b.Fraction, a.Fraction) })
 	return made
 }
 
@@ -126,23 +126,23 @@
 		policy, _ := dayreport.ParsePolicyName(class)
 		return policy.Objective
 	}
-	for _, one := range day.Log.Endings(objective) {
-		policy, known := dayreport.ParsePolicyName(one.Outcome.Class)
+	for _, one := range day.Log.Outcomes(objective) {
+		policy, known := dayreport.ParsePolicyName(one.Line.Class)
 		if !known {
 			continue // of no kind that is owed anything: no route, or no configuration yet
 		}
 		if seen[policy] == nil {
 			seen[policy] = &ended{}
 		}
-		window := int(math.Floor(one.Outcome.Time.Sub(day.Began).Seconds()/WindowSeconds)) * WindowSeconds
+		window := int(math.Floor(one.Line.Time.Sub(day.Start).Seconds()/WindowSeconds)) * WindowSeconds
 		switch {
 		case one.Late:
 			seen[policy].late.add(one.Cause.Kind, window)
-		case one.Answered():
+		case one.Succeeded():
 			seen[policy].inTime++
-		case one.Outcome.Code == int(resultcode.RateExceeded):
+		case one.Line.Code == int(resultcode.RateExceeded):
 			seen[policy].overRate++
-		case one.Outcome.Run == string(resultcode.NotRun):
+		case one.Line.Run == string(resultcode.NotRun):
 			seen[policy].refused.add("refused: "+one.Cause.Kind, window)
 		default:
 			seen[policy].failed.add("failed: "+one.Cause.Kind, window)
@@ -153,7 +153,7 @@
 
 // ledger gathers what was lost.
 type ledger struct {
-	rows map[string]*Row
+	rows map[string]*Loss
 	unit float64 // what one request of the kind is worth, as a part of what was owed
 	loss float64 // what one request that the report has as lost whole lost, in requests
 }
@@ -181,22 +181,22 @@
 	b.spread(kind.Name, refused, seen.refused)
 	// The report does not say of which kind those were that no daemon took.
 	unreached := float64(kind.Failed) * min(float64(report.Unconnected)/float64(max(report.Failed(), 1)), 1)
-	b.add(Unreached, kind.Name, 0, unreached)
+	b.add(Unconnected, kind.Name, 0, unreached)
 	b.spread(kind.Name, float64(kind.Failed)-unreached, seen.failed)
 	if seen.late.total+seen.inTime == 0 {
-		b.add(Unnamed, kind.Name, 0, late)
+		b.add(Unexplained, kind.Name, 0, late)
 		return
 	}
 	// Of the late ones those have no line of a late answer that were late from their first try on only.
 	own := min(float64(seen.late.total)/float64(max(kind.Late, 1)), 1)
 	b.spread(kind.Name, late*own, seen.late)
-	b.add(CameBack, kind.Name, 0, late*(1-own))
+	b.add(LateAfterCallerRetry, kind.Name, 0, late*(1-own))
 }
 
 // spread puts requests under causes in the proportions in which the logs have them.
 func (b *ledger) spread(kind string, requests float64, found causes) {
 	if found.total == 0 {
-		b.add(Unnamed, kind, 0, requests)
+		b.add(Unexplained, kind, 0, requests)
 		return
 	}
 	for cause, windows := range found.byCause {
@@ -212,23 +212,23 @@
 	}
 	row := b.rows[cause]
 	if row == nil {
-		row = &Row{Cause: cause, ByKind: make(map[string]float64), BySecond: make(map[int]float64)}
+		row = &Loss{Cause: cause, ByClass: make(map[string]float64), BySecond: make(map[int]float64)}
 		b.rows[cause] = row
 	}
 	lost := requests * b.loss * b.unit
-	row.Lost += lost
-	row.ByKind[kind] += lost
+	row.Fraction += lost
+	row.ByClass[kind] += lost
 	row.BySecond[window] += lost
 }
 
 // sorted returns the rows, the largest first.
-func (b *ledger) sorted() []Row {
-	rows := make([]Row, 0, len(b.rows))
+func (b *ledger) sorted() []Loss {
+	rows := make([]Loss, 0, len(b.rows))
 	for _, row := range b.rows {
 		rows = append(rows, *row)
 	}
-	slices.SortFunc(rows, func(a, c Row) int {
-		return cmp.Or(cmp.Compare(c.Lost, a.Lost), cmp.Compare(a.Cause, c.Cause))
+	slices.SortFunc(rows, func(a, c Loss) int {
+		return cmp.Or(cmp.Compare(c.Fraction, a.Fraction), cmp.Compare(a.Cause, c.Cause))
 	})
 	return rows
 }
--- a/lab/account/account_test.go
+++ b/lab/account/account_test.go
@@ -23,14 +23,14 @@
 	lines []string
 }{
 	{explain.LateAfterFailure, []string{chosen("first", "b1", 5, 0), attemptFailed, chosen("retry", "b2", 5, 0), answered("b2", 100, 300, 2, 1, 1, "")}},
-	{explain.LateWaited, []string{chosen("first", "b1", 5, 80), answered("b1", 200, 300, 1, 1, 1, "")}},
-	{explain.LateNoSecondAttempt, []string{chosen("first", "b1", 5, 0), answered("b1", 290, 300, 1, 1, 1, "slow, none: no place")}},
-	{explain.LateSecondAttempt, []string{chosen("first", "b1", 5, 0), chosen("hedge", "b2", 5, 0), answered("b2", 100, 300, 2, 1, 1, "slow")}},
+	{explain.LateQueued, []string{chosen("first", "b1", 5, 80), answered("b1", 200, 300, 1, 1, 1, "")}},
+	{explain.LateHedgeMissing, []string{chosen("first", "b1", 5, 0), answered("b1", 290, 300, 1, 1, 1, "slow, none: no place")}},
+	{explain.LateHedgeTooLate, []string{chosen("first", "b1", 5, 0), chosen("hedge", "b2", 5, 0), answered("b2", 100, 300, 2, 1, 1, "slow")}},
 	{explain.LateWithoutReport, []string{chosen("first", "b1", -1, 0), answered("b1", 290, 300, 1, 1, 1, "")}},
-	{explain.LateOldReport, []string{chosen("first", "b1", 150, 0), answered("b1", 290, 300, 1, 1, 1, "")}},
-	{explain.LateBesideAnother, []string{chosen("first", "b1", 5, 0), answered("b1", 290, 300, 1, 2, 1, "")}},
+	{explain.LateStaleReport, []string{chosen("first", "b1", 150, 0), answered("b1", 290, 300, 1, 1, 1, "")}},
+	{explain.LateConcurrentRequest, []string{chosen("first", "b1", 5, 0), answered("b1", 290, 300, 1, 2, 1, "")}},
 	{explain.LateDisturbed, []string{chosen("first", "b1", 5, 0), answered("b1", 290, 300, 1, 1, 5, "")}},
-	{explain.LateSlow, []string{chosen("first", "b1", 5, 0), answered("b1", 290, 300, 1, 1, 1, "")}},
+	{explain.LateBackendSlow, []string{chosen("first", "b1", 5, 0), answered("b1", 290, 300, 1, 1, 1, "")}},
 	{explain.LateAtDaemon, []string{chosen("first", "b1", 5, 0), answered("b1", 100, 300, 1, 1, 1, "")}},
 	{"refused: service overloaded", []string{refused(2004, "no place in time: 3 wait")}},
 	{"refused: service overloaded while back ends ask for fewer requests", []string{refused(2004, "no place in time: 3 wait; 2 of 9 back ends ask for fewer requests")}},
@@ -117,14 +117,14 @@
 	sheet, err := dayreport.ReadClassSpecs(written(t, "site.toml", site))
 	require.NoError(t, err)
 	log, began := logOf(t)
-	made := account.Of(account.Day{Report: report, Sheet: sheet, Log: log, Began: began})
-	require.InDelta(t, made.Reported, made.Lost, 0.02*made.Reported)
-	require.Zero(t, made.Unnamed())
-	rows := make(map[string]account.Row)
-	for _, row := range made.Rows {
+	made := account.Compute(account.Day{Report: report, ClassSpecs: sheet, Log: log, Start: began})
+	require.InDelta(t, made.ReportedFraction, made.LostFraction, 0.02*made.ReportedFraction)
+	require.Zero(t, made.UnexplainedShare())
+	rows := make(map[string]account.Loss)
+	for _, row := range made.Losses {
 		rows[row.Cause] = row
 	}
-	want := map[string]float64{account.CameBack: 0.9, account.Unreached: 1}
+	want := map[string]float64{account.LateAfterCallerRetry: 0.9, account.Unconnected: 1}
 	for _, one := range causes {
 		if one.cause == "" {
 			continue
@@ -135,8 +135,8 @@
 		}
 	}
 	for cause, requests := range want {
-		require.InDelta(t, requests/99, rows[cause].Lost, 1e-9, cause)
-		require.InDelta(t, requests/99, rows[cause].ByKind["reads"], 1e-9, cause)
+		require.InDelta(t, requests/99, rows[cause].Fraction, 1e-9, cause)
+		require.InDelta(t, requests/99, rows[cause].ByClass["reads"], 1e-9, cause)
 	}
 	require.Len(t, rows, len(want))
 	for number, one := range causes {
@@ -145,17 +145,17 @@
 		}
 		require.Contains(t, rows[one.cause].BySecond, 2*number, one.cause)
 	}
-	require.Equal(t, []account.Row{{Cause: "price: machine-seconds", Lost: 0.04}}, made.Prices)
+	require.Equal(t, []account.Loss{{Cause: "price: machine-seconds", Fraction: 0.04}}, made.Penalties)
 }
 
 // TestWhatNoLineExplains is unnamed.
 func TestWhatNoLineExplains(t *testing.T) {
 	report, err := dayreport.Read(written(t, "report.json", fmt.Sprintf(reportText, 0.9, 0.9)))
 	require.NoError(t, err)
-	made := account.Of(account.Day{Report: report, Sheet: []dayreport.ClassSpec{{Name: "reads", Kind: "safe", Objective: 250, Value: 1}}, Log: explain.NewLog()})
-	require.InDelta(t, 0.095, made.Rows[0].Lost, 0.001)
-	require.Equal(t, account.Unnamed, made.Rows[0].Cause)
-	require.Greater(t, made.Unnamed(), 0.5)
+	made := account.Compute(account.Day{Report: report, ClassSpecs: []dayreport.ClassSpec{{Name: "reads", Kind: "safe", Objective: 250, Value: 1}}, Log: explain.NewLog()})
+	require.InDelta(t, 0.095, made.Losses[0].Fraction, 0.001)
+	require.Equal(t, account.Unexplained, made.Losses[0].Cause)
+	require.Greater(t, made.UnexplainedShare(), 0.5)
 }
 
 // TestReportsThatCannotBeRead names what is wrong.
@@ -173,9 +173,9 @@
 }
 
 // days are reports of a build, whose worth varies by chance and by a difference of the build.
-func days(seed uint64, differs float64) []account.Played {
+func days(seed uint64, differs float64) []account.DayResult {
 	day, chance := rand.New(rand.NewPCG(1, 1)), rand.New(rand.NewPCG(seed, 2))
-	played := make([]account.Played, 12)
+	played := make([]account.DayResult, 12)
 	for index := range played {
 		worth := 0.5 + 0.3*day.Float64() + 0.01*chance.NormFloat64() + differs
 		played[index].Report = dayreport.Report{NetScore: worth, GrossScore: worth + 0.1}
@@ -189,10 +189,10 @@
 	same, err := account.Compare(days(1, 0), days(2, 0))
 	require.NoError(t, err)
 	require.Equal(t, "worth", same[0].Name)
-	require.False(t, same[0].Differs())
+	require.False(t, same[0].Significant())
 	other, err := account.Compare(days(1, 0), days(2, -0.03))
 	require.NoError(t, err)
-	require.True(t, other[0].Differs())
+	require.True(t, other[0].Significant())
 	require.InDelta(t, -0.03, other[0].Mean, 0.01)
 	_, err = account.Compare(days(1, 0), nil)
 	require.ErrorContains(t, err, "12 reports before and 0 after")
@@ -200,8 +200,8 @@
 
 // TestDayWithoutAPrice counts a price, or a cause, as none on days that do not name it.
 func TestDayWithoutAPrice(t *testing.T) {
-	priced := account.Played{Report: dayreport.Report{Penalties: []dayreport.Penalty{{Name: "calls", Fraction: 0.02}}}, Causes: []account.Row{{Cause: "late", Lost: 0.1}}}
-	found, err := account.Compare([]account.Played{{}, {}}, []account.Played{priced, {}})
+	priced := account.DayResult{Report: dayreport.Report{Penalties: []dayreport.Penalty{{Name: "calls", Fraction: 0.02}}}, Losses: []account.Loss{{Cause: "late", Fraction: 0.1}}}
+	found, err := account.Compare([]account.DayResult{{}, {}}, []account.DayResult{priced, {}})
 	require.NoError(t, err)
 	require.Equal(t, "price: calls", found[len(found)-2].Name)
 	require.InDelta(t, 0.01, found[len(found)-2].Mean, 1e-9)
--- a/lab/account/compare.go
+++ b/lab/account/compare.go
@@ -12,8 +12,8 @@
 type Difference struct {
 	Name string
 	// Mean is over the days; Spread is the standard error of that mean.
-	Mean, Spread float64
-	Days         int
+	Mean, StandardError float64
+	Days                int
 }
 
 // differsFrom is how many standard errors a mean must be from 0 to count as a difference: 19 of 20 pairs of
@@ -24,21 +24,21 @@
 // the mean (docs/DEVELOPING.md).
 const leastDifference = 0.003
 
-// Differs says whether the two differ by more than chance.
-func (d Difference) Differs() bool {
-	return math.Abs(d.Mean) > max(differsFrom*d.Spread, leastDifference)
+// Significant says whether the two differ by more than chance.
+func (d Difference) Significant() bool {
+	return math.Abs(d.Mean) > max(differsFrom*d.StandardError, leastDifference)
 }
 
-// Played is a day that was played.
-type Played struct {
+// DayResult is a day that was played.
+type DayResult struct {
 	Report dayreport.Report
-	// Causes are the rows of its account; none where there are no logs of it.
-	Causes []Row
+	// Losses are the rows of its account; none where there are no logs of it.
+	Losses []Loss
 }
 
 // Compare pairs the days of two builds, in order, and returns the differences of their net worth, of what was
 // earned over the whole day, of each kind's, of each price, and of what was lost for each cause.
-func Compare(before, after []Played) ([]Difference, error) {
+func Compare(before, after []DayResult) ([]Difference, error) {
 	if len(before) != len(after) || len(before) == 0 {
 		return nil, errors.NotValidf("%d reports before and %d after: as many of each are compared, in the same order; that", len(before), len(after))
 	}
@@ -74,7 +74,7 @@
 	values map[string]float64
 }
 
-func figures(day Played) figureSet {
+func figures(day DayResult) figureSet {
 	report := day.Report
 	set := figureSet{values: make(map[string]float64)}
 	add := func(name string, value float64) {
@@ -89,8 +89,8 @@
 	for _, price := range report.Penalties {
 		add(pricePrefix+price.Name, price.Fraction)
 	}
-	for _, row := range day.Causes {
-		add("lost, "+row.Cause, row.Lost)
+	for _, row := range day.Losses {
+		add("lost, "+row.Cause, row.Fraction)
 	}
 	return set
 }
@@ -108,6 +108,6 @@
 	for _, one := range pairs {
 		squares += (one - made.Mean) * (one - made.Mean)
 	}
-	made.Spread = math.Sqrt(squares / float64(days-1) / float64(days))
+	made.StandardError = math.Sqrt(squares / float64(days-1) / float64(days))
 	return made
 }
--- a/lab/chart/chart.go
+++ b/lab/chart/chart.go
@@ -36,8 +36,8 @@
 	Lines  []Line
 }
 
-// Add adds a point to the line with a name, and the line if there is none yet.
-func (c *Chart) Add(name string, point Point) {
+// AddPoint adds a point to the line with a name, and the line if there is none yet.
+func (c *Chart) AddPoint(name string, point Point) {
 	for index := range c.Lines {
 		if c.Lines[index].Name == name {
 			c.Lines[index].Points = append(c.Lines[index].Points, point)
--- a/lab/claims/claims.go
+++ b/lab/claims/claims.go
@@ -35,18 +35,18 @@
 	return s.Memory.Put(ctx, key, value, expected)
 }
 
-// Row is how many operations one daemon claims and settles.
-type Row struct {
-	WritesLimit   float64 `json:"writes_limit_per_second"`
-	Callers       int     `json:"callers"`
-	PerSecond     float64 `json:"operations_per_second"`
-	WritesSecond  float64 `json:"writes_per_second"`
-	BytesSecond   float64 `json:"bytes_written_per_second"`
-	MeanLatencyMS float64 `json:"mean_claim_ms"`
+// Result is how many operations one daemon claims and settles.
+type Result struct {
+	WriteLimit          float64 `json:"writes_limit_per_second"`
+	Callers             int     `json:"callers"`
+	OperationsPerSecond float64 `json:"operations_per_second"`
+	WritesPerSecond     float64 `json:"writes_per_second"`
+	BytesPerSecond      float64 `json:"bytes_written_per_second"`
+	MeanClaimMS         float64 `json:"mean_claim_ms"`
 }
 
 // Measure lets callers claim and finish operations one after another.
-func Measure(writes float64, callers int, length time.Duration) Row {
+func Measure(writes float64, callers int, length time.Duration) Result {
 	store := &slowStore{Memory: objectstore.NewMemory()}
 	executor := operation.NewClaimer(operation.Options{
 		Store: store, WriteLimiter: rate.NewLimiter(rate.Limit(writes), 1), Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
@@ -73,8 +73,8 @@
 	running.Wait()
 	elapsed := time.Since(begun).Seconds()
 	executor.Close(context.Background())
-	return Row{
-		WritesLimit: writes, Callers: callers, PerSecond: float64(done.Load()) / elapsed, WritesSecond: float64(store.writes.Load()) / elapsed,
-		BytesSecond: float64(store.bytes.Load()) / elapsed, MeanLatencyMS: float64(waited.Load()) / float64(max(done.Load(), 1)) / float64(time.Millisecond),
+	return Result{
+		WriteLimit: writes, Callers: callers, OperationsPerSecond: float64(done.Load()) / elapsed, WritesPerSecond: float64(store.writes.Load()) / elapsed,
+		BytesPerSecond: float64(store.bytes.Load()) / elapsed, MeanClaimMS: float64(waited.Load()) / float64(max(done.Load(), 1)) / float64(time.Millisecond),
 	}
 }
--- a/lab/datapath/datapath.go
+++ b/lab/datapath/datapath.go
@@ -20,25 +20,25 @@
 	"github.com/tuliphall/tuliphall/lab/usage"
 )
 
-// Row is one way of sending, measured in turn directly and through a daemon.
-type Row struct {
-	Load        string  `json:"load"`
-	Backends    int     `json:"backends"`
-	Decisions   bool    `json:"log_decisions"`
-	DirectP50   float64 `json:"direct_p50_ms"`
-	DirectP99   float64 `json:"direct_p99_ms"`
-	ThroughP50  float64 `json:"through_p50_ms"`
-	ThroughP99  float64 `json:"through_p99_ms"`
-	AddedP50    float64 `json:"added_p50_ms"`
-	AddedP99    float64 `json:"added_p99_ms"`
-	DaemonMicro float64 `json:"processor_us_per_request"` // more than directly
-	PerSecond   float64 `json:"through_per_second"`
+// Result is one way of sending, measured in turn directly and through a daemon.
+type Result struct {
+	Load              string  `json:"load"`
+	Backends          int     `json:"backends"`
+	LogDecisions      bool    `json:"log_decisions"`
+	DirectP50         float64 `json:"direct_p50_ms"`
+	DirectP99         float64 `json:"direct_p99_ms"`
+	ThroughP50        float64 `json:"through_p50_ms"`
+	ThroughP99        float64 `json:"through_p99_ms"`
+	AddedP50          float64 `json:"added_p50_ms"`
+	AddedP99          float64 `json:"added_p99_ms"`
+	DaemonCPUMicros   float64 `json:"processor_us_per_request"` // more than directly
+	RequestsPerSecond float64 `json:"through_per_second"`
 }
 
 // Options say what is measured.
 type Options struct {
-	Duration time.Duration // of one slice; each way has Slices of them
-	Slices   int
+	SliceDuration time.Duration // of one slice; each way has Slices of them
+	Slices        int
 }
 
 // way is one way of making load.
@@ -51,8 +51,8 @@
 }
 
 // Run measures every way and tells its progress.
-func Run(ctx context.Context, options Options, progress io.Writer) ([]Row, error) {
-	var rows []Row
+func Run(ctx context.Context, options Options, progress io.Writer) ([]Result, error) {
+	var rows []Result
 	for _, one := range []way{
 		{name: "1 connection", closed: 1, backends: 1},
 		{name: "8 connections", closed: 8, backends: 1},
@@ -79,29 +79,29 @@
 	elapsed   time.Duration
 }
 
-func measure(ctx context.Context, one way, options Options) (Row, error) {
+func measure(ctx context.Context, one way, options Options) (Result, error) {
 	running, err := site.Start(ctx, site.Options{
-		Zones: []string{"zone-a"}, Daemons: 1, Decisions: one.decisions, LogLevel: "info", LogTo: io.Discard,
+		Zones: []string{"zone-a"}, Daemons: 1, Decisions: one.decisions, LogLevel: "info", LogOutput: io.Discard,
 		Services: []site.Service{{
-			Declared: config.Service{Name: "work", Slots: 64}, Backends: one.backends, Backend: backendstub.Options{Slots: 64, Fixed: true},
+			Config: config.Service{Name: "work", Slots: 64}, Backends: one.backends, Backend: backendstub.Options{Slots: 64, FixedServiceTime: true},
 		}},
 	})
 	if err != nil {
-		return Row{}, err
+		return Result{}, err
 	}
 	defer running.Close()
 	backend, daemon := running.Backends[0].Address, running.Targets()[0]
 	var direct, through side
-	warm := one.options(daemon, options.Duration/4, 99)
+	warm := one.options(daemon, options.SliceDuration/4, 99)
 	load.Run(ctx, warm)
 	for slice := range options.Slices {
-		direct.add(ctx, one.options(backend, options.Duration, uint64(slice)))
-		through.add(ctx, one.options(daemon, options.Duration, uint64(slice)))
+		direct.add(ctx, one.options(backend, options.SliceDuration, uint64(slice)))
+		through.add(ctx, one.options(daemon, options.SliceDuration, uint64(slice)))
 	}
-	row := Row{
-		Load: one.name, Backends: one.backends, Decisions: one.decisions,
+	row := Result{
+		Load: one.name, Backends: one.backends, LogDecisions: one.decisions,
 		DirectP50: median(direct.p50), DirectP99: median(direct.p99), ThroughP50: median(through.p50), ThroughP99: median(through.p99),
-		DaemonMicro: micro(through) - micro(direct), PerSecond: float64(through.requests) / through.elapsed.Seconds(),
+		DaemonCPUMicros: micro(through) - micro(direct), RequestsPerSecond: float64(through.requests) / through.elapsed.Seconds(),
 	}
 	row.AddedP50, row.AddedP99 = row.ThroughP50-row.DirectP50, row.ThroughP99-row.DirectP99
 	return row, nil
@@ -109,15 +109,15 @@
 
 func (w way) options(target string, duration time.Duration, seed uint64) load.Options {
 	return load.Options{
-		Targets: []string{target}, Closed: w.closed, Rate: w.rate, Duration: duration, Seed: seed + 1,
-		Kinds: []load.Kind{{Name: "all", Method: http.MethodGet, Path: "/work", Share: 1}},
+		Targets: []string{target}, ClosedLoopCallers: w.closed, Rate: w.rate, Duration: duration, Seed: seed + 1,
+		Kinds: []load.RequestKind{{Name: "all", Method: http.MethodGet, Path: "/work", Share: 1}},
 	}
 }
 
 func (s *side) add(ctx context.Context, options load.Options) {
-	before := usage.Processor()
+	before := usage.CPUTime()
 	result := load.Run(ctx, options)
-	s.processor += usage.Processor() - before
+	s.processor += usage.CPUTime() - before
 	s.elapsed += result.Elapsed
 	s.requests += result.Answered
 	s.p50 = append(s.p50, milliseconds(result.Quantile(50)))
@@ -139,12 +139,12 @@
 }
 
 // Print writes the rows as a table.
-func Print(w io.Writer, rows []Row) error {
+func Print(w io.Writer, rows []Result) error {
 	table := tabwriter.NewWriter(w, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, strings.Join([]string{"load", "back ends", "log", "direct p50", "p99", "through p50", "p99", "added p50 ms", "p99", "us/request", "requests/s", ""}, "\t"))
 	for _, r := range rows {
-		fmt.Fprintf(table, "%s\t%d\t%t\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.0f\t%.0f\t\n", r.Load, r.Backends, r.Decisions,
-			r.DirectP50, r.DirectP99, r.ThroughP50, r.ThroughP99, r.AddedP50, r.AddedP99, r.DaemonMicro, r.PerSecond)
+		fmt.Fprintf(table, "%s\t%d\t%t\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.0f\t%.0f\t\n", r.Load, r.Backends, r.LogDecisions,
+			r.DirectP50, r.DirectP99, r.ThroughP50, r.ThroughP99, r.AddedP50, r.AddedP99, r.DaemonCPUMicros, r.RequestsPerSecond)
 	}
 	return table.Flush()
 }
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -27,23 +27,23 @@
 	Seeds    []uint64        `toml:"seeds"`
 	Loads    []float64       `toml:"loads"`
 	Systems  []string        `toml:"systems"`
-	Service  []Service       `toml:"service"`
+	Services []Service       `toml:"service"`
 }
 
 // Service is one service of one deployment.
 type Service struct {
-	Name     string          `toml:"name"`
-	Zones    int             `toml:"zones"`
-	Daemons  int             `toml:"daemons"`
-	Workers  int             `toml:"workers"`
-	Slots    int             `toml:"slots"`
-	Work     config.Duration `toml:"work"`
-	WireNear config.Duration `toml:"wire_near"`
-	WireFar  config.Duration `toml:"wire_far"`
-	HopCost  config.Duration `toml:"hop_cost"`
-	Slowdown float64         `toml:"slowdown"`
-	Noisy    config.Duration `toml:"noisy"`
-	Quiet    config.Duration `toml:"quiet"`
+	Name           string          `toml:"name"`
+	Zones          int             `toml:"zones"`
+	Daemons        int             `toml:"daemons"`
+	Workers        int             `toml:"workers"`
+	Slots          int             `toml:"slots"`
+	Work           config.Duration `toml:"work"`
+	SameZoneDelay  config.Duration `toml:"wire_near"`
+	CrossZoneDelay config.Duration `toml:"wire_far"`
+	HopCost        config.Duration `toml:"hop_cost"`
+	Slowdown       float64         `toml:"slowdown"`
+	Noisy          config.Duration `toml:"noisy"`
+	Quiet          config.Duration `toml:"quiet"`
 }
 
 // Row is one measured combination, over all seeds.
@@ -56,8 +56,8 @@
 	P99     float64 `json:"p99_ms"`
 	P999    float64 `json:"p999_ms"`
 	Count   int     `json:"count"`
-	// Messages is the exchanges between daemons, a second, all together.
-	Messages float64 `json:"messages_per_second"`
+	// MessagesPerSecond is the exchanges between daemons, a second, all together.
+	MessagesPerSecond float64 `json:"messages_per_second"`
 }
 
 // Report is an experiment's results.
@@ -85,17 +85,17 @@
 		return errors.NotValidf("%s: seeds: none; it", path)
 	case len(f.Loads) == 0:
 		return errors.NotValidf("%s: loads: none; it", path)
-	case len(f.Service) == 0:
+	case len(f.Services) == 0:
 		return errors.NotValidf("%s: service: none; it", path)
 	case f.Duration <= f.WarmUp:
 		return errors.NotValidf("%s: duration: not above warm_up; it", path)
 	}
 	for _, name := range f.Systems {
-		if _, err := Find(name); err != nil {
+		if _, err := FindSystem(name); err != nil {
 			return errors.Annotate(err, path)
 		}
 	}
-	for _, one := range f.Service {
+	for _, one := range f.Services {
 		if one.Zones < 1 || one.Daemons < 1 || one.Workers < 1 || one.Workers > 999 || one.Slots < 1 || one.Work <= 0 {
 			return errors.NotValidf("%s: service %q: zones, daemons, workers (up to 999), slots and work must be above 0; it", path, one.Name)
 		}
@@ -103,8 +103,8 @@
 	return nil
 }
 
-// Find returns the system with a name.
-func Find(name string) (simulation.System, error) {
+// FindSystem returns the system with a name.
+func FindSystem(name string) (simulation.System, error) {
 	for _, system := range Systems() {
 		if system.Name == name {
 			return system, nil
@@ -117,8 +117,8 @@
 func (f File) Scenario(one Service, load float64, seed uint64) simulation.Scenario {
 	return simulation.Scenario{
 		Name: one.Name, Zones: one.Zones, Daemons: one.Daemons, Workers: one.Workers, Slots: one.Slots, Work: time.Duration(one.Work),
-		Noise:    simulation.Noise{Slowdown: one.Slowdown, Noisy: time.Duration(one.Noisy), Quiet: time.Duration(one.Quiet)},
-		WireNear: time.Duration(one.WireNear), WireFar: time.Duration(one.WireFar), HopCost: time.Duration(one.HopCost),
+		Noise:         simulation.Noise{Slowdown: one.Slowdown, Noisy: time.Duration(one.Noisy), Quiet: time.Duration(one.Quiet)},
+		SameZoneDelay: time.Duration(one.SameZoneDelay), CrossZoneDelay: time.Duration(one.CrossZoneDelay), HopCost: time.Duration(one.HopCost),
 		Load: load, Duration: time.Duration(f.Duration), WarmUp: time.Duration(f.WarmUp), Seed: seed,
 	}
 }
@@ -134,10 +134,10 @@
 // Run runs the experiment on all processors and tells its progress.
 func Run(file File, progress io.Writer) (Report, error) {
 	var tasks []task
-	for _, service := range file.Service {
+	for _, service := range file.Services {
 		for _, load := range file.Loads {
 			for _, name := range file.Systems {
-				system, err := Find(name)
+				system, err := FindSystem(name)
 				if err != nil {
 					return Report{}, err
 				}
@@ -172,8 +172,8 @@
 	result := simulation.Run(f.Scenario(one.service, one.load, one.seed), one.system)
 	return Row{
 		Service: one.service.Name, Load: one.load, System: one.system.Name, Seed: one.seed,
-		P50: milliseconds(result.P(50)), P99: milliseconds(result.P(99)), P999: milliseconds(result.P(99.9)),
-		Count: result.Answered, Messages: float64(result.Exchanges) / time.Duration(f.Duration).Seconds(),
+		P50: milliseconds(result.Quantile(50)), P99: milliseconds(result.Quantile(99)), P999: milliseconds(result.Quantile(99.9)),
+		Count: result.Answered, MessagesPerSecond: float64(result.PeerMessages) / time.Duration(f.Duration).Seconds(),
 	}
 }
 
@@ -183,15 +183,15 @@
 
 // Summary is a row with its seeds brought together.
 type Summary struct {
-	Service string
-	Load    float64
-	System  string
-	P50     float64 // median over the seeds, ms
-	P99     float64
-	P999    float64
-	Oracle  float64 // median over the seeds of p99 / the oracle's p99 with the same seed
-	Low     float64 // the smallest of those ratios
-	High    float64
+	Service     string
+	Load        float64
+	System      string
+	P50         float64 // median over the seeds, ms
+	P99         float64
+	P999        float64
+	OracleRatio float64 // median over the seeds of p99 / the oracle's p99 with the same seed
+	MinRatio    float64 // the smallest of those ratios
+	MaxRatio    float64
 }
 
 // Summaries brings the seeds of each combination together, in order of running.
@@ -232,8 +232,8 @@
 	}
 	s := Summary{Service: rows[0].Service, Load: rows[0].Load, System: rows[0].System, P50: median(p50), P99: median(p99), P999: median(p999)}
 	if len(ratio) > 0 {
-		s.Oracle = median(ratio)
-		s.Low, s.High = ratio[0], ratio[len(ratio)-1]
+		s.OracleRatio = median(ratio)
+		s.MinRatio, s.MaxRatio = ratio[0], ratio[len(ratio)-1]
 	}
 	return s
 }
@@ -249,7 +249,7 @@
 	table := tabwriter.NewWriter(w, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, strings.Join([]string{"service", "load", "system", "p50 ms", "p99 ms", "p99.9 ms", "p99/oracle", "(min-max)", ""}, "\t"))
 	for _, s := range r.Summaries() {
-		fmt.Fprintf(table, "%s\t%.0f%%\t%s\t%.2f\t%.2f\t%.2f\t%.2f\t(%.2f-%.2f)\t\n", s.Service, s.Load*100, s.System, s.P50, s.P99, s.P999, s.Oracle, s.Low, s.High)
+		fmt.Fprintf(table, "%s\t%.0f%%\t%s\t%.2f\t%.2f\t%.2f\t%.2f\t(%.2f-%.2f)\t\n", s.Service, s.Load*100, s.System, s.P50, s.P99, s.P999, s.OracleRatio, s.MinRatio, s.MaxRatio)
 	}
 	return table.Flush()
 }
--- a/lab/labcommand/account.go
+++ b/lab/labcommand/account.go
@@ -44,21 +44,21 @@
 }
 
 // accountOf makes the account of a day from its report and logs.
-func accountOf(sheet []dayreport.ClassSpec, path string, logs []string) (dayreport.Report, account.Account, error) {
+func accountOf(sheet []dayreport.ClassSpec, path string, logs []string) (dayreport.Report, account.Breakdown, error) {
 	report, err := dayreport.Read(path)
 	if err != nil {
-		return dayreport.Report{}, account.Account{}, err
+		return dayreport.Report{}, account.Breakdown{}, err
 	}
-	day := account.Day{Report: report, Sheet: sheet, Log: explain.NewLog()}
+	day := account.Day{Report: report, ClassSpecs: sheet, Log: explain.NewLog()}
 	for _, log := range logs {
 		if err := readDay(log, &day); err != nil {
-			return dayreport.Report{}, account.Account{}, err
+			return dayreport.Report{}, account.Breakdown{}, err
 		}
 	}
-	if day.Log.Lines() == 0 {
-		return dayreport.Report{}, account.Account{}, errors.NotFoundf("lines of daemons in the logs of %s", path)
+	if day.Log.LineCount() == 0 {
+		return dayreport.Report{}, account.Breakdown{}, errors.NotFoundf("lines of daemons in the logs of %s", path)
 	}
-	return report, account.Of(day), nil
+	return report, account.Compute(day), nil
 }
 
 // readDay takes in a log, and by its lines when the day began.
@@ -72,29 +72,29 @@
 	if err != nil {
 		return errors.Annotate(err, path)
 	}
-	if began.After(day.Began) {
-		day.Began = began
+	if began.After(day.Start) {
+		day.Start = began
 	}
 	return nil
 }
 
 // print shows the causes by kind of request, and the prices.
-func (c *accountRun) print(made account.Account, report dayreport.Report) error {
+func (c *accountRun) print(made account.Breakdown, report dayreport.Report) error {
 	writer := tabwriter.NewWriter(c.out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	header := "lost\tof all\t"
 	for _, kind := range report.Classes {
 		header += kind.Name + "\t"
 	}
 	fmt.Fprintln(writer, header+" cause")
-	for _, row := range made.Rows {
-		line := fmt.Sprintf("%.4f\t%.0f%%\t", row.Lost, 100*row.Lost/made.Lost)
+	for _, row := range made.Losses {
+		line := fmt.Sprintf("%.4f\t%.0f%%\t", row.Fraction, 100*row.Fraction/made.LostFraction)
 		for _, kind := range report.Classes {
-			line += fmt.Sprintf("%.4f\t", row.ByKind[kind.Name])
+			line += fmt.Sprintf("%.4f\t", row.ByClass[kind.Name])
 		}
 		fmt.Fprintln(writer, line+" "+row.Cause)
 	}
-	for _, row := range made.Prices {
-		fmt.Fprintf(writer, "%.4f\t\t%s %s\n", row.Lost, strings.Repeat("\t", len(report.Classes)), row.Cause)
+	for _, row := range made.Penalties {
+		fmt.Fprintf(writer, "%.4f\t\t%s %s\n", row.Fraction, strings.Repeat("\t", len(report.Classes)), row.Cause)
 	}
 	if err := writer.Flush(); err != nil {
 		return errors.Trace(err)
@@ -102,13 +102,13 @@
 	if c.Seconds {
 		c.printSeconds(made)
 	}
-	_, err := fmt.Fprintf(c.out, "sum %.4f, by the report %.4f; unnamed %.0f%%\n", made.Lost, made.Reported, 100*made.Unnamed())
+	_, err := fmt.Fprintf(c.out, "sum %.4f, by the report %.4f; unnamed %.0f%%\n", made.LostFraction, made.ReportedFraction, 100*made.UnexplainedShare())
 	return errors.Trace(err)
 }
 
 // printSeconds shows when each cause struck.
-func (c *accountRun) printSeconds(made account.Account) {
-	for _, row := range made.Rows {
+func (c *accountRun) printSeconds(made account.Breakdown) {
+	for _, row := range made.Losses {
 		seconds := make([]int, 0, len(row.BySecond))
 		for second := range row.BySecond {
 			seconds = append(seconds, second)
@@ -126,17 +126,17 @@
 const drawnCauses = 6
 
 // drawn is the chart of what was lost for the largest causes over the day.
-func drawn(made account.Account) chart.Chart {
+func drawn(made account.Breakdown) chart.Chart {
 	picture := chart.Chart{Title: "Worth lost by cause", XLabel: "second of the day", YLabel: "part of what was owed"}
 	last := 0
-	for _, row := range made.Rows {
+	for _, row := range made.Losses {
 		for second := range row.BySecond {
 			last = max(last, second)
 		}
 	}
-	for _, row := range made.Rows[:min(len(made.Rows), drawnCauses)] {
+	for _, row := range made.Losses[:min(len(made.Losses), drawnCauses)] {
 		for second := 0; second <= last; second += account.WindowSeconds {
-			picture.Add(row.Cause, chart.Point{X: float64(second), Y: row.BySecond[second]})
+			picture.AddPoint(row.Cause, chart.Point{X: float64(second), Y: row.BySecond[second]})
 		}
 	}
 	return picture
@@ -168,14 +168,14 @@
 	writer := tabwriter.NewWriter(c.out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(writer, "mean\tspread\tdiffers\t figure")
 	for _, one := range differences {
-		fmt.Fprintf(writer, "%+.4f\t%.4f\t%t\t %s\n", one.Mean, one.Spread, one.Differs(), one.Name)
+		fmt.Fprintf(writer, "%+.4f\t%.4f\t%t\t %s\n", one.Mean, one.StandardError, one.Significant(), one.Name)
 	}
 	fmt.Fprintf(writer, "\t\t\t over %d days\n", len(before))
 	return errors.Trace(writer.Flush())
 }
 
 // days reads the days of one side.
-func (c *compareRun) days(reports, logs []string) ([]account.Played, error) {
+func (c *compareRun) days(reports, logs []string) ([]account.DayResult, error) {
 	if len(logs) > 0 && (c.Site == "" || len(logs) != len(reports)) {
 		return nil, errors.NotValidf("%d logs of %d reports, site %q: causes take --site and one log a report; that", len(logs), len(reports), c.Site)
 	}
@@ -186,21 +186,21 @@
 			return nil, err
 		}
 	}
-	played := make([]account.Played, 0, len(reports))
+	played := make([]account.DayResult, 0, len(reports))
 	for index, path := range reports {
 		if len(logs) == 0 {
 			report, err := dayreport.Read(path)
 			if err != nil {
 				return nil, err
 			}
-			played = append(played, account.Played{Report: report})
+			played = append(played, account.DayResult{Report: report})
 			continue
 		}
 		report, made, err := accountOf(sheet, path, logs[index:index+1])
 		if err != nil {
 			return nil, err
 		}
-		played = append(played, account.Played{Report: report, Causes: made.Rows})
+		played = append(played, account.DayResult{Report: report, Losses: made.Losses})
 	}
 	return played, nil
 }
--- a/lab/labcommand/agree.go
+++ b/lab/labcommand/agree.go
@@ -52,16 +52,16 @@
 func (c *agree) simulated(name string) float64 {
 	var p99 []float64
 	for seed := range uint64(3) {
-		system, err := experiment.Find(name)
+		system, err := experiment.FindSystem(name)
 		if err != nil {
 			panic(err) // the names are constants of this program
 		}
 		result := simulation.Run(simulation.Scenario{
 			Zones: 1, Daemons: agreeDaemons, Workers: agreeBackends, Slots: 3, Work: agreeWork, Noise: noise,
-			WireNear: loopbackWire, WireFar: loopbackWire, HopCost: 100 * time.Microsecond,
+			SameZoneDelay: loopbackWire, CrossZoneDelay: loopbackWire, HopCost: 100 * time.Microsecond,
 			Load: c.Load, Duration: 30 * time.Second, WarmUp: 2 * time.Second, Seed: seed + 1,
 		}, system)
-		p99 = append(p99, float64(result.P(99))/float64(time.Millisecond))
+		p99 = append(p99, float64(result.Quantile(99))/float64(time.Millisecond))
 	}
 	sort.Float64s(p99)
 	return p99[1]
@@ -74,7 +74,7 @@
 	for _, itself := range []bool{true, false} {
 		running, err := site.Start(ctx, site.Options{
 			Zones: []string{"zone-a"}, Daemons: agreeDaemons,
-			Services: []site.Service{{Declared: config.Service{Name: "price-query", Direct: itself}, Backends: agreeBackends, Backend: noisy(agreeWork)}},
+			Services: []site.Service{{Config: config.Service{Name: "price-query", Direct: itself}, Backends: agreeBackends, Backend: noisy(agreeWork)}},
 		})
 		if err != nil {
 			return 0, 0, err
@@ -82,13 +82,13 @@
 		defer running.Close()
 		sites = append(sites, running)
 	}
-	capacity := float64(agreeBackends*3) / agreeWork.Seconds() * noise.Share()
+	capacity := float64(agreeBackends*3) / agreeWork.Seconds() * noise.MeanSpeed()
 	p99 := make([][]float64, len(sites))
 	for slice := range c.Slices {
 		for index, running := range sites {
 			result := load.Run(ctx, load.Options{
 				Targets: running.Targets(), Rate: capacity * c.Load, Duration: c.Duration, Seed: uint64(slice) + 1,
-				Kinds: []load.Kind{{Name: "read", Method: http.MethodGet, Path: "/", Share: 1}},
+				Kinds: []load.RequestKind{{Name: "read", Method: http.MethodGet, Path: "/", Share: 1}},
 			})
 			p99[index] = append(p99[index], float64(result.Quantile(99))/float64(time.Millisecond))
 		}
--- a/lab/labcommand/labcommand.go
+++ b/lab/labcommand/labcommand.go
@@ -100,7 +100,7 @@
 
 // Execute implements flags.Commander.
 func (c *dataPathRun) Execute([]string) error {
-	rows, err := datapath.Run(context.Background(), datapath.Options{Duration: c.Duration, Slices: c.Slices}, c.out)
+	rows, err := datapath.Run(context.Background(), datapath.Options{SliceDuration: c.Duration, Slices: c.Slices}, c.out)
 	if err != nil {
 		return err
 	}
@@ -120,12 +120,12 @@
 
 // Execute implements flags.Commander.
 func (c *claimsRun) Execute([]string) error {
-	var rows []claims.Row
+	var rows []claims.Result
 	for _, callers := range []int{1, 10, 100, 1000} {
 		row := claims.Measure(settings.DefaultWritesPerSecond, callers, c.Length)
 		rows = append(rows, row)
 		if _, err := fmt.Fprintf(c.out, "%d callers: %.0f operations/s, %.1f writes/s, %.0f bytes/s, claim %.0f ms\n",
-			callers, row.PerSecond, row.WritesSecond, row.BytesSecond, row.MeanLatencyMS); err != nil {
+			callers, row.OperationsPerSecond, row.WritesPerSecond, row.BytesPerSecond, row.MeanClaimMS); err != nil {
 			return err
 		}
 	}
@@ -160,11 +160,11 @@
 	defer os.RemoveAll(folder)
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Minute)
 	defer cancel()
-	result, err := rolling.Run(ctx, rolling.Options{Binary: c.Binary, Folder: folder, Daemons: c.Daemons, Streams: c.Streams, Rate: c.Rate}, c.out)
+	result, err := rolling.Run(ctx, rolling.Options{Binary: c.Binary, Directory: folder, Daemons: c.Daemons, StreamDuration: c.Streams, Rate: c.Rate}, c.out)
 	if err != nil {
 		return err
 	}
 	_, err = fmt.Fprintf(c.out, "%d daemons restarted; %d streams of %s, %d cut; %d requests, %d lost %s\n",
-		result.Restarts, result.Streams, c.Streams, result.Cut, result.Sent, result.Lost, result.First)
+		result.Restarts, result.Streams, c.Streams, result.InterruptedStreams, result.SentRequests, result.FailedRequests, result.FirstFailure)
 	return err
 }
--- a/lab/labcommand/plot.go
+++ b/lab/labcommand/plot.go
@@ -35,7 +35,7 @@
 			drawn = &chart.Chart{Title: s.Service, XLabel: "load, % of capacity", YLabel: "p99 / oracle"}
 			charts[s.Service] = drawn
 		}
-		drawn.Add(s.System, chart.Point{X: s.Load * 100, Y: s.Oracle})
+		drawn.AddPoint(s.System, chart.Point{X: s.Load * 100, Y: s.OracleRatio})
 	}
 	for service, drawn := range charts {
 		if err := drawn.Save(c.Folder, "p99-"+strings.ReplaceAll(service, "/", "-")); err != nil {
@@ -52,13 +52,13 @@
 func (c *experimentPlot) timeline() error {
 	drawn := chart.Chart{Title: "a neighbour slows one worker of ten threefold from 2.0 s to 2.2 s", XLabel: "s", YLabel: "p99 of the interval, ms"}
 	for _, name := range []string{"own-least", experiment.ProductName, experiment.OracleName} {
-		system, err := experiment.Find(name)
+		system, err := experiment.FindSystem(name)
 		if err != nil {
 			return err
 		}
 		result := simulation.Run(simulation.Scenario{
 			Zones: 4, Daemons: 16, Workers: 10, Slots: 3, Work: 5 * time.Millisecond,
-			WireNear: 100 * time.Microsecond, WireFar: 1500 * time.Microsecond, HopCost: 60 * time.Microsecond,
+			SameZoneDelay: 100 * time.Microsecond, CrossZoneDelay: 1500 * time.Microsecond, HopCost: 60 * time.Microsecond,
 			Load: 0.85, Duration: 3 * time.Second, Seed: 1, Timeline: timelineStep,
 			Faults: []simulation.Fault{{Kind: simulation.FaultSlow, Worker: 3, From: 2 * time.Second, Until: 2200 * time.Millisecond, Factor: 3}},
 		}, system)
--- a/lab/labcommand/serve.go
+++ b/lab/labcommand/serve.go
@@ -61,10 +61,10 @@
 
 // Execute implements flags.Commander.
 func (c *backendServe) Execute([]string) error {
-	stub := backendstub.New(backendstub.Options{Slots: c.Slots, Work: c.Work, Seed: c.Seed})
+	stub := backendstub.New(backendstub.Options{Slots: c.Slots, MeanServiceTime: c.Work, Seed: c.Seed})
 	stub.SetFault(backendstub.Fault(c.Fault))
 	stub.SetDraining(c.Drain)
-	stub.SetLimit(c.Limit)
+	stub.SetRequestLimit(c.Limit)
 	if c.Pause != "" {
 		stub.SetPushback(c.Pause, c.Every)
 	}
@@ -98,12 +98,12 @@
 func (c *loadRun) Execute([]string) error {
 	result := load.Run(context.Background(), load.Options{
 		Targets: c.Targets, Rate: c.Rate, Duration: c.Duration, Seed: c.Seed,
-		Kinds: []load.Kind{{Name: "all", Method: c.Method, Path: c.Path, Share: 1, Once: c.Once, Key: c.Key}},
+		Kinds: []load.RequestKind{{Name: "all", Method: c.Method, Path: c.Path, Share: 1, WithIdempotencyKey: c.Once, TenantKey: c.Key}},
 	})
 	if err := printLoad(c.out, result); err != nil {
 		return err
 	}
-	if c.Strict && (result.Failed() > 0 || result.Wrong > 0) {
+	if c.Strict && (result.Failed() > 0 || result.WrongResponses > 0) {
 		return errors.Errorf("%d of %d requests failed; first: %s", result.Failed(), result.Sent, result.FirstFailure())
 	}
 	return nil
@@ -111,7 +111,7 @@
 
 func printLoad(out io.Writer, result *load.Result) error {
 	_, err := fmt.Fprintf(out, "seed %d: sent %d, answered %d, wrong %d, broken off %d, p50 %s, p99 %s, p99.9 %s\n",
-		result.Seed, result.Sent, result.Answered, result.Wrong, result.Aborted,
+		result.Seed, result.Sent, result.Answered, result.WrongResponses, result.Aborted,
 		result.Quantile(50), result.Quantile(99), result.Quantile(99.9))
 	return err
 }
--- a/lab/labcommand/soak.go
+++ b/lab/labcommand/soak.go
@@ -83,7 +83,7 @@
 		progress = io.MultiWriter(history, c.out)
 	}
 	result, err := soak.Run(ctx, soak.Options{
-		Binary: binary, Folder: folder, Seed: seed, Daemons: c.Daemons, Workers: c.Workers, Faults: c.Faults, Length: c.Length, Rate: c.Rate,
+		Binary: binary, Directory: folder, Seed: seed, Daemons: c.Daemons, Workers: c.Workers, FaultCount: c.Faults, FaultDuration: c.Length, Rate: c.Rate,
 	}, progress)
 	if err != nil {
 		return false, err
@@ -93,7 +93,7 @@
 		return false, os.RemoveAll(folder)
 	}
 	fmt.Fprintf(c.out, "logs are kept in %s\n", folder)
-	return true, result.Print(c.out)
+	return true, result.PrintViolations(c.out)
 }
 
 // binary returns the daemon's binary, built if none was named.
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -29,14 +29,14 @@
 	"github.com/tuliphall/tuliphall/resultcode"
 )
 
-// Kind is one kind of request in the mix.
-type Kind struct {
-	Name   string
-	Method string
-	Path   string
-	Share  float64
-	Once   bool   // carries an operation key
-	Key    string // of a tenant; empty: none
+// RequestKind is one kind of request in the mix.
+type RequestKind struct {
+	Name               string
+	Method             string
+	Path               string
+	Share              float64
+	WithIdempotencyKey bool   // carries an operation key
+	TenantKey          string // of a tenant; empty: none
 }
 
 // Options say what load to make.
@@ -46,43 +46,43 @@
 	Rate     float64  // requests a second, all kinds together
 	Duration time.Duration
 	Seed     uint64
-	Kinds    []Kind
-	// Closed, if above 0, is a number of callers that each send the next
+	Kinds    []RequestKind
+	// ClosedLoopCallers, if above 0, is a number of callers that each send the next
 	// request when the last was answered; Rate is then ignored.
-	Closed int
-	// Again lets the caller of an operation that got no answer come back once
+	ClosedLoopCallers int
+	// RetryUnanswered lets the caller of an operation that got no answer come back once
 	// with the same key, through another target.
-	Again bool
+	RetryUnanswered bool
 	// HTTP2 lets callers speak HTTP/2 without encryption; false: HTTP/1.1.
 	HTTP2 bool
 	// Timeout bounds one request; 0: none.
 	Timeout time.Duration
-	// Most bounds the requests made; 0: 1,000,000.
-	Most int
+	// MaxRequests bounds the requests made; 0: 1,000,000.
+	MaxRequests int
 }
 
 // Outcome is what one request came to.
 type Outcome struct {
-	Name  string
-	Run   resultcode.RunState
-	Wrong bool // not the whole answer to its own request, yet passed off as it
+	Name          string
+	Run           resultcode.RunState
+	WrongResponse bool // not the whole answer to its own request, yet passed off as it
 }
 
 // Result sums up a run of load.
 type Result struct {
-	Seed      uint64                      `json:"seed"`
-	Sent      int                         `json:"sent"`
-	Answered  int                         `json:"answered"` // with a back end's whole answer
-	Wrong     int                         `json:"wrong"`
-	Aborted   int                         `json:"aborted"` // broken off, so that the caller sees it
-	Codes     map[resultcode.Code]int     `json:"codes"`
-	Runs      map[resultcode.RunState]int `json:"runs"`
-	Outcomes  []Outcome                   `json:"-"`
-	Latency   *hdrhistogram.Histogram     `json:"-"`
-	Elapsed   time.Duration               `json:"elapsed_ns"`
-	mutex     sync.Mutex
-	perKind   map[string]*hdrhistogram.Histogram
-	firstFail string
+	Seed           uint64                      `json:"seed"`
+	Sent           int                         `json:"sent"`
+	Answered       int                         `json:"answered"` // with a back end's whole answer
+	WrongResponses int                         `json:"wrong"`
+	Aborted        int                         `json:"aborted"` // broken off, so that the caller sees it
+	Codes          map[resultcode.Code]int     `json:"codes"`
+	RunStates      map[resultcode.RunState]int `json:"runs"`
+	Outcomes       []Outcome                   `json:"-"`
+	Latency        *hdrhistogram.Histogram     `json:"-"`
+	Elapsed        time.Duration               `json:"elapsed_ns"`
+	mutex          sync.Mutex
+	perKind        map[string]*hdrhistogram.Histogram
+	firstFail      string
 }
 
 // Histogram bounds: microseconds, up to ten minutes, to three digits.
@@ -134,8 +134,8 @@
 	if options.Network == nil {
 		options.Network = network.TCP{}
 	}
-	if options.Most == 0 {
-		options.Most = 1_000_000
+	if options.MaxRequests == 0 {
+		options.MaxRequests = 1_000_000
 	}
 	transport := &http.Transport{
 		DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
@@ -150,12 +150,12 @@
 		options: options, client: &http.Client{Transport: transport, Timeout: options.Timeout},
 		random: rand.New(rand.NewPCG(options.Seed, options.Seed+1)),
 		result: &Result{
-			Seed: options.Seed, Codes: make(map[resultcode.Code]int), Runs: make(map[resultcode.RunState]int),
+			Seed: options.Seed, Codes: make(map[resultcode.Code]int), RunStates: make(map[resultcode.RunState]int),
 			Latency: newHistogram(), perKind: make(map[string]*hdrhistogram.Histogram),
 		},
 	}
 	begun := time.Now()
-	if options.Closed > 0 {
+	if options.ClosedLoopCallers > 0 {
 		g.closedLoop(ctx, begun)
 	} else {
 		g.openLoop(ctx, begun)
@@ -168,7 +168,7 @@
 // openLoop sends at random times.
 func (g *generator) openLoop(ctx context.Context, begun time.Time) {
 	due := begun
-	for number := 0; number < g.options.Most; number++ {
+	for number := 0; number < g.options.MaxRequests; number++ {
 		due = due.Add(time.Duration(g.random.ExpFloat64() / g.options.Rate * float64(time.Second)))
 		if due.Sub(begun) >= g.options.Duration || ctx.Err() != nil {
 			return
@@ -182,7 +182,7 @@
 		other := g.options.Targets[g.random.IntN(len(g.options.Targets))]
 		g.waiting.Go(func() {
 			answered := g.one(ctx, number, "", kind, target, intended)
-			if !answered && g.options.Again && kind.Once {
+			if !answered && g.options.RetryUnanswered && kind.WithIdempotencyKey {
 				g.one(ctx, number, againSuffix, kind, other, time.Now())
 			}
 		})
@@ -191,18 +191,18 @@
 
 // closedLoop lets a few callers each send one request after another.
 func (g *generator) closedLoop(ctx context.Context, begun time.Time) {
-	for caller := range g.options.Closed {
+	for caller := range g.options.ClosedLoopCallers {
 		kind, target := g.pickKind(), g.options.Targets[caller%len(g.options.Targets)]
 		g.waiting.Go(func() {
-			for number := 0; time.Since(begun) < g.options.Duration && number < g.options.Most && ctx.Err() == nil; number++ {
-				g.one(ctx, caller*g.options.Most+number, "", kind, target, time.Now())
+			for number := 0; time.Since(begun) < g.options.Duration && number < g.options.MaxRequests && ctx.Err() == nil; number++ {
+				g.one(ctx, caller*g.options.MaxRequests+number, "", kind, target, time.Now())
 			}
 		})
 	}
 }
 
-func (g *generator) pickKind() Kind {
-	return weighted.Draw(g.random, g.options.Kinds, func(kind Kind) float64 { return kind.Share })
+func (g *generator) pickKind() RequestKind {
+	return weighted.Draw(g.random, g.options.Kinds, func(kind RequestKind) float64 { return kind.Share })
 }
 
 // againSuffix tells the second attempt of an operation from the first.
@@ -210,7 +210,7 @@
 
 // one sends one request, notes what came of it and says whether it got its whole
 // answer.
-func (g *generator) one(ctx context.Context, number int, suffix string, kind Kind, target string, intended time.Time) bool {
+func (g *generator) one(ctx context.Context, number int, suffix string, kind RequestKind, target string, intended time.Time) bool {
 	key := fmt.Sprintf("r%d-%d", g.options.Seed, number)
 	name := key + suffix
 	body := ""
@@ -222,12 +222,12 @@
 		g.note(kind, Outcome{Name: name}, 0, 0, false, err.Error())
 		return false
 	}
-	request.Header.Set(backendstub.HeaderRunCount, name)
-	if kind.Once {
+	request.Header.Set(backendstub.HeaderRequestName, name)
+	if kind.WithIdempotencyKey {
 		request.Header.Set(policy.HeaderIdempotencyKey, key)
 	}
-	if kind.Key != "" {
-		request.Header.Set(identity.HeaderAuthorization, identity.AuthScheme+" "+kind.Key)
+	if kind.TenantKey != "" {
+		request.Header.Set(identity.HeaderAuthorization, identity.AuthScheme+" "+kind.TenantKey)
 	}
 	// The transport must not resend what it cannot know to be safe.
 	request.GetBody = nil
@@ -250,7 +250,7 @@
 	}
 	expected := fmt.Sprintf("%s %s %s %s\n", kind.Method, kind.Path, ran, body)
 	whole := readErr == nil && response.StatusCode == http.StatusOK && string(text) == expected
-	outcome.Wrong = readErr == nil && response.StatusCode == http.StatusOK && string(text) != expected
+	outcome.WrongResponse = readErr == nil && response.StatusCode == http.StatusOK && string(text) != expected
 	failure := ""
 	if !whole {
 		failure = fmt.Sprintf("%s: status %d, code %d, error %v, body %.200q", name, response.StatusCode, code, readErr, text)
@@ -267,16 +267,16 @@
 	return resultcode.Code(number)
 }
 
-func (g *generator) note(kind Kind, outcome Outcome, code resultcode.Code, latency time.Duration, whole bool, failure string) {
+func (g *generator) note(kind RequestKind, outcome Outcome, code resultcode.Code, latency time.Duration, whole bool, failure string) {
 	r := g.result
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.Sent++
 	r.Codes[code]++
-	r.Runs[outcome.Run]++
+	r.RunStates[outcome.Run]++
 	r.Outcomes = append(r.Outcomes, outcome)
-	if outcome.Wrong {
-		r.Wrong++
+	if outcome.WrongResponse {
+		r.WrongResponses++
 	}
 	if !whole {
 		if code == resultcode.Answered || code == 0 {
--- a/lab/rolling/rolling.go
+++ b/lab/rolling/rolling.go
@@ -26,21 +26,21 @@
 
 // Options say what is restarted.
 type Options struct {
-	Binary  string // of tuliphalld
-	Folder  string // for settings files and logs
-	Daemons int
-	Streams time.Duration // length of the stream through each daemon
-	Rate    float64       // requests a second, all daemons together
+	Binary         string // of tuliphalld
+	Directory      string // for settings files and logs
+	Daemons        int
+	StreamDuration time.Duration // length of the stream through each daemon
+	Rate           float64       // requests a second, all daemons together
 }
 
 // Result is what came of it.
 type Result struct {
-	Restarts int
-	Streams  int64
-	Cut      int64 // streams that ended early
-	Sent     int64
-	Lost     int64 // requests without their whole answer
-	First    string
+	Restarts           int
+	Streams            int64
+	InterruptedStreams int64 // streams that ended early
+	SentRequests       int64
+	FailedRequests     int64 // requests without their whole answer
+	FirstFailure       string
 }
 
 // Timing of a restart.
@@ -82,7 +82,7 @@
 func Run(ctx context.Context, options Options, progress io.Writer) (Result, error) {
 	running, err := site.Start(ctx, site.Options{
 		Zones:    []string{"zone-a", "zone-b", "zone-c"},
-		Services: []site.Service{{Declared: config.Service{Name: "work", Slots: 32}, Backends: 6, Backend: backendstub.Options{Slots: 32, Work: 5 * time.Millisecond}}},
+		Services: []site.Service{{Config: config.Service{Name: "work", Slots: 32}, Backends: 6, Backend: backendstub.Options{Slots: 32, MeanServiceTime: 5 * time.Millisecond}}},
 	})
 	if err != nil {
 		return Result{}, err
@@ -158,7 +158,7 @@
 		}
 	}
 	text := fmt.Sprintf(settings, one.name, strings.Join(peers, ", "), one.at(portCaller), one.at(portPeer), one.at(portForward), one.at(portAdmin), f.site.PlatformURL(), notice)
-	command, err := launcher.Start(f.options.Binary, f.options.Folder, one.name, text)
+	command, err := launcher.Start(f.options.Binary, f.options.Directory, one.name, text)
 	if err != nil {
 		return err
 	}
@@ -207,7 +207,7 @@
 const piece = 200 * time.Millisecond
 
 func (f *fleet) stream(ctx context.Context, one *process) {
-	url := fmt.Sprintf("http://%s%s?pieces=%d&every=%s", one.at(portCaller), backendstub.PathStream, f.options.Streams/piece, piece)
+	url := fmt.Sprintf("http://%s%s?pieces=%d&every=%s", one.at(portCaller), backendstub.PathStream, f.options.StreamDuration/piece, piece)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	whole := false
 	if err == nil {
@@ -222,7 +222,7 @@
 	defer f.mutex.Unlock()
 	f.result.Streams++
 	if !whole {
-		f.result.Cut++
+		f.result.InterruptedStreams++
 	}
 }
 
@@ -245,13 +245,13 @@
 		}
 		result := load.Run(ctx, load.Options{
 			Targets: targets, Rate: f.options.Rate, Duration: loadSlice, Seed: seed,
-			Kinds: []load.Kind{{Name: "all", Method: http.MethodGet, Path: "/work", Share: 1}},
+			Kinds: []load.RequestKind{{Name: "all", Method: http.MethodGet, Path: "/work", Share: 1}},
 		})
 		f.mutex.Lock()
-		f.result.Sent += int64(result.Sent)
-		f.result.Lost += int64(result.Failed())
-		if f.result.First == "" {
-			f.result.First = result.FirstFailure()
+		f.result.SentRequests += int64(result.Sent)
+		f.result.FailedRequests += int64(result.Failed())
+		if f.result.FirstFailure == "" {
+			f.result.FirstFailure = result.FirstFailure()
 		}
 		f.mutex.Unlock()
 	}
--- a/lab/simulation/attempt.go
+++ b/lab/simulation/attempt.go
@@ -93,7 +93,7 @@
 		return
 	}
 	verdict := retry.Decide(retry.Attempt{
-		Code: resultcode.BackendRefused, CallerRetry: one.refused > 0, Number: one.attempts, MaxAttempts: one.class.Attempts, Repeatable: one.class.Repeatable, Rewindable: true,
+		Code: resultcode.BackendRefused, CallerRetry: one.refused > 0, Number: one.attempts, MaxAttempts: one.class.MaxAttempts, Repeatable: one.class.Repeatable, Rewindable: true,
 		Remaining: one.deadline.Sub(r.time()), UntriedBackends: len(r.workers) - len(one.tried),
 	}, &r.budget)
 	if verdict == retry.Allowed {
@@ -115,7 +115,7 @@
 
 // hedge asks for a place for a second attempt.
 func (r *replay) hedge(one *try) {
-	if one.over || one.attempts > 1 || one.class.Attempts < 2 || !r.budget.Spend(retry.Hedge, one.refused > 0) {
+	if one.over || one.attempts > 1 || one.class.MaxAttempts < 2 || !r.budget.Spend(retry.Hedge, one.refused > 0) {
 		return
 	}
 	decision := r.core.Offer(r.time(), r.request(one, true), one)
--- a/lab/simulation/faults.go
+++ b/lab/simulation/faults.go
@@ -24,7 +24,7 @@
 
 // exchange lets every deciding daemon tell every other what it has in flight.
 func (s *simulation) exchange() {
-	s.after(s.system.Exchange, func() {
+	s.after(s.system.ExchangeInterval, func() {
 		for index, from := range s.nodes {
 			counts := make([]int, len(s.workers))
 			for number, state := range from.core.Group.States() {
@@ -34,7 +34,7 @@
 				if to == from {
 					continue
 				}
-				s.result.Exchanges++
+				s.result.PeerMessages++
 				s.after(s.wire(from.zone, to.zone), func() { s.told(to, index, counts) })
 			}
 		}
--- a/lab/simulation/flow.go
+++ b/lab/simulation/flow.go
@@ -35,7 +35,7 @@
 		s.result.Offered++
 		s.result.ClassSent[class.Name]++
 	}
-	if s.system.Central {
+	if s.system.CentralQueue {
 		s.central = append(s.central, r)
 		s.serveCentral()
 		return
@@ -87,7 +87,7 @@
 
 func (s *simulation) refuse(r *request) {
 	if r.ran {
-		s.result.RefusedRan++
+		s.result.RefusedAfterRun++
 	}
 	if s.counted(r) {
 		s.result.Refused++
@@ -116,7 +116,7 @@
 		target.arrive(r.work, func() {
 			r.ran = true
 			load := target.inFlight()
-			if s.system.Places {
+			if s.system.Permits {
 				s.after(s.wire(target.zone, r.zone), func() { s.record(r) })
 			}
 			s.after(s.backToNode(r, target), func() { s.answered(r, place, load) })
@@ -127,7 +127,7 @@
 // toTarget is how long it takes from the decision until the request is at the back
 // end: with places, the decision first travels to the request's own daemon.
 func (s *simulation) toTarget(r *request, target *worker) time.Duration {
-	if s.system.Places {
+	if s.system.Permits {
 		return s.wire(r.node.zone, r.zone) + s.scenario.HopCost + s.wire(r.zone, target.zone)
 	}
 	return s.wire(r.node.zone, target.zone)
@@ -136,7 +136,7 @@
 // backToNode is how long it takes until the deciding node knows of an answer: with
 // places, the request's own daemon tells it.
 func (s *simulation) backToNode(r *request, target *worker) time.Duration {
-	if s.system.Places {
+	if s.system.Permits {
 		return s.wire(target.zone, r.zone) + s.wire(r.zone, r.node.zone)
 	}
 	return s.wire(target.zone, r.node.zone)
@@ -146,11 +146,11 @@
 func (s *simulation) answered(r *request, place *dispatch.Permit, load int) {
 	now := s.time()
 	r.node.core.Done(now, place, routing.Success, now.Sub(place.GrantedAt))
-	if s.system.Reports {
+	if s.system.LoadReports {
 		r.node.core.RecordReport(now, place.Backend, routing.Report{InFlight: load})
 	}
 	s.serve(r.node)
-	if s.system.Places {
+	if s.system.Permits {
 		return // recorded when the answer came to the request's own daemon
 	}
 	wait := time.Duration(0)
--- a/lab/simulation/pattern.go
+++ b/lab/simulation/pattern.go
@@ -13,17 +13,17 @@
 
 // Pattern is a load that is played to the decisions of one dispatcher.
 type Pattern struct {
-	// Answers says which load this is.
-	Answers  string          `toml:"answers"`
-	Duration config.Duration `toml:"duration"`
-	// Wire is how long a message takes between caller, daemon, dispatcher and back end.
-	Wire config.Duration `toml:"wire"`
+	// Description says which load this is.
+	Description string          `toml:"answers"`
+	Duration    config.Duration `toml:"duration"`
+	// MessageDelay is how long a message takes between caller, daemon, dispatcher and back end.
+	MessageDelay config.Duration `toml:"wire"`
 	// RetryRatio and RetryBurst are the retry budget of the service.
-	RetryRatio float64          `toml:"retry_ratio"`
-	RetryBurst float64          `toml:"retry_burst"`
-	Backends   PatternBackends  `toml:"backends"`
-	Classes    []PatternClass   `toml:"classes"`
-	Troubles   []PatternTrouble `toml:"troubles"`
+	RetryRatio float64         `toml:"retry_ratio"`
+	RetryBurst float64         `toml:"retry_burst"`
+	Backends   PatternBackends `toml:"backends"`
+	Classes    []PatternClass  `toml:"classes"`
+	Events     []PatternEvent  `toml:"troubles"`
 }
 
 // PatternBackends are the back ends of the service.
@@ -38,33 +38,33 @@
 	// WarmUp is how long a back end is cold after its start or its evacuation, and Bears how
 	// many requests it bears in a second then; more than FallsOver of them, and it is gone
 	// for as long. 0: none is ever cold.
-	WarmUp    config.Duration `toml:"warm_up"`
-	Bears     float64         `toml:"bears"`
-	FallsOver int             `toml:"falls_over"`
-	Slowdown  float64         `toml:"slowdown"`
-	Noisy     config.Duration `toml:"noisy"`
-	Quiet     config.Duration `toml:"quiet"`
+	WarmUp               config.Duration `toml:"warm_up"`
+	ColdRate             float64         `toml:"bears"`
+	ColdFailureThreshold int             `toml:"falls_over"`
+	Slowdown             float64         `toml:"slowdown"`
+	Noisy                config.Duration `toml:"noisy"`
+	Quiet                config.Duration `toml:"quiet"`
 }
 
 // PatternClass is one kind of requests.
 type PatternClass struct {
-	Name       string          `toml:"name"`
-	Weight     int             `toml:"weight"`
-	Repeatable bool            `toml:"repeatable"`
-	PerSecond  float64         `toml:"per_second"`
-	Work       config.Duration `toml:"work"`   // mean
-	Spread     float64         `toml:"spread"` // of its logarithm
-	Objective  config.Duration `toml:"objective"`
-	Deadline   config.Duration `toml:"deadline"`
-	Retries    int             `toml:"retries"`  // of the caller
-	Attempts   int             `toml:"attempts"` // of the daemon
-	// Impatient is the share of the callers that come back at once.
-	Impatient float64 `toml:"impatient"`
+	Name          string          `toml:"name"`
+	Weight        int             `toml:"weight"`
+	Repeatable    bool            `toml:"repeatable"`
+	PerSecond     float64         `toml:"per_second"`
+	Work          config.Duration `toml:"work"`   // mean
+	LogSigma      float64         `toml:"spread"` // of its logarithm
+	Objective     config.Duration `toml:"objective"`
+	Deadline      config.Duration `toml:"deadline"`
+	CallerRetries int             `toml:"retries"`  // of the caller
+	MaxAttempts   int             `toml:"attempts"` // of the daemon
+	// ImmediateRetryShare is the share of the callers that come back at once.
+	ImmediateRetryShare float64 `toml:"impatient"`
 }
 
 // draw returns the work of one request.
 func (c PatternClass) draw(random *rand.Rand) time.Duration {
-	factor := math.Exp(c.Spread*random.NormFloat64() - c.Spread*c.Spread/2)
+	factor := math.Exp(c.LogSigma*random.NormFloat64() - c.LogSigma*c.LogSigma/2)
 	return time.Duration(factor * float64(c.Work))
 }
 
@@ -80,13 +80,13 @@
 	troubleEvacuate = "evacuate"
 )
 
-// PatternTrouble is what happens at a time.
-type PatternTrouble struct {
-	Kind   string          `toml:"kind"`
-	At     config.Duration `toml:"at"`
-	For    config.Duration `toml:"for"`
-	Share  float64         `toml:"share"`
-	Factor float64         `toml:"factor"`
+// PatternEvent is what happens at a time.
+type PatternEvent struct {
+	Kind     string          `toml:"kind"`
+	At       config.Duration `toml:"at"`
+	Duration config.Duration `toml:"for"`
+	Share    float64         `toml:"share"`
+	Factor   float64         `toml:"factor"`
 }
 
 // LoadPattern reads a pattern from a file.
--- a/lab/simulation/record.go
+++ b/lab/simulation/record.go
@@ -10,7 +10,7 @@
 	s.result.Answered++
 	if !s.time().After(r.deadline) {
 		s.result.InTime++
-		s.result.ClassInTim[r.class.Name]++
+		s.result.ClassInTime[r.class.Name]++
 	}
 	histogram, ok := s.result.Classes[r.class.Name]
 	if !ok {
--- a/lab/simulation/replay.go
+++ b/lab/simulation/replay.go
@@ -80,7 +80,7 @@
 		// whatever is decided.
 		r.arrivals(class, rand.New(rand.NewPCG(seed, uint64(10+number))))
 	}
-	for _, trouble := range pattern.Troubles {
+	for _, trouble := range pattern.Events {
 		r.trouble(trouble)
 	}
 	// What was asked last is followed to its end.
@@ -128,7 +128,7 @@
 	for _, one := range r.workers {
 		backends = append(backends, routing.Backend{
 			ID: one.id, Slots: one.slots, Window: one.slots, Warm: r.clock.now >= one.coldUntil,
-			WarmUp: routing.WarmUp{Duration: time.Duration(r.pattern.Backends.WarmUp), PerSecond: r.pattern.Backends.Bears},
+			WarmUp: routing.WarmUp{Duration: time.Duration(r.pattern.Backends.WarmUp), PerSecond: r.pattern.Backends.ColdRate},
 		})
 	}
 	r.core.Group.SetBackends(r.time(), backends)
@@ -140,8 +140,8 @@
 		if r.burst == 0 {
 			return // the pattern is over
 		}
-		asking := &caller{class: class, begun: r.time(), deadline: r.time().Add(time.Duration(class.Deadline)), retries: class.Retries, work: class.draw(random)}
-		r.outcome.of(class).Asked++
+		asking := &caller{class: class, begun: r.time(), deadline: r.time().Add(time.Duration(class.Deadline)), retries: class.CallerRetries, work: class.draw(random)}
+		r.outcome.of(class).Requests++
 		r.ask(asking)
 		r.arrivals(class, random)
 	})
@@ -156,7 +156,7 @@
 }
 
 func (p Pattern) wire() time.Duration {
-	return time.Duration(p.Wire)
+	return time.Duration(p.MessageDelay)
 }
 
 func (r *replay) request(one *try, spare bool) dispatch.Request {
@@ -238,7 +238,7 @@
 		return
 	}
 	asking.retries--
-	if r.random.Float64() < asking.class.Impatient {
+	if r.random.Float64() < asking.class.ImmediateRetryShare {
 		advice = 0
 	}
 	r.after(min(advice, time.Duration(patientShare*float64(left))), func() { r.ask(asking) })
--- a/lab/simulation/replay_test.go
+++ b/lab/simulation/replay_test.go
@@ -21,7 +21,7 @@
 	require.NoError(t, err)
 	sum := simulation.Replay(pattern, 1)
 	for seed := uint64(2); seed <= replaySeeds; seed++ {
-		sum.Add(simulation.Replay(pattern, seed))
+		sum.Merge(simulation.Replay(pattern, seed))
 	}
 	return sum
 }
@@ -57,11 +57,11 @@
 			outcome := play(t, name)
 			for class, got := range outcome.Classes {
 				t.Logf("%s: asked %d, in time %.3f, late %.3f, gave up %.3f; refused %.3f, twice %.3f, held %s, %s at p99; hedges %.3f; p99 %s",
-					class, got.Asked, got.Share(got.InTime), got.Share(got.Late), got.Share(got.GaveUp),
-					got.Share(got.Refused), got.Share(got.RefusedTwice), got.HeldFor(50), got.HeldFor(99), got.Share(got.Hedges), got.LatencyAt(99))
+					class, got.Requests, got.Share(got.InTime), got.Share(got.Late), got.Share(got.GaveUp),
+					got.Share(got.Refused), got.Share(got.RefusedRepeatedly), got.RefusalDelayAt(50), got.RefusalDelayAt(99), got.Share(got.Hedges), got.LatencyAt(99))
 				require.GreaterOrEqual(t, got.Share(got.InTime), want.inTime[class], class)
 			}
-			all := outcome.All()
+			all := outcome.Total()
 			require.LessOrEqual(t, all.Share(all.GaveUp), want.gaveUp)
 		})
 	}
@@ -73,9 +73,9 @@
 func TestColdAndEvacuatedAreSpared(t *testing.T) {
 	for _, name := range []string{"cold", "evacuated"} {
 		outcome := play(t, name)
-		require.Zero(t, outcome.FellOver, name)
-		require.Zero(t, outcome.Intruders, name)
-		require.Equal(t, 3, outcome.MostCold, "%s: 2.5 a second, evenly spaced", name)
+		require.Zero(t, outcome.ColdFailures, name)
+		require.Zero(t, outcome.EvacuatedArrivals, name)
+		require.Equal(t, 3, outcome.PeakColdArrivals, "%s: 2.5 a second, evenly spaced", name)
 	}
 }
 
@@ -89,7 +89,7 @@
 		require.Contains(t, patterns, strings.TrimSuffix(filepath.Base(path), ".toml"))
 		pattern, err := simulation.LoadPattern(path)
 		require.NoError(t, err)
-		require.NotEmpty(t, pattern.Answers, path)
+		require.NotEmpty(t, pattern.Description, path)
 	}
 }
 
@@ -97,7 +97,7 @@
 func TestSameSeedSameReplay(t *testing.T) {
 	pattern, err := simulation.LoadPattern("patterns/slow.toml")
 	require.NoError(t, err)
-	first, second := simulation.Replay(pattern, 7).All(), simulation.Replay(pattern, 7).All()
+	first, second := simulation.Replay(pattern, 7).Total(), simulation.Replay(pattern, 7).Total()
 	require.Equal(t, first.InTime, second.InTime)
 	require.Equal(t, first.Refused, second.Refused)
 }
@@ -105,9 +105,9 @@
 // TestRefusedAtOnce offers five times what the back ends can do: who gets no place is told
 // at once, and the back ends serve as many in time as at their capacity.
 func TestRefusedAtOnce(t *testing.T) {
-	overload, capacity := play(t, "overload").All(), play(t, "capacity").All()
-	require.LessOrEqual(t, overload.HeldFor(50), 5*time.Millisecond)
-	require.LessOrEqual(t, overload.HeldFor(99), 95*time.Millisecond, "in the first second the traffic is not known yet")
+	overload, capacity := play(t, "overload").Total(), play(t, "capacity").Total()
+	require.LessOrEqual(t, overload.RefusalDelayAt(50), 5*time.Millisecond)
+	require.LessOrEqual(t, overload.RefusalDelayAt(99), 95*time.Millisecond, "in the first second the traffic is not known yet")
 	require.GreaterOrEqual(t, float64(overload.InTime), 0.9*float64(capacity.InTime))
 }
 
--- a/lab/simulation/scenario.go
+++ b/lab/simulation/scenario.go
@@ -15,8 +15,8 @@
 	Quiet    time.Duration `toml:"quiet" json:"quiet_ns"`    // mean time between spells
 }
 
-// Share returns the share of full speed that is left on average.
-func (n Noise) Share() float64 {
+// MeanSpeed returns the share of full speed that is left on average.
+func (n Noise) MeanSpeed() float64 {
 	if n.Slowdown <= 1 {
 		return 1
 	}
@@ -52,23 +52,23 @@
 
 // Scenario is what is simulated.
 type Scenario struct {
-	Name     string
-	Zones    int
-	Daemons  int
-	Workers  int
-	Slots    int
-	Work     time.Duration // mean work of a request at full speed
-	Noise    Noise
-	WireNear time.Duration
-	WireFar  time.Duration
-	HopCost  time.Duration
-	Load     float64 // offered, as a share of capacity under noise
-	Duration time.Duration
-	WarmUp   time.Duration // not counted
-	Classes  []Class
-	Faults   []Fault
-	Queue    int // bound of a queue; 0: 100,000
-	Seed     uint64
+	Name           string
+	Zones          int
+	Daemons        int
+	Workers        int
+	Slots          int
+	Work           time.Duration // mean work of a request at full speed
+	Noise          Noise
+	SameZoneDelay  time.Duration
+	CrossZoneDelay time.Duration
+	HopCost        time.Duration
+	Load           float64 // offered, as a share of capacity under noise
+	Duration       time.Duration
+	WarmUp         time.Duration // not counted
+	Classes        []Class
+	Faults         []Fault
+	Queue          int // bound of a queue; 0: 100,000
+	Seed           uint64
 	// Timeline, if above 0, is the length of the intervals of Result.Intervals.
 	Timeline time.Duration
 }
@@ -83,16 +83,16 @@
 	// Dispatchers is how many daemons decide, the others forward to one in
 	// their zone or the first; 0: every daemon decides for itself.
 	Dispatchers int
-	// Places lets the others ask the dispatcher for a place only, and send the
+	// Permits lets the others ask the dispatcher for a place only, and send the
 	// request themselves.
-	Places bool
-	// Exchange is how often deciding daemons tell each other their requests in
+	Permits bool
+	// ExchangeInterval is how often deciding daemons tell each other their requests in
 	// flight; 0: never.
-	Exchange time.Duration
-	// Reports lets back ends tell their load on answers.
-	Reports bool
-	// Central is the limit of one queue over all slots, without any decision.
-	Central bool
+	ExchangeInterval time.Duration
+	// LoadReports lets back ends tell their load on answers.
+	LoadReports bool
+	// CentralQueue is the limit of one queue over all slots, without any decision.
+	CentralQueue bool
 }
 
 // Oracle knows every back end's requests now, those on the wire included.
@@ -107,30 +107,30 @@
 
 // Result is what came of a run.
 type Result struct {
-	Latency    *hdrhistogram.Histogram
-	Classes    map[string]*hdrhistogram.Histogram
-	Offered    int
-	Answered   int
-	InTime     int // answered before the deadline
-	Refused    int
-	Failed     int // the last attempt failed
-	Attempts   int
-	Exchanges  int // messages between daemons
-	Capacity   float64
-	Counted    time.Duration
-	Intervals  []Interval
-	ClassSent  map[string]int
-	ClassInTim map[string]int
-	// RefusedRan counts refused requests that had run; it must be 0.
-	RefusedRan int
+	Latency          *hdrhistogram.Histogram
+	Classes          map[string]*hdrhistogram.Histogram
+	Offered          int
+	Answered         int
+	InTime           int // answered before the deadline
+	Refused          int
+	Failed           int // the last attempt failed
+	Attempts         int
+	PeerMessages     int // messages between daemons
+	Capacity         float64
+	MeasuredDuration time.Duration
+	Intervals        []Interval
+	ClassSent        map[string]int
+	ClassInTime      map[string]int
+	// RefusedAfterRun counts refused requests that had run; it must be 0.
+	RefusedAfterRun int
 }
 
-// P returns a latency quantile; q is in percent.
-func (r *Result) P(q float64) time.Duration {
+// Quantile returns a latency quantile; q is in percent.
+func (r *Result) Quantile(q float64) time.Duration {
 	return time.Duration(r.Latency.ValueAtQuantile(q)) * time.Microsecond
 }
 
 // Goodput returns the requests answered in time, a second.
 func (r *Result) Goodput() float64 {
-	return float64(r.InTime) / r.Counted.Seconds()
+	return float64(r.InTime) / r.MeasuredDuration.Seconds()
 }
--- a/lab/simulation/simulation.go
+++ b/lab/simulation/simulation.go
@@ -61,7 +61,7 @@
 	s := newSimulation(scenario, system)
 	s.arrivals()
 	s.faults()
-	if system.Exchange > 0 {
+	if system.ExchangeInterval > 0 {
 		s.exchange()
 	}
 	s.run(scenario.Duration)
@@ -79,11 +79,11 @@
 		scenario: scenario, system: system, random: rand.New(rand.NewPCG(scenario.Seed, 1)), byID: make(map[string]*worker),
 		result: &Result{
 			Latency: newHistogram(), Classes: make(map[string]*hdrhistogram.Histogram),
-			ClassSent: make(map[string]int), ClassInTim: make(map[string]int), Counted: scenario.Duration - scenario.WarmUp,
+			ClassSent: make(map[string]int), ClassInTime: make(map[string]int), MeasuredDuration: scenario.Duration - scenario.WarmUp,
 		},
 	}
 	slots := float64(scenario.Workers * scenario.Slots)
-	s.result.Capacity = slots / scenario.Work.Seconds() * scenario.Noise.Share()
+	s.result.Capacity = slots / scenario.Work.Seconds() * scenario.Noise.MeanSpeed()
 	s.makeWorkers()
 	s.makeNodes()
 	return s
@@ -133,7 +133,7 @@
 // wire returns how long a message takes between two zones.
 func (s *simulation) wire(from, to int) time.Duration {
 	if from == to {
-		return s.scenario.WireNear
+		return s.scenario.SameZoneDelay
 	}
-	return s.scenario.WireFar
+	return s.scenario.CrossZoneDelay
 }
--- a/lab/simulation/simulation_test.go
+++ b/lab/simulation/simulation_test.go
@@ -15,7 +15,7 @@
 func product() simulation.System {
 	return simulation.System{
 		Name: "tuliphall", Picker: func(simulation.Oracle) routing.Picker { return routing.LeastLoad{} },
-		Overcommit: routing.DefaultOvercommit, Dispatchers: 1, Places: true, Reports: true,
+		Overcommit: routing.DefaultOvercommit, Dispatchers: 1, Permits: true, LoadReports: true,
 	}
 }
 
@@ -23,7 +23,7 @@
 func priceQuery(load float64, duration time.Duration) simulation.Scenario {
 	return simulation.Scenario{
 		Zones: 4, Daemons: 16, Workers: 10, Slots: 3, Work: 5 * time.Millisecond,
-		WireNear: 100 * time.Microsecond, WireFar: 1500 * time.Microsecond, HopCost: 60 * time.Microsecond,
+		SameZoneDelay: 100 * time.Microsecond, CrossZoneDelay: 1500 * time.Microsecond, HopCost: 60 * time.Microsecond,
 		Load: load, Duration: duration, WarmUp: time.Second, Seed: 1, Timeline: 500 * time.Millisecond,
 	}
 }
@@ -34,7 +34,7 @@
 	scenario.Noise = simulation.Noise{Slowdown: 3, Noisy: 50 * time.Millisecond, Quiet: 450 * time.Millisecond}
 	first, second := simulation.Run(scenario, product()), simulation.Run(scenario, product())
 	require.Equal(t, first.Answered, second.Answered)
-	require.Equal(t, first.P(99), second.P(99))
+	require.Equal(t, first.Quantile(99), second.Quantile(99))
 	require.Equal(t, first.Attempts, second.Attempts)
 }
 
@@ -60,7 +60,7 @@
 			require.Greater(t, shareOf(interval, 4), 0.05, "not back at %s", interval.From)
 		}
 	}
-	require.Zero(t, result.RefusedRan)
+	require.Zero(t, result.RefusedAfterRun)
 	require.Less(t, float64(result.Failed), 0.001*float64(result.Offered))
 }
 
@@ -82,8 +82,8 @@
 			}
 		}
 		p99 := time.Duration(slowed.ValueAtQuantile(99)) * time.Microsecond
-		t.Logf("seed %d: %.3f", seed, float64(p99)/float64(undisturbed.P(99)))
-		require.Less(t, float64(p99), 1.25*float64(undisturbed.P(99)), "seed %d: %s against %s", seed, p99, undisturbed.P(99))
+		t.Logf("seed %d: %.3f", seed, float64(p99)/float64(undisturbed.Quantile(99)))
+		require.Less(t, float64(p99), 1.25*float64(undisturbed.Quantile(99)), "seed %d: %s against %s", seed, p99, undisturbed.Quantile(99))
 	}
 }
 
@@ -106,7 +106,7 @@
 		scenario.Queue = 1000
 		result := simulation.Run(scenario, product())
 		require.Greater(t, result.Goodput(), 0.95*result.Capacity, "load %g", load)
-		require.Zero(t, result.RefusedRan)
+		require.Zero(t, result.RefusedAfterRun)
 		high := result.Classes["high"].ValueAtQuantile(99)
 		require.LessOrEqual(t, high, 2*unloaded, "load %g", load)
 	}
--- a/lab/simulation/trouble.go
+++ b/lab/simulation/trouble.go
@@ -3,13 +3,13 @@
 import "time"
 
 // trouble schedules what happens in a pattern.
-func (r *replay) trouble(trouble PatternTrouble) {
+func (r *replay) trouble(trouble PatternEvent) {
 	r.after(time.Duration(trouble.At), func() {
 		struck := r.workers[:int(trouble.Share*float64(len(r.workers)))]
 		switch trouble.Kind {
 		case troubleBurst:
 			r.burst = trouble.Factor
-			r.after(time.Duration(trouble.For), func() { r.burst = 1 })
+			r.after(time.Duration(trouble.Duration), func() { r.burst = 1 })
 		case troubleForget:
 			r.forget()
 		case troubleJoin:
@@ -36,7 +36,7 @@
 }
 
 // evacuate empties back ends for a while; then they are cold.
-func (r *replay) evacuate(struck []*worker, trouble PatternTrouble) {
+func (r *replay) evacuate(struck []*worker, trouble PatternEvent) {
 	r.strike(struck, trouble, func(one *worker, begins bool) {
 		r.core.Group.SetDraining(r.time(), one.id, begins)
 		one.emptied = 0
@@ -45,20 +45,20 @@
 		}
 	})
 	warmUp := r.pattern.Backends.WarmUp
-	r.after(time.Duration(trouble.For), func() {
+	r.after(time.Duration(trouble.Duration), func() {
 		r.cool(struck)
-		r.slow(struck, PatternTrouble{For: warmUp, Factor: trouble.Factor})
+		r.slow(struck, PatternEvent{Duration: warmUp, Factor: trouble.Factor})
 	})
 }
 
 // cool makes back ends cold, as far as the pattern has cold ones.
 func (r *replay) cool(struck []*worker) {
 	for _, one := range struck {
-		one.cool(time.Duration(r.pattern.Backends.WarmUp), r.pattern.Backends.FallsOver)
+		one.cool(time.Duration(r.pattern.Backends.WarmUp), r.pattern.Backends.ColdFailureThreshold)
 	}
 }
 
-func (r *replay) slow(struck []*worker, trouble PatternTrouble) {
+func (r *replay) slow(struck []*worker, trouble PatternEvent) {
 	r.strike(struck, trouble, func(one *worker, begins bool) {
 		slow := 1.0
 		if begins {
@@ -69,9 +69,9 @@
 }
 
 // strike applies a trouble to some back ends, and takes it back after its time.
-func (r *replay) strike(struck []*worker, trouble PatternTrouble, apply func(one *worker, begins bool)) {
+func (r *replay) strike(struck []*worker, trouble PatternEvent, apply func(one *worker, begins bool)) {
 	for _, one := range struck {
 		apply(one, true)
-		r.after(time.Duration(trouble.For), func() { apply(one, false) })
+		r.after(time.Duration(trouble.Duration), func() { apply(one, false) })
 	}
 }
--- a/lab/site/site_test.go
+++ b/lab/site/site_test.go
@@ -22,15 +22,15 @@
 	running, err := site.Start(ctx, site.Options{
 		Zones: []string{"zone-a", "zone-b"}, Daemons: 3,
 		Services: []site.Service{{
-			Declared: config.Service{Name: "prices", PathPrefix: "/"},
-			Backends: 4, Backend: backendstub.Options{Work: time.Millisecond},
+			Config:   config.Service{Name: "prices", PathPrefix: "/"},
+			Backends: 4, Backend: backendstub.Options{MeanServiceTime: time.Millisecond},
 		}},
 	})
 	require.NoError(t, err)
 	defer running.Close()
 	result := load.Run(ctx, load.Options{
 		Targets: running.Targets(), Rate: 400, Duration: time.Second, Seed: 1,
-		Kinds: []load.Kind{{Name: "read", Method: http.MethodGet, Path: "/prices", Share: 1}},
+		Kinds: []load.RequestKind{{Name: "read", Method: http.MethodGet, Path: "/prices", Share: 1}},
 	})
 	require.Equal(t, result.Sent, result.Answered, result.FirstFailure())
 	require.Greater(t, result.Sent, 200)
--- a/lab/soak/play.go
+++ b/lab/soak/play.go
@@ -35,43 +35,43 @@
 			f.faults.Go(func() { f.restart(one, one.stop) })
 			time.Sleep(rollGap)
 		}
-	case Pause:
+	case Suspend:
 		daemon.signal(syscall.SIGSTOP, running)
-		time.Sleep(fault.Length)
+		time.Sleep(fault.Duration)
 		daemon.signal(syscall.SIGCONT, running)
 	case StoreDown:
 		f.store.SetFaults(objectstub.Faults{Down: true})
-		time.Sleep(fault.Length)
+		time.Sleep(fault.Duration)
 		f.store.SetFaults(objectstub.Faults{})
-	case StoreDeaf:
-		f.store.SetFaults(objectstub.Faults{Deaf: true})
+	case StoreWatchLoss:
+		f.store.SetFaults(objectstub.Faults{StallWatches: true})
 		f.configure()
 		time.Sleep(time.Second)
 		f.store.Compact()
 		f.store.SetFaults(objectstub.Faults{})
-	case StoreOlder:
-		f.storeComesBackOlder(fault.Length)
+	case StoreRollback:
+		f.storeComesBackOlder(fault.Duration)
 	case StoreLink:
 		daemon.store.set(fault.Link)
-		time.Sleep(fault.Length)
-		daemon.store.set(Whole)
+		time.Sleep(fault.Duration)
+		daemon.store.set(Healthy)
 	case WorkerLink:
 		if one := f.worker(fault.Target); one != nil {
 			one.proxy.set(fault.Link)
-			time.Sleep(fault.Length)
-			one.proxy.set(Whole)
+			time.Sleep(fault.Duration)
+			one.proxy.set(Healthy)
 		}
-	case Change:
+	case ConfigChange:
 		f.configure()
 	case Evacuate:
 		f.evacuate(true)
-		time.Sleep(fault.Length)
+		time.Sleep(fault.Duration)
 		f.evacuate(false)
-	case Crashing:
+	case CrashingRequest:
 		f.callers.repeatCrashing(fmt.Sprintf("%s%d", crashPath, fault.At))
-	case Foreign:
-		f.writeForeign(fault.Length)
-	case Storm:
+	case ForeignEntries:
+		f.writeForeign(fault.Duration)
+	case ConfigBurst:
 		for range stormChanges {
 			f.configure()
 			time.Sleep(stormGap)
@@ -114,39 +114,39 @@
 	}
 	during := func(set func(on bool)) {
 		one.change(func() { set(true) })
-		time.Sleep(fault.Length)
+		time.Sleep(fault.Duration)
 		one.change(func() { set(false) })
 	}
 	switch fault.Kind {
 	case WorkerSlow:
 		during(func(on bool) { one.slow = on })
-	case WorkerLoses:
+	case WorkerDropsResponses:
 		during(func(on bool) { one.loses = on })
-	case WorkerFull:
+	case WorkerRejects:
 		during(func(on bool) { one.full = on })
 	case WorkerLimit:
 		during(one.setLimit)
-	case WorkerPause:
+	case WorkerPushback:
 		during(one.setPushback)
-	case WorkerSays:
+	case WorkerAnnouncesDrain:
 		if leaving := f.removeWorker(fault.Target); leaving != nil {
 			f.replace()
 			leaving.change(func() { leaving.leaves = true })
-			time.Sleep(fault.Length)
+			time.Sleep(fault.Duration)
 			f.store.Remove("servers", leaving.id)
 			time.Sleep(drainMore)
 			leaving.end()
 		}
-	case WorkerLies:
+	case WorkerWrongRequestID:
 		during(func(on bool) { one.lies = on })
 	case WorkerCrash:
 		if gone := f.removeWorker(fault.Target); gone != nil {
 			gone.end()
-			time.Sleep(fault.Length)
+			time.Sleep(fault.Duration)
 			f.store.Remove("servers", gone.id)
 			f.replace()
 		}
-	case WorkerLeaves:
+	case WorkerDrains:
 		if leaving := f.removeWorker(fault.Target); leaving != nil {
 			f.replace()
 			f.list(leaving, "draining")
--- a/lab/soak/proxy.go
+++ b/lab/soak/proxy.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// Link is how a proxy treats what passes over it.
-type Link string
+// LinkMode is how a proxy treats what passes over it.
+type LinkMode string
 
 // The treatments.
 const (
-	Whole   Link = "whole"
-	Delayed Link = "delayed" // each piece comes later
-	Reset   Link = "reset"   // connections are reset, new ones too
-	Silent  Link = "silent"  // nothing passes, nothing is closed
-	OneWay  Link = "one-way" // only what the server says is lost
+	Healthy LinkMode = "whole"
+	Delayed LinkMode = "delayed" // each piece comes later
+	Reset   LinkMode = "reset"   // connections are reset, new ones too
+	Silent  LinkMode = "silent"  // nothing passes, nothing is closed
+	OneWay  LinkMode = "one-way" // only what the server says is lost
 )
 
 // linkDelay is how much later each piece comes over a delayed link.
@@ -28,7 +28,7 @@
 	target   string
 
 	mutex sync.Mutex
-	link  Link
+	link  LinkMode
 	open  map[net.Conn]bool
 }
 
@@ -37,7 +37,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{listener: listener, target: target, link: Whole, open: make(map[net.Conn]bool)}
+	p := &proxy{listener: listener, target: target, link: Healthy, open: make(map[net.Conn]bool)}
 	go p.serve()
 	return p, nil
 }
@@ -52,14 +52,14 @@
 	}
 }
 
-func (p *proxy) state() Link {
+func (p *proxy) state() LinkMode {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.link
 }
 
 // set changes the treatment; open connections are reset where it says so.
-func (p *proxy) set(link Link) {
+func (p *proxy) set(link LinkMode) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.link = link
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -19,14 +19,14 @@
 
 // Options say what is run and harmed.
 type Options struct {
-	Binary  string // of tuliphalld
-	Folder  string // for settings and logs of the daemons
-	Seed    uint64
-	Daemons int
-	Workers int
-	Faults  int
-	Length  time.Duration // of the time with faults
-	Rate    int           // requests a second
+	Binary        string // of tuliphalld
+	Directory     string // for settings and logs of the daemons
+	Seed          uint64
+	Daemons       int
+	Workers       int
+	FaultCount    int
+	FaultDuration time.Duration // of the time with faults
+	Rate          int           // requests a second
 }
 
 // Timing of a run.
@@ -118,7 +118,7 @@
 	var seeds []string
 	for number := range f.options.Daemons {
 		one := &process{
-			name: fmt.Sprintf("edge-%d", number+1), address: address(number + 1), folder: f.options.Folder, binary: f.options.Binary,
+			name: fmt.Sprintf("edge-%d", number+1), address: address(number + 1), folder: f.options.Directory, binary: f.options.Binary,
 			report: f.report, peers: seeds,
 		}
 		if len(seeds) < 3 {
@@ -251,7 +251,7 @@
 // harm plays the schedule and waits for the end of its last fault.
 func (f *fleet) harm(ctx context.Context) {
 	begun := time.Now()
-	for _, fault := range Draw(f.options.Seed, f.options.Faults, warmUp, warmUp+f.options.Length) {
+	for _, fault := range NewSchedule(f.options.Seed, f.options.FaultCount, warmUp, warmUp+f.options.FaultDuration) {
 		select {
 		case <-ctx.Done():
 			return
@@ -322,8 +322,8 @@
 	}
 }
 
-// Print writes the violations of a result.
-func (r Result) Print(out io.Writer) error {
+// PrintViolations writes the violations of a result.
+func (r Result) PrintViolations(out io.Writer) error {
 	_, err := fmt.Fprintln(out, strings.Join(r.Violations, "\n"))
 	return err
 }
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -89,10 +89,10 @@
 // TestScheduleRepeats draws the same schedule for a seed, within its time, and uses
 // every kind.
 func TestScheduleRepeats(t *testing.T) {
-	drawn := make(map[Kind]bool)
+	drawn := make(map[FaultKind]bool)
 	for seed := range uint64(40) {
-		schedule := Draw(seed, 20, time.Second, time.Minute)
-		require.Equal(t, schedule, Draw(seed, 20, time.Second, time.Minute))
+		schedule := NewSchedule(seed, 20, time.Second, time.Minute)
+		require.Equal(t, schedule, NewSchedule(seed, 20, time.Second, time.Minute))
 		for index, fault := range schedule {
 			drawn[fault.Kind] = true
 			require.GreaterOrEqual(t, fault.At, time.Second)
@@ -111,7 +111,7 @@
 	built, err := exec.Command("go", "build", "-o", binary, "github.com/tuliphall/tuliphall/cmd/tuliphalld").CombinedOutput()
 	require.NoError(t, err, string(built))
 	result, err := Run(t.Context(), Options{
-		Binary: binary, Folder: t.TempDir(), Seed: 7, Daemons: 3, Workers: 4, Faults: 6, Length: 6 * time.Second, Rate: 60,
+		Binary: binary, Directory: t.TempDir(), Seed: 7, Daemons: 3, Workers: 4, FaultCount: 6, FaultDuration: 6 * time.Second, Rate: 60,
 	}, t.Output())
 	require.NoError(t, err)
 	require.Empty(t, result.Violations)
--- a/logging/bound.go
+++ b/logging/bound.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Bound keeps the log of a daemon within so many lines and bytes a second. Routine
+// Limiter keeps the log of a daemon within so many lines and bytes a second. Routine
 // lines, those of requests that went well, may use only the upper half of what has
 // been saved, so that they are the first to be left out. It is safe for concurrent
 // use.
-type Bound struct {
+type Limiter struct {
 	lines, bytes allowance // guarded by mutex
 
 	mutex   sync.Mutex
@@ -20,24 +20,24 @@
 // routineReserve is the part of an allowance that routine lines leave to others.
 const routineReserve = 0.5
 
-// NewBound returns a bound; now is the present time.
-func NewBound(now time.Time, linesPerSecond, bytesPerSecond int) *Bound {
-	return &Bound{
+// NewLimiter returns a bound; now is the present time.
+func NewLimiter(now time.Time, linesPerSecond, bytesPerSecond int) *Limiter {
+	return &Limiter{
 		lines: newAllowance(now, linesPerSecond), bytes: newAllowance(now, bytesPerSecond),
 		leftOut: make(map[string]int), pending: make(chan struct{}, 1),
 	}
 }
 
 // SetLimits changes what is allowed in a second.
-func (b *Bound) SetLimits(now time.Time, linesPerSecond, bytesPerSecond int) {
+func (b *Limiter) SetLimits(now time.Time, linesPerSecond, bytesPerSecond int) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.lines.set(now, linesPerSecond)
 	b.bytes.set(now, bytesPerSecond)
 }
 
-// Admit says whether a line may be written, and counts it by its kind if not.
-func (b *Bound) Admit(now time.Time, kind string, routine bool) bool {
+// Allow says whether a line may be written, and counts it by its kind if not.
+func (b *Limiter) Allow(now time.Time, kind string, routine bool) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	reserve := 0.0
@@ -52,23 +52,23 @@
 	return true
 }
 
-// Spend takes the bytes of a line that was admitted. Its length is known only when
+// ConsumeBytes takes the bytes of a line that was admitted. Its length is known only when
 // it has been made, so that the allowance may go below nothing by one line.
-func (b *Bound) Spend(bytes int) {
+func (b *Limiter) ConsumeBytes(bytes int) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.bytes.left -= float64(bytes)
 }
 
-// LeaveOut counts lines that were left out for another reason.
-func (b *Bound) LeaveOut(kind string, lines int) {
+// RecordDropped counts lines that were left out for another reason.
+func (b *Limiter) RecordDropped(kind string, lines int) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.count(kind, lines)
 }
 
 // count must be called with the mutex held.
-func (b *Bound) count(kind string, lines int) {
+func (b *Limiter) count(kind string, lines int) {
 	b.leftOut[kind] += lines
 	select {
 	case b.pending <- struct{}{}:
@@ -76,14 +76,14 @@
 	}
 }
 
-// Pending receives when lines have been left out.
-func (b *Bound) Pending() <-chan struct{} {
+// HasDropped receives when lines have been left out.
+func (b *Limiter) HasDropped() <-chan struct{} {
 	return b.pending
 }
 
-// TakeLeftOut returns how many lines of each kind were left out since it was last
+// TakeDropped returns how many lines of each kind were left out since it was last
 // called.
-func (b *Bound) TakeLeftOut() map[string]int {
+func (b *Limiter) TakeDropped() map[string]int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	taken := b.leftOut
--- a/logging/bound_test.go
+++ b/logging/bound_test.go
@@ -22,13 +22,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const perSecond, lineBytes = 20, 100
 		now := time.Unix(1000, 0)
-		bound := logging.NewBound(now, perSecond, perSecond*lineBytes/2)
+		bound := logging.NewLimiter(now, perSecond, perSecond*lineBytes/2)
 		var admitted []time.Time
 		leftOut, offered := 0, rapid.IntRange(1, 400).Draw(t, "lines")
 		for range offered {
 			now = now.Add(time.Duration(rapid.IntRange(0, 30).Draw(t, "pause")) * time.Millisecond)
-			if bound.Admit(now, "kind", rapid.Bool().Draw(t, "routine")) {
-				bound.Spend(lineBytes)
+			if bound.Allow(now, "kind", rapid.Bool().Draw(t, "routine")) {
+				bound.ConsumeBytes(lineBytes)
 				admitted = append(admitted, now)
 			}
 		}
@@ -43,7 +43,7 @@
 				t.Fatalf("%d lines within a second, allowed: %d", within, most)
 			}
 		}
-		for _, lines := range bound.TakeLeftOut() {
+		for _, lines := range bound.TakeDropped() {
 			leftOut += lines
 		}
 		if len(admitted)+leftOut != offered {
@@ -56,17 +56,17 @@
 // left out, the few of failures are not.
 func TestFailuresAreKept(t *testing.T) {
 	now := time.Unix(1000, 0)
-	bound := logging.NewBound(now, 100, 1_000_000)
+	bound := logging.NewLimiter(now, 100, 1_000_000)
 	failures := 0
 	for step := range 5000 { // 1,000 lines a second for 5 s
 		now = now.Add(time.Millisecond)
-		bound.Admit(now, "answered", true)
-		if step%50 == 0 && bound.Admit(now, "failed", false) {
+		bound.Allow(now, "answered", true)
+		if step%50 == 0 && bound.Allow(now, "failed", false) {
 			failures++
 		}
 	}
 	require.Equal(t, 100, failures)
-	require.NotContains(t, bound.TakeLeftOut(), "failed")
+	require.NotContains(t, bound.TakeDropped(), "failed")
 }
 
 // TestLeftOutIsTold logs ten times what is allowed: the log stays within its bound, and
@@ -75,14 +75,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		target := &countedWrites{}
 		writer := logging.NewWriter(target)
-		bound := logging.NewBound(time.Now(), 100, 1_000_000)
-		logger := logging.New(writer, logging.Options{JSON: true, Daemon: "edge-1", Bound: bound})
+		bound := logging.NewLimiter(time.Now(), 100, 1_000_000)
+		logger := logging.New(writer, logging.Options{JSON: true, Daemon: "edge-1", Limiter: bound})
 		counted := 0
-		go logging.ReportLeftOut(t.Context(), logger, bound, func(kind string, lines int) {
+		go logging.ReportDropped(t.Context(), logger, bound, func(kind string, lines int) {
 			require.Equal(t, "frontend: answered", kind)
 			counted += lines
 		})
-		outcomes := logging.Routine(logging.Part(logger, "frontend"))
+		outcomes := logging.Routine(logging.Component(logger, "frontend"))
 		const offered = 5000
 		for range offered {
 			outcomes.Info("answered", "request", "r-1")
@@ -125,8 +125,8 @@
 
 // TestLinesOfAFullQueueAreCounted counts a line that the queue had no room for.
 func TestLinesOfAFullQueueAreCounted(t *testing.T) {
-	bound := logging.NewBound(time.Now(), 100, 1_000_000)
-	logger := logging.New(stuckWriter{}, logging.Options{Level: slog.LevelInfo, Daemon: "edge-1", Bound: bound})
-	logging.Part(logger, "frontend").Info("failed")
-	require.Equal(t, map[string]int{"frontend: failed": 1}, bound.TakeLeftOut())
+	bound := logging.NewLimiter(time.Now(), 100, 1_000_000)
+	logger := logging.New(stuckWriter{}, logging.Options{Level: slog.LevelInfo, Daemon: "edge-1", Limiter: bound})
+	logging.Component(logger, "frontend").Info("failed")
+	require.Equal(t, map[string]int{"frontend: failed": 1}, bound.TakeDropped())
 }
--- a/logging/handler.go
+++ b/logging/handler.go
@@ -6,8 +6,8 @@
 	"log/slog"
 )
 
-// Part returns a logger whose messages begin with the part's name.
-func Part(logger *slog.Logger, part string) *slog.Logger {
+// Component returns a logger whose messages begin with the part's name.
+func Component(logger *slog.Logger, part string) *slog.Logger {
 	return slog.New(&prefixHandler{next: logger.Handler(), prefix: part + ": "})
 }
 
@@ -58,7 +58,7 @@
 // boundHandler leaves out lines beyond a bound. The kind of a line is its message.
 type boundHandler struct {
 	next    slog.Handler
-	bound   *Bound
+	bound   *Limiter
 	routine bool
 }
 
@@ -69,12 +69,12 @@
 
 // Handle implements slog.Handler.
 func (h *boundHandler) Handle(ctx context.Context, record slog.Record) error {
-	if !h.bound.Admit(record.Time, record.Message, h.routine) {
+	if !h.bound.Allow(record.Time, record.Message, h.routine) {
 		return nil
 	}
 	err := h.next.Handle(ctx, record)
 	if err != nil {
-		h.bound.LeaveOut(record.Message, 1)
+		h.bound.RecordDropped(record.Message, 1)
 	}
 	return err
 }
@@ -91,12 +91,12 @@
 
 // spender takes the bytes of each line from a bound.
 type spender struct {
-	bound *Bound
+	bound *Limiter
 	next  io.Writer
 }
 
 // Write implements io.Writer.
 func (s *spender) Write(line []byte) (int, error) {
-	s.bound.Spend(len(line))
+	s.bound.ConsumeBytes(len(line))
 	return s.next.Write(line)
 }
--- a/logging/leftout.go
+++ b/logging/leftout.go
@@ -11,10 +11,10 @@
 // reportInterval is the least time between two lines that say what was left out.
 const reportInterval = time.Second
 
-// ReportLeftOut logs each second how many lines of which kind were left out, and
+// ReportDropped logs each second how many lines of which kind were left out, and
 // tells note of them, until ctx ends. Where none are, it sleeps. Its own lines pass
 // every bound but a full queue; what that keeps back is told with the next line.
-func ReportLeftOut(ctx context.Context, logger *slog.Logger, bound *Bound, note func(kind string, lines int)) {
+func ReportDropped(ctx context.Context, logger *slog.Logger, bound *Limiter, note func(kind string, lines int)) {
 	handler := logger.Handler()
 	if bounded, ok := handler.(*boundHandler); ok {
 		handler = bounded.next
@@ -24,10 +24,10 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-bound.Pending():
+		case <-bound.HasDropped():
 		}
 		wait.Sleep(ctx, reportInterval)
-		for kind, lines := range bound.TakeLeftOut() {
+		for kind, lines := range bound.TakeDropped() {
 			note(kind, lines)
 			untold[kind] += lines
 		}
--- a/logging/logging.go
+++ b/logging/logging.go
@@ -115,25 +115,25 @@
 
 // Options are a logger's settings.
 type Options struct {
-	Level  slog.Leveler // nil: info
-	JSON   bool
-	Daemon string // name of the daemon, noted on each line
-	Bound  *Bound // nil: none
+	Level   slog.Leveler // nil: info
+	JSON    bool
+	Daemon  string   // name of the daemon, noted on each line
+	Limiter *Limiter // nil: none
 }
 
 // New returns a logger that writes to w.
 func New(w io.Writer, options Options) *slog.Logger {
 	handlerOptions := &slog.HandlerOptions{Level: options.Level, ReplaceAttr: plainErrors}
-	if options.Bound != nil {
-		w = &spender{bound: options.Bound, next: w}
+	if options.Limiter != nil {
+		w = &spender{bound: options.Limiter, next: w}
 	}
 	var handler slog.Handler = slog.NewTextHandler(w, handlerOptions)
 	if options.JSON {
 		handler = slog.NewJSONHandler(w, handlerOptions)
 	}
 	handler = handler.WithAttrs([]slog.Attr{slog.String("daemon", options.Daemon)})
-	if options.Bound != nil {
-		handler = &boundHandler{next: handler, bound: options.Bound}
+	if options.Limiter != nil {
+		handler = &boundHandler{next: handler, bound: options.Limiter}
 	}
 	return slog.New(handler)
 }
--- a/logging/logging_test.go
+++ b/logging/logging_test.go
@@ -20,7 +20,7 @@
 	for _, json := range []bool{false, true} {
 		var written bytes.Buffer
 		logger := logging.New(&written, logging.Options{JSON: json, Daemon: "edge-1"})
-		logging.Part(logger, "store").Warn("call failed", "error", errors.Annotate(errors.New("refused"), "reading"))
+		logging.Component(logger, "store").Warn("call failed", "error", errors.Annotate(errors.New("refused"), "reading"))
 		require.Contains(t, written.String(), "reading: refused")
 		require.NotContains(t, written.String(), "logging_test.go")
 		require.Equal(t, 1, bytes.Count(written.Bytes(), []byte("\n")))
--- a/logging/once_test.go
+++ b/logging/once_test.go
@@ -10,16 +10,16 @@
 
 // TestOnce says each thing once, until it is forgotten, and not more than can be remembered.
 func TestOnce(t *testing.T) {
-	once := logging.NewOnce[int](100)
-	require.True(t, once.First(1))
-	require.False(t, once.First(1))
-	require.True(t, once.First(2))
-	once.Keep(func(key int) bool { return key == 2 })
-	require.True(t, once.First(1))
-	require.False(t, once.First(2))
+	once := logging.NewDeduplicator[int](100)
+	require.True(t, once.FirstSeen(1))
+	require.False(t, once.FirstSeen(1))
+	require.True(t, once.FirstSeen(2))
+	once.Retain(func(key int) bool { return key == 2 })
+	require.True(t, once.FirstSeen(1))
+	require.False(t, once.FirstSeen(2))
 	said := 0
 	for key := range 100_000 {
-		if once.First(key) {
+		if once.FirstSeen(key) {
 			said++
 		}
 	}
--- a/measure/measure.go
+++ b/measure/measure.go
@@ -104,7 +104,7 @@
 		options.Signals = signals.NopListener{}
 	}
 	return &Prober{
-		options: options, log: logging.Part(options.Log, "measure"), states: make(map[string]*probeState),
+		options: options, log: logging.Component(options.Log, "measure"), states: make(map[string]*probeState),
 		probes: options.Metrics.Counter("probes"), skipped: options.Metrics.Counter("probes_without_lease"),
 	}
 }
--- a/operation/claimer.go
+++ b/operation/claimer.go
@@ -73,7 +73,7 @@
 	options.Now = clock.OrMonotonic(options.Now)
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &Claimer{
-		options: options, log: logging.Part(options.Log, "operation"),
+		options: options, log: logging.Component(options.Log, "operation"),
 		ctx: ctx, cancel: cancel, writers: make(map[string]*writer),
 	}
 	c.running.Go(c.followEra)
--- a/peer/node.go
+++ b/peer/node.go
@@ -148,7 +148,7 @@
 		options.Limits = noRecords[backend.Key, backendlimit.Record]{}
 	}
 	n := &Node{
-		options: options, log: logging.Part(options.Log, "membership"), spread: make(chan struct{}, 1),
+		options: options, log: logging.Component(options.Log, "membership"), spread: make(chan struct{}, 1),
 		state: membership.NewState(options.Self, options.Random), drains: newGossip(options.Drains, drainKey, maxDrains, maxDrainRumors),
 		crashingRequests: newGossip(options.Quarantine, fingerprintOf, maxCrashingRequests, maxCrashingRumors),
 		limits:           newGossip(options.Limits, limitKey, maxLimits, maxLimitRumors),
--- a/pipelining/bench_test.go
+++ b/pipelining/bench_test.go
@@ -22,9 +22,9 @@
 	b.Run("read ahead", func(b *testing.B) {
 		server := pipelining.New(pipelining.Options{
 			Handler: handler, Repeatable: func(*http.Request) bool { return true }, Closing: func() bool { return false },
-			IDHeader: "Request-Id", PerConnection: 16, Total: 256, RequestBytes: 64 << 10, AnswerBytes: 32 << 10,
+			IDHeader: "Request-Id", MaxPerConnection: 16, MaxTotal: 256, MaxReadAheadBytes: 64 << 10, MaxBufferedBodyBytes: 32 << 10,
 		})
-		oneByOne(b, &http.Server{Handler: server, ConnContext: server.ConnContext}, server.Listener)
+		oneByOne(b, &http.Server{Handler: server, ConnContext: server.ConnContext}, server.WrapListener)
 	})
 }
 
--- a/pipelining/bounds_test.go
+++ b/pipelining/bounds_test.go
@@ -47,8 +47,8 @@
 // TestBounds: requests beyond the bounds wait for their turn.
 func TestBounds(t *testing.T) {
 	for name, change := range map[string]func(*pipelining.Options){
-		"of a connection": func(o *pipelining.Options) { o.PerConnection = 2 },
-		"in all":          func(o *pipelining.Options) { o.Total = 2 },
+		"of a connection": func(o *pipelining.Options) { o.MaxPerConnection = 2 },
+		"in all":          func(o *pipelining.Options) { o.MaxTotal = 2 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -72,7 +72,7 @@
 // allowed, and served all the same.
 func TestReadingAheadIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, echo, func(o *pipelining.Options) { o.PerConnection, o.RequestBytes = 1, 1024 })
+		s := newSite(t, echo, func(o *pipelining.Options) { o.MaxPerConnection, o.MaxReadAheadBytes = 1, 1024 })
 		caller := s.listener.dial()
 		defer caller.Close()
 		const count = 1000
--- a/pipelining/conn.go
+++ b/pipelining/conn.go
@@ -164,7 +164,7 @@
 // waitForRoom waits while as much is pending as may be, and says whether the read was
 // given up meanwhile.
 func (c *conn) waitForRoom() bool {
-	for len(c.pending) >= c.server.options.RequestBytes && !c.aborted {
+	for len(c.pending) >= c.server.options.MaxReadAheadBytes && !c.aborted {
 		c.wakeup.Wait()
 	}
 	return c.aborted
@@ -276,7 +276,7 @@
 
 func (c *conn) mayStartMore() bool {
 	return c.ahead && c.atHead && !c.left && !c.last &&
-		len(c.pending) > c.covered && len(c.started) < c.server.options.PerConnection
+		len(c.pending) > c.covered && len(c.started) < c.server.options.MaxPerConnection
 }
 
 func (c *conn) start(request *http.Request) {
--- a/pipelining/early.go
+++ b/pipelining/early.go
@@ -21,7 +21,7 @@
 func newEarly(request *http.Request, cancel context.CancelFunc, options Options) *early {
 	return &early{
 		request: request, method: request.Method, target: request.RequestURI, host: request.Host, id: request.Header.Get(options.IDHeader),
-		answer: newAnswer(options.AnswerBytes), cancel: cancel, done: make(chan struct{}),
+		answer: newAnswer(options.MaxBufferedBodyBytes), cancel: cancel, done: make(chan struct{}),
 	}
 }
 
--- a/pipelining/framing_test.go
+++ b/pipelining/framing_test.go
@@ -21,7 +21,7 @@
 		s := newSite(t, func(w http.ResponseWriter, r *http.Request) {
 			w.Header()["Date"] = nil
 			echo(w, r)
-		}, func(o *pipelining.Options) { o.PerConnection = perConnection })
+		}, func(o *pipelining.Options) { o.MaxPerConnection = perConnection })
 		caller := s.listener.dial()
 		go func() {
 			caller.Write(sent)
--- a/pipelining/pipelining.go
+++ b/pipelining/pipelining.go
@@ -30,14 +30,14 @@
 	// Metrics get the number of requests that were started early; nil: none do.
 	Metrics tally.Scope
 
-	// PerConnection is how many requests of a connection may be started early; 0: none.
-	PerConnection int
-	// Total is how many requests of all connections may be.
-	Total int
-	// RequestBytes bounds what is read ahead on a connection.
-	RequestBytes int
-	// AnswerBytes bounds what is kept of the body of an answer until its turn comes.
-	AnswerBytes int
+	// MaxPerConnection is how many requests of a connection may be started early; 0: none.
+	MaxPerConnection int
+	// MaxTotal is how many requests of all connections may be.
+	MaxTotal int
+	// MaxReadAheadBytes bounds what is read ahead on a connection.
+	MaxReadAheadBytes int
+	// MaxBufferedBodyBytes bounds what is kept of the body of an answer until its turn comes.
+	MaxBufferedBodyBytes int
 }
 
 // Server is the handler of a http.Server, and makes the listener that it serves. The
@@ -72,8 +72,8 @@
 	return newConn(accepted, l.server), nil
 }
 
-// Listener returns the listener to serve.
-func (s *Server) Listener(under net.Listener) net.Listener {
+// WrapListener returns the listener to serve.
+func (s *Server) WrapListener(under net.Listener) net.Listener {
 	return &listener{Listener: under, server: s}
 }
 
@@ -117,7 +117,7 @@
 	if s.options.Closing() || !s.options.Repeatable(request) {
 		return false
 	}
-	if s.waiting.Add(1) > int64(s.options.Total) {
+	if s.waiting.Add(1) > int64(s.options.MaxTotal) {
 		s.release()
 		return false
 	}
--- a/pipelining/site_test.go
+++ b/pipelining/site_test.go
@@ -73,14 +73,14 @@
 	options := pipelining.Options{
 		Handler: s.noting(handler), IDHeader: "Request-Id",
 		Repeatable: func(r *http.Request) bool { return r.Method == http.MethodGet },
-		Closing:    s.isClosing, PerConnection: 16, Total: 256, RequestBytes: 64 << 10, AnswerBytes: 32 << 10,
+		Closing:    s.isClosing, MaxPerConnection: 16, MaxTotal: 256, MaxReadAheadBytes: 64 << 10, MaxBufferedBodyBytes: 32 << 10,
 	}
 	if change != nil {
 		change(&options)
 	}
 	s.callers, s.listener = pipelining.New(options), newPipeListener()
 	s.server = &http.Server{Handler: s.callers, ConnContext: s.callers.ConnContext}
-	go s.server.Serve(s.callers.Listener(s.listener))
+	go s.server.Serve(s.callers.WrapListener(s.listener))
 	t.Cleanup(func() { s.server.Close() })
 	return s
 }
--- a/pipelining/strict_test.go
+++ b/pipelining/strict_test.go
@@ -40,11 +40,11 @@
 		Refuse: func(w http.ResponseWriter, _ *http.Request, cause error) {
 			http.Error(w, cause.Error(), http.StatusBadRequest)
 		},
-		PerConnection: 4, Total: 4, RequestBytes: 64 << 10, AnswerBytes: 32 << 10,
+		MaxPerConnection: 4, MaxTotal: 4, MaxReadAheadBytes: 64 << 10, MaxBufferedBodyBytes: 32 << 10,
 	})
 	server := httptest.NewUnstartedServer(pipelined)
 	server.Config.ConnContext = pipelined.ConnContext
-	server.Listener = pipelined.Listener(server.Listener)
+	server.Listener = pipelined.WrapListener(server.Listener)
 	server.Start()
 	t.Cleanup(server.Close)
 	return server.Listener.Addr().String(), served
@@ -59,15 +59,15 @@
 		cause  error
 		served []string
 	}{
-		"both lengths":            {twoLengths + plainGet, framing.ErrTwoLengths, nil},
-		"a bare line feed":        {bareFeed + plainGet, framing.ErrBareLineFeed, nil},
-		"a continued header":      {continued + plainGet, framing.ErrContinuedLine, nil},
-		"a head in a header":      {inHeader, framing.ErrBareLineFeed, nil},
-		"behind a request":        {plainGet + bareFeed + plainGet, framing.ErrBareLineFeed, []string{"/a"}},
-		"behind a body of a head": {plainPost + plainGet + continued, framing.ErrContinuedLine, []string{"/b" + plainPost[len(plainPost)-31:], "/a"}},
-		"behind any body":         {unended + plainGet + unended + bareFeed, framing.ErrBareLineFeed, []string{"/ha\nbc", "/a", "/ha\nbc"}},
-		"behind chunks":           {chunkedTo + plainGet + chunkedTo + inHeader, framing.ErrBareLineFeed, []string{"/gab\n\nc", "/a", "/gab\n\nc"}},
-		"an old transfer":         {strings.Replace(strings.Replace(twoLengths, "Content-Length: 5\r\n", "", 1), "HTTP/1.1", "HTTP/1.0", 1), framing.ErrOldTransfer, nil},
+		"both lengths":            {twoLengths + plainGet, framing.ErrLengthAndTransferEncoding, nil},
+		"a bare line feed":        {bareFeed + plainGet, framing.ErrBareLF, nil},
+		"a continued header":      {continued + plainGet, framing.ErrLineFolding, nil},
+		"a head in a header":      {inHeader, framing.ErrBareLF, nil},
+		"behind a request":        {plainGet + bareFeed + plainGet, framing.ErrBareLF, []string{"/a"}},
+		"behind a body of a head": {plainPost + plainGet + continued, framing.ErrLineFolding, []string{"/b" + plainPost[len(plainPost)-31:], "/a"}},
+		"behind any body":         {unended + plainGet + unended + bareFeed, framing.ErrBareLF, []string{"/ha\nbc", "/a", "/ha\nbc"}},
+		"behind chunks":           {chunkedTo + plainGet + chunkedTo + inHeader, framing.ErrBareLF, []string{"/gab\n\nc", "/a", "/gab\n\nc"}},
+		"an old transfer":         {strings.Replace(strings.Replace(twoLengths, "Content-Length: 5\r\n", "", 1), "HTTP/1.1", "HTTP/1.0", 1), framing.ErrTransferEncodingVersion, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			address, served := strictServer(t)
--- a/pushback/keeper.go
+++ b/pushback/keeper.go
@@ -42,7 +42,7 @@
 // NewTracker returns a tracker without pauses.
 func NewTracker(options Options) *Tracker {
 	return &Tracker{
-		options: options, log: logging.Part(options.Log, "pushback"), table: NewTable(),
+		options: options, log: logging.Component(options.Log, "pushback"), table: NewTable(),
 		requested: options.Metrics.Counter("backend_pauses_asked"), gauge: options.Metrics.Gauge("backends_paused"),
 	}
 }
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -49,7 +49,7 @@
 // NewTracker returns a tracker without records.
 func NewTracker(options Options) *Tracker {
 	return &Tracker{
-		options: options, log: logging.Part(options.Log, "quarantine"), table: NewTable(options.Policy),
+		options: options, log: logging.Component(options.Log, "quarantine"), table: NewTable(options.Policy),
 		crashes: options.Metrics.Counter("backends_ended"), quarantined: options.Metrics.Gauge("requests_quarantined"),
 		unsaved: make(map[Fingerprint]bool), observedLocally: make(map[Fingerprint]bool), saveRequested: make(chan struct{}, 1),
 	}
--- a/ratelimit/fleetlimiter.go
+++ b/ratelimit/fleetlimiter.go
@@ -95,7 +95,7 @@
 func NewFleetLimiter(options Options) *FleetLimiter {
 	now := clock.OrMonotonic(options.Now)
 	return &FleetLimiter{
-		options: options, now: now, log: logging.Part(options.Log, "ratelimit"), limiter: NewLimiter(options.Name, now(), options.Random), exchanges: make(map[string]*exchange),
+		options: options, now: now, log: logging.Component(options.Log, "ratelimit"), limiter: NewLimiter(options.Name, now(), options.Random), exchanges: make(map[string]*exchange),
 		granted: options.Metrics.Counter("tenant_requests_granted"), exceeded: options.Metrics.Counter("tenant_requests_exceeded"),
 	}
 }
--- a/resultcode/resultcode.go
+++ b/resultcode/resultcode.go
@@ -61,9 +61,9 @@
 	CallerGoneAfterSend Code = 3006
 )
 
-// Lacks says whether a daemon that answers so did not run the request for want of a
+// MissingConfiguration says whether a daemon that answers so did not run the request for want of a
 // configuration, a service or back ends, which another daemon may know.
-func (c Code) Lacks() bool {
+func (c Code) MissingConfiguration() bool {
 	switch c {
 	case NoService, NoBackend, NotConfigured:
 		return true
--- a/rollout/runner.go
+++ b/rollout/runner.go
@@ -55,7 +55,7 @@
 
 // NewRunner returns a runner that has recorded nothing.
 func NewRunner(options Options) *Runner {
-	return &Runner{options: options, log: logging.Part(options.Log, "rollout"), nextWrite: make(map[string]time.Time)}
+	return &Runner{options: options, log: logging.Component(options.Log, "rollout"), nextWrite: make(map[string]time.Time)}
 }
 
 // Run steps the rollouts until ctx ends.
--- a/service/service.go
+++ b/service/service.go
@@ -60,7 +60,7 @@
 		Dispatcher:    dispatch.New(rand.New(rand.NewPCG(seed, seed)), config.DefaultQueueLimit),
 		restored:      make(map[string]time.Time),
 	}
-	outlierLog, routingLog := logging.Part(options.Log, "outlier"), logging.Part(options.Log, "routing")
+	outlierLog, routingLog := logging.Component(options.Log, "outlier"), logging.Component(options.Log, "routing")
 	service.Dispatcher.OnEjection(func(backend string, ejected bool) {
 		message := "back end reinstated"
 		if ejected {
--- a/signals/reader.go
+++ b/signals/reader.go
@@ -77,7 +77,7 @@
 	unread     *unreadHeaders
 	unreadable tally.Counter
 	// warned holds the back ends and headers for which an invalid value has been logged.
-	warned *logging.Once[badValue]
+	warned *logging.Deduplicator[badValue]
 }
 
 // badValue identifies a header of a back end that has an invalid value.
@@ -91,10 +91,10 @@
 
 // NewReader returns a reader.
 func NewReader(options Options) *Reader {
-	log := logging.Part(options.Log, "signals")
+	log := logging.Component(options.Log, "signals")
 	return &Reader{
 		options: options, log: log, unread: newUnreadHeaders(&options.Dialect, log, options.Metrics),
-		unreadable: options.Metrics.Counter("backend_signals_unreadable"), warned: logging.NewOnce[badValue](maxLoggedBadValues),
+		unreadable: options.Metrics.Counter("backend_signals_unreadable"), warned: logging.NewDeduplicator[badValue](maxLoggedBadValues),
 	}
 }
 
@@ -165,7 +165,7 @@
 // recordUnreadable counts an invalid value, and logs the first one for each back end and header.
 func (r *Reader) recordUnreadable(key backend.Key, header string, err error) {
 	r.unreadable.Inc(1)
-	if r.warned.First(badValue{Key: key, header: header}) {
+	if r.warned.FirstSeen(badValue{Key: key, header: header}) {
 		r.log.Warn("invalid signal; keeping the previous state", "service", key.Service, "backend", key.Backend, "error", err)
 	}
 }
--- a/signals/unread.go
+++ b/signals/unread.go
@@ -19,13 +19,13 @@
 type unreadHeaders struct {
 	log     *slog.Logger
 	counter tally.Counter
-	names   *logging.Once[string]
+	names   *logging.Deduplicator[string]
 	prefix  string          // of the headers of signals; empty: there is none
 	known   map[string]bool // headers that are read, or are for callers only
 }
 
 func newUnreadHeaders(dialect *backend.Dialect, log *slog.Logger, scope tally.Scope) *unreadHeaders {
-	return &unreadHeaders{prefix: dialect.SelfPrefix, known: knownHeaders(dialect), log: log, counter: scope.Counter("backend_headers_unread"), names: logging.NewOnce[string](maxLoggedNames)}
+	return &unreadHeaders{prefix: dialect.SelfPrefix, known: knownHeaders(dialect), log: log, counter: scope.Counter("backend_headers_unread"), names: logging.NewDeduplicator[string](maxLoggedNames)}
 }
 
 // observe counts the headers of a response that are signals and that nothing reads, and logs each name once. forDaemon
@@ -41,7 +41,7 @@
 
 func (u *unreadHeaders) record(name, service, backend string) {
 	u.counter.Inc(1)
-	if u.names.First(name) {
+	if u.names.FirstSeen(name) {
 		u.log.Warn("back end sent a signal that nothing reads", "header", name, "service", service, "backend", backend)
 	}
 }
--- a/slots/client.go
+++ b/slots/client.go
@@ -48,7 +48,7 @@
 
 // NewClient returns a client without sessions.
 func NewClient(transport network.Network, log *slog.Logger) *Client {
-	return &Client{network: transport, log: logging.Part(log, "slots"), sessions: make(map[string]*session)}
+	return &Client{network: transport, log: logging.Component(log, "slots"), sessions: make(map[string]*session)}
 }
 
 // Grant is a permit granted by another daemon. Its owner must call Done exactly once.
--- a/slots/session.go
+++ b/slots/session.go
@@ -290,7 +290,7 @@
 		return service.ErrOverBudget
 	}
 	code := resultcode.Code(refusal.Code)
-	if code.Lacks() {
+	if code.MissingConfiguration() {
 		return errors.Annotate(ErrStaleDispatcher, refusal.Detail)
 	}
 	return &resultcode.Failure{Code: code, Detail: refusal.Detail, RetryAfter: microseconds(refusal.RetryAfterUs)}
