--- a/logging/dropped.go
+++ b/logging/dropped.go
@@ -24,7 +24,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-limiter.HasDropped():
+		case <-limiter.DroppedSignal():
 		}
 		wait.Sleep(ctx, reportInterval)
 		for kind, lines := range limiter.TakeDropped() {
--- a/logging/limiter.go
+++ b/logging/limiter.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// HasDropped returns a channel that receives when lines have been dropped.
-func (l *Limiter) HasDropped() <-chan struct{} {
+// DroppedSignal returns a channel that receives when lines have been dropped.
+func (l *Limiter) DroppedSignal() <-chan struct{} {
 	return l.hasDropped
 }
 
