--- a/lab/simulation/attempt.go
+++ b/lab/simulation/attempt.go
@@ -7,122 +7,123 @@
 	"github.com/tuliphall/tuliphall/routing"
 )
 
-// send sends a try to the back end of its place.
-func (r *replay) send(one *try, place *dispatch.Permit) {
-	sent := &attempt{place: place, worker: r.byID[place.Backend.ID]}
-	one.attempts++
-	one.tried = append(one.tried, sent.worker.id)
-	one.running = append(one.running, sent)
-	r.after(2*r.pattern.wire(), func() { r.arrive(one, sent) })
-	if place.HedgeAfter > 0 && one.class.Repeatable && one.attempts == 1 {
-		r.after(r.pattern.wire()+place.HedgeAfter, func() { r.hedge(one) })
+// send sends a try to the back end of its permit.
+func (r *replay) send(t *try, permit *dispatch.Permit) {
+	sent := &attempt{permit: permit, worker: r.byID[permit.Backend.ID]}
+	t.attemptCount++
+	t.tried = append(t.tried, sent.worker.id)
+	t.backendAttempts = append(t.backendAttempts, sent)
+	r.after(2*r.pattern.messageDelay(), func() { r.arriveAtBackend(t, sent) })
+	if permit.HedgeAfter > 0 && t.class.Repeatable && t.attemptCount == 1 {
+		r.after(r.pattern.messageDelay()+permit.HedgeAfter, func() { r.sendHedge(t) })
 	}
 }
 
-// arrive lets the back end take the request, refuse it, or say nothing.
-func (r *replay) arrive(one *try, sent *attempt) {
-	if sent.over {
+// arriveAtBackend makes the back end accept or reject the request, or fail without running it.
+func (r *replay) arriveAtBackend(t *try, sent *attempt) {
+	if sent.finished {
 		return
 	}
 	target := sent.worker
-	target.strain()
+	target.recordArrival()
 	switch {
-	case target.gone:
-		r.after(2*r.pattern.wire(), func() { r.failed(one, sent) })
-	case target.refuses():
+	case target.unavailable:
+		r.after(2*r.pattern.messageDelay(), func() { r.handleUnserved(t, sent) })
+	case target.rejectsNext():
 		report := &routing.Report{InFlight: target.inFlight(), Slowdown: target.slowdown()}
-		r.after(2*r.pattern.wire(), func() {
-			if !sent.over {
-				r.core.RecordReport(r.time(), sent.place.Backend, *report)
+		r.after(2*r.pattern.messageDelay(), func() {
+			if !sent.finished {
+				r.core.RecordReport(r.time(), sent.permit.Backend, *report)
 			}
-			r.failed(one, sent)
+			r.handleUnserved(t, sent)
 		})
 	default:
-		sent.job = target.arrive(one.work, func() { r.worked(one, sent) })
+		sent.job = target.arrive(t.work, func() { r.handleCompletion(t, sent) })
 	}
 }
 
-// worked passes an answer on.
-func (r *replay) worked(one *try, sent *attempt) {
+// handleCompletion processes the response of an attempt.
+func (r *replay) handleCompletion(t *try, sent *attempt) {
 	report := routing.Report{InFlight: sent.worker.inFlight(), Slowdown: sent.worker.slowdown()}
-	r.after(2*r.pattern.wire(), func() {
-		if sent.over {
+	r.after(2*r.pattern.messageDelay(), func() {
+		if sent.finished {
 			return
 		}
-		sent.over = true
-		latency := r.time().Sub(sent.place.GrantedAt)
-		r.core.RecordReport(r.time(), sent.place.Backend, report)
-		r.core.Done(r.time(), sent.place, routing.Success, latency)
-		r.answered(one)
-		r.serve()
+		sent.finished = true
+		latency := r.time().Sub(sent.permit.GrantedAt)
+		r.core.RecordReport(r.time(), sent.permit.Backend, report)
+		r.core.Done(r.time(), sent.permit, routing.Success, latency)
+		r.finishTry(t)
+		r.serveWaiting()
 	})
 }
 
-// answered counts the first answer and breaks off the other attempt.
-func (r *replay) answered(one *try) {
-	if one.over {
+// finishTry records the first response of a try and cancels the other attempt.
+func (r *replay) finishTry(t *try) {
+	if t.finished {
 		return
 	}
-	one.over = true
-	for _, other := range one.running {
+	t.finished = true
+	for _, other := range t.backendAttempts {
 		r.cancel(other)
 	}
-	r.after(2*r.pattern.wire(), func() { r.outcome.answered(one.caller, r.time()) })
+	r.after(2*r.pattern.messageDelay(), func() { r.outcome.recordAnswer(t.caller, r.time()) })
 }
 
 func (r *replay) cancel(other *attempt) {
-	if other.over {
+	if other.finished {
 		return
 	}
-	other.over = true
+	other.finished = true
 	if other.job != nil {
 		other.worker.cancel(other.job)
 	}
-	r.core.Done(r.time(), other.place, routing.Canceled, 0)
+	r.core.Done(r.time(), other.permit, routing.Canceled, 0)
 }
 
-// failed takes in that a back end did not run the request, and tries another one.
-func (r *replay) failed(one *try, sent *attempt) {
-	if sent.over {
+// handleUnserved processes an attempt that the back end did not run, and retries at another
+// one if the retry policy allows it.
+func (r *replay) handleUnserved(t *try, sent *attempt) {
+	if sent.finished {
 		return
 	}
-	sent.over = true
-	r.core.Done(r.time(), sent.place, routing.Unserved, 0)
-	r.serve()
-	if one.over || one.busy() {
+	sent.finished = true
+	r.core.Done(r.time(), sent.permit, routing.Unserved, 0)
+	r.serveWaiting()
+	if t.finished || t.inProgress() {
 		return
 	}
 	verdict := retry.Decide(retry.Attempt{
-		Code: resultcode.BackendRefused, CallerRetry: one.refused > 0, Number: one.attempts, MaxAttempts: one.class.MaxAttempts, Repeatable: one.class.Repeatable, Rewindable: true,
-		Remaining: one.deadline.Sub(r.time()), UntriedBackends: len(r.workers) - len(one.tried),
+		Code: resultcode.BackendRefused, CallerRetry: t.refusals > 0, Number: t.attemptCount, MaxAttempts: t.class.MaxAttempts, Repeatable: t.class.Repeatable, Rewindable: true,
+		Remaining: t.deadline.Sub(r.time()), UntriedBackends: len(r.workers) - len(t.tried),
 	}, &r.budget)
 	if verdict == retry.Allowed {
-		r.offer(one)
+		r.offer(t)
 		return
 	}
-	r.refuseFor(one, dispatch.RetryAfterRefusal(sent.place.GrantedAt.Sub(sent.place.ArrivedAt)))
+	r.refuseWithRetryAfter(t, dispatch.RetryAfterRefusal(sent.permit.GrantedAt.Sub(sent.permit.ArrivedAt)))
 }
 
-// busy says whether the try is still at some back end.
-func (t *try) busy() bool {
-	for _, one := range t.running {
-		if !one.over {
+// inProgress reports whether an attempt of the try is unfinished.
+func (t *try) inProgress() bool {
+	for _, sent := range t.backendAttempts {
+		if !sent.finished {
 			return true
 		}
 	}
 	return false
 }
 
-// hedge asks for a place for a second attempt.
-func (r *replay) hedge(one *try) {
-	if one.over || one.attempts > 1 || one.class.MaxAttempts < 2 || !r.budget.Spend(retry.Hedge, one.refused > 0) {
+// sendHedge asks for a permit for a hedge.
+func (r *replay) sendHedge(t *try) {
+	if t.finished || t.attemptCount > 1 || t.class.MaxAttempts < 2 || !r.budget.Spend(retry.Hedge, t.refusals > 0) {
 		return
 	}
-	decision := r.core.Offer(r.time(), r.request(one, true), one)
+	decision := r.core.Offer(r.time(), r.dispatchRequest(t, true), t)
 	if decision.Permit == nil {
 		r.budget.Refund()
 		return
 	}
-	r.outcome.of(one.class).Hedges++
-	r.send(one, decision.Permit)
+	r.outcome.forClass(t.class).Hedges++
+	r.send(t, decision.Permit)
 }
--- a/lab/simulation/doc.go
+++ b/lab/simulation/doc.go
@@ -3,17 +3,17 @@
 // are made by the product's own packages (dispatch.Core with its routing and
 // admission), not by copies.
 //
-// The model. Requests arrive open-loop at random daemons. Daemons and back ends
-// stand in zones; a message within a zone takes WireNear, between zones WireFar,
-// each way, and each daemon it passes adds HopCost. A back end works on Slots
-// requests at once and queues the rest in order. Work is exponential. A noisy
-// neighbour slows all work on its machine, that under way included, by Slowdown
-// during spells of exponential length. Latency runs from the arrival at the
-// daemon to the arrival of the answer there.
+// Run simulates a Scenario. Requests arrive open-loop at random daemons. Daemons and
+// back ends are in zones; a message takes SameZoneDelay within a zone and CrossZoneDelay
+// between zones, each way, and each daemon that it passes adds HopCost. A back end serves
+// up to Slots requests at once and queues the others first in, first out. Service times
+// are exponential. A noisy neighbour slows down all work on its machine by Slowdown, the
+// requests in service included, during periods of exponential length. Latency is the time
+// from the arrival of a request at a daemon to the arrival of its response there.
 //
-// Replay plays a load pattern (patterns/*.toml) to the decisions of one dispatcher: who
-// waits, who is refused, where requests go, when they get a second attempt. Callers come
-// back as they are told, with what is left of their time; back ends slow down when full,
-// refuse, fall silent, join or slow down as the pattern says. Arrivals and work are the
-// same whatever is decided.
+// Replay runs the decisions of one dispatcher (which requests wait or are refused, which
+// back ends get them, which are hedged) against a load pattern (patterns/*.toml). Callers
+// obey Retry-After, within their deadlines. Back ends slow down when full, reject requests,
+// become unreachable, join or slow down as the pattern says. Arrivals and service times do
+// not depend on the decisions.
 package simulation
--- a/lab/simulation/events.go
+++ b/lab/simulation/events.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// event is something that happens at a time.
+// event is an action at a virtual time. Events of the same time run in the order in which
+// they were scheduled.
 type event struct {
 	at       time.Duration
 	sequence uint64
-	act      func()
+	action   func()
 }
 
 type eventHeap []event
@@ -35,30 +36,30 @@
 	return last
 }
 
-// clock is virtual time with what is to happen in it.
+// clock is the virtual time with the queue of pending events.
 type clock struct {
 	now      time.Duration
 	sequence uint64
 	events   eventHeap
 }
 
-// epoch is where virtual time begins.
+// epoch is the time at which virtual time begins.
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func (c *clock) time() time.Time {
 	return epoch.Add(c.now)
 }
 
-func (c *clock) after(wait time.Duration, act func()) {
+func (c *clock) after(delay time.Duration, action func()) {
 	c.sequence++
-	heap.Push(&c.events, event{at: c.now + wait, sequence: c.sequence, act: act})
+	heap.Push(&c.events, event{at: c.now + delay, sequence: c.sequence, action: action})
 }
 
-// run lets everything happen up to the end, or until nothing is left.
-func (c *clock) run(end time.Duration) {
+// runUntil runs all events up to the end, or until none is left.
+func (c *clock) runUntil(end time.Duration) {
 	for len(c.events) > 0 && c.events[0].at <= end {
 		next := heap.Pop(&c.events).(event)
 		c.now = next.at
-		next.act()
+		next.action()
 	}
 }
--- a/lab/simulation/faults.go
+++ b/lab/simulation/faults.go
@@ -1,54 +1,57 @@
 package simulation
 
-// faults schedules the scenario's faults.
-func (s *simulation) faults() {
+// scheduleFaults schedules the start and end of the scenario's faults.
+func (s *simulation) scheduleFaults() {
 	for _, fault := range s.scenario.Faults {
 		target := s.workers[fault.Worker]
-		s.after(fault.From, func() { target.apply(fault, true) })
-		s.after(fault.Until, func() { target.apply(fault, false) })
+		s.after(fault.From, func() { target.applyFault(fault, true) })
+		s.after(fault.Until, func() { target.applyFault(fault, false) })
 	}
 }
 
-func (w *worker) apply(fault Fault, begins bool) {
+func (w *worker) applyFault(fault Fault, active bool) {
 	switch fault.Kind {
 	case FaultReject:
-		w.rejects = begins
+		w.rejectsAll = active
 	case FaultSlow:
-		slow := 1.0
-		if begins {
-			slow = fault.Factor
+		factor := 1.0
+		if active {
+			factor = fault.Factor
 		}
-		w.setSpeed(w.speed, slow)
+		w.setSpeed(w.speed, factor)
 	}
 }
 
-// exchange lets every deciding daemon tell every other what it has in flight.
-func (s *simulation) exchange() {
+// scheduleExchange makes every decider periodically send its requests in flight to all
+// others.
+func (s *simulation) scheduleExchange() {
 	s.after(s.system.ExchangeInterval, func() {
-		for index, from := range s.nodes {
+		for index, from := range s.deciders {
 			counts := make([]int, len(s.workers))
 			for number, state := range from.core.Group.States() {
 				counts[number] = state.InFlight
 			}
-			for _, to := range s.nodes {
+			for _, to := range s.deciders {
 				if to == from {
 					continue
 				}
 				s.result.PeerMessages++
-				s.after(s.wire(from.zone, to.zone), func() { s.told(to, index, counts) })
+				s.after(s.messageDelay(from.zone, to.zone), func() { s.receiveInFlight(to, index, counts) })
 			}
 		}
-		s.exchange()
+		s.scheduleExchange()
 	})
 }
 
-func (s *simulation) told(to *node, from int, counts []int) {
-	to.told[from] = counts
-	for number, one := range s.workers {
+// receiveInFlight stores the requests in flight of a peer and updates the sums over all
+// peers.
+func (s *simulation) receiveInFlight(to *decider, from int, counts []int) {
+	to.peerInFlight[from] = counts
+	for number, backend := range s.workers {
 		sum := 0
-		for _, told := range to.told {
-			sum += told[number]
+		for _, inFlight := range to.peerInFlight {
+			sum += inFlight[number]
 		}
-		to.core.Group.SetPeerInFlight(one.id, sum, s.time())
+		to.core.Group.SetPeerInFlight(backend.id, sum, s.time())
 	}
 }
--- a/lab/simulation/flow.go
+++ b/lab/simulation/flow.go
@@ -10,13 +10,13 @@
 	"github.com/tuliphall/tuliphall/routing"
 )
 
-// arrivals schedules the next arrival, which schedules the one after it.
-func (s *simulation) arrivals() {
+// scheduleArrival schedules the next arrival, which schedules the one after it.
+func (s *simulation) scheduleArrival() {
 	rate := s.result.Capacity * s.scenario.Load
 	gap := time.Duration(s.random.ExpFloat64() / rate * float64(time.Second))
 	s.after(gap, func() {
 		s.arrive()
-		s.arrivals()
+		s.scheduleArrival()
 	})
 }
 
@@ -28,42 +28,43 @@
 		deadline = 10 * time.Second
 	}
 	r := &request{
-		class: class, zone: daemon % s.scenario.Zones, begun: s.now, deadline: s.time().Add(deadline),
+		class: class, zone: daemon % s.scenario.Zones, arrivedAt: s.now, deadline: s.time().Add(deadline),
 		work: time.Duration(s.random.ExpFloat64() * float64(s.scenario.Work)),
 	}
-	if s.counted(r) {
+	if s.measured(r) {
 		s.result.Offered++
 		s.result.ClassSent[class.Name]++
 	}
 	if s.system.CentralQueue {
-		s.central = append(s.central, r)
-		s.serveCentral()
+		s.centralQueue = append(s.centralQueue, r)
+		s.serveCentralQueue()
 		return
 	}
-	r.node = s.deciding(daemon)
+	r.decider = s.deciderOf(daemon)
 	if s.system.Dispatchers == 0 {
 		s.after(s.scenario.HopCost, func() { s.offer(r) })
 		return
 	}
-	s.after(s.scenario.HopCost+s.wire(r.zone, r.node.zone)+s.scenario.HopCost, func() { s.offer(r) })
+	s.after(s.scenario.HopCost+s.messageDelay(r.zone, r.decider.zone)+s.scenario.HopCost, func() { s.offer(r) })
 }
 
 func (s *simulation) pickClass() Class {
 	return weighted.Draw(s.random, s.scenario.Classes, func(class Class) float64 { return class.Share })
 }
 
-// deciding returns the node that decides for a daemon.
-func (s *simulation) deciding(daemon int) *node {
-	return s.nodes[daemon%len(s.nodes)]
+// deciderOf returns the decider of a daemon.
+func (s *simulation) deciderOf(daemon int) *decider {
+	return s.deciders[daemon%len(s.deciders)]
 }
 
-func (s *simulation) counted(r *request) bool {
-	return r.begun >= s.scenario.WarmUp
+// measured reports whether a request arrived after the warm-up.
+func (s *simulation) measured(r *request) bool {
+	return r.arrivedAt >= s.scenario.WarmUp
 }
 
-// offer asks the node for a place.
+// offer asks the decider for a permit.
 func (s *simulation) offer(r *request) {
-	decision := r.node.core.Offer(s.time(), s.dispatchRequest(r), r)
+	decision := r.decider.core.Offer(s.time(), s.dispatchRequest(r), r)
 	if decision.Displaced != nil {
 		s.refuse(decision.Displaced.(*request))
 	}
@@ -74,7 +75,7 @@
 		s.refuse(r)
 	default:
 		s.after(decision.Ticket.Expiry.Sub(s.time()), func() {
-			if r.node.core.Queue.Remove(decision.Ticket) {
+			if r.decider.core.Queue.Remove(decision.Ticket) {
 				s.refuse(r)
 			}
 		})
@@ -86,129 +87,130 @@
 }
 
 func (s *simulation) refuse(r *request) {
-	if r.ran {
+	if r.executed {
 		s.result.RefusedAfterRun++
 	}
-	if s.counted(r) {
+	if s.measured(r) {
 		s.result.Refused++
 	}
 }
 
-// send sends the request to the back end of its place.
-func (s *simulation) send(r *request, place *dispatch.Permit) {
-	target := s.byID[place.Backend.ID]
+// send sends the request to the back end of its permit.
+func (s *simulation) send(r *request, permit *dispatch.Permit) {
+	target := s.byID[permit.Backend.ID]
 	target.assigned++
 	r.attempts++
 	if r.attempts == 1 {
-		r.node.budget.Earn()
+		r.decider.budget.Earn()
 	}
 	r.tried = append(r.tried, target.id)
-	if s.counted(r) {
+	if s.measured(r) {
 		s.result.Attempts++
 	}
-	s.noteSent(target)
-	s.after(s.toTarget(r, target), func() {
-		if target.rejects {
+	s.recordSent(target)
+	s.after(s.delayToBackend(r, target), func() {
+		if target.rejectsAll {
 			target.assigned--
-			s.after(s.backToNode(r, target), func() { s.rejected(r, place) })
+			s.after(s.delayToDecider(r, target), func() { s.handleRejection(r, permit) })
 			return
 		}
 		target.arrive(r.work, func() {
-			r.ran = true
+			r.executed = true
 			load := target.inFlight()
 			if s.system.Permits {
-				s.after(s.wire(target.zone, r.zone), func() { s.record(r) })
+				s.after(s.messageDelay(target.zone, r.zone), func() { s.recordAnswer(r) })
 			}
-			s.after(s.backToNode(r, target), func() { s.answered(r, place, load) })
+			s.after(s.delayToDecider(r, target), func() { s.handleAnswer(r, permit, load) })
 		})
 	})
 }
 
-// toTarget is how long it takes from the decision until the request is at the back
-// end: with places, the decision first travels to the request's own daemon.
-func (s *simulation) toTarget(r *request, target *worker) time.Duration {
+// delayToBackend returns the time from the decision until the request arrives at the
+// back end. With permits, the permit first travels to the daemon that got the request.
+func (s *simulation) delayToBackend(r *request, target *worker) time.Duration {
 	if s.system.Permits {
-		return s.wire(r.node.zone, r.zone) + s.scenario.HopCost + s.wire(r.zone, target.zone)
+		return s.messageDelay(r.decider.zone, r.zone) + s.scenario.HopCost + s.messageDelay(r.zone, target.zone)
 	}
-	return s.wire(r.node.zone, target.zone)
+	return s.messageDelay(r.decider.zone, target.zone)
 }
 
-// backToNode is how long it takes until the deciding node knows of an answer: with
-// places, the request's own daemon tells it.
-func (s *simulation) backToNode(r *request, target *worker) time.Duration {
+// delayToDecider returns the time from a response until the decider learns of it. With
+// permits, the daemon that got the request reports it.
+func (s *simulation) delayToDecider(r *request, target *worker) time.Duration {
 	if s.system.Permits {
-		return s.wire(target.zone, r.zone) + s.wire(r.zone, r.node.zone)
+		return s.messageDelay(target.zone, r.zone) + s.messageDelay(r.zone, r.decider.zone)
 	}
-	return s.wire(target.zone, r.node.zone)
+	return s.messageDelay(target.zone, r.decider.zone)
 }
 
-// answered takes in an answer at the node.
-func (s *simulation) answered(r *request, place *dispatch.Permit, load int) {
+// handleAnswer processes a response at the decider.
+func (s *simulation) handleAnswer(r *request, permit *dispatch.Permit, load int) {
 	now := s.time()
-	r.node.core.Done(now, place, routing.Success, now.Sub(place.GrantedAt))
+	r.decider.core.Done(now, permit, routing.Success, now.Sub(permit.GrantedAt))
 	if s.system.LoadReports {
-		r.node.core.RecordReport(now, place.Backend, routing.Report{InFlight: load})
+		r.decider.core.RecordReport(now, permit.Backend, routing.Report{InFlight: load})
 	}
-	s.serve(r.node)
+	s.serveWaiting(r.decider)
 	if s.system.Permits {
-		return // recorded when the answer came to the request's own daemon
+		return // recorded when the response reached the daemon that got the request
 	}
-	wait := time.Duration(0)
+	delay := time.Duration(0)
 	if s.system.Dispatchers > 0 {
-		wait = s.wire(r.node.zone, r.zone)
+		delay = s.messageDelay(r.decider.zone, r.zone)
 	}
-	s.after(wait, func() { s.record(r) })
+	s.after(delay, func() { s.recordAnswer(r) })
 }
 
-// rejected takes in a refusal at the node and tries another back end.
-func (s *simulation) rejected(r *request, place *dispatch.Permit) {
+// handleRejection processes a rejection at the decider and retries at another back end.
+func (s *simulation) handleRejection(r *request, permit *dispatch.Permit) {
 	now := s.time()
-	r.node.core.Done(now, place, routing.Unserved, 0)
-	s.serve(r.node)
+	r.decider.core.Done(now, permit, routing.Unserved, 0)
+	s.serveWaiting(r.decider)
 	verdict := retry.Decide(retry.Attempt{
 		Code: resultcode.BackendRefused, Number: r.attempts, Rewindable: true, Remaining: r.deadline.Sub(now), UntriedBackends: len(s.workers) - len(r.tried),
-	}, &r.node.budget)
+	}, &r.decider.budget)
 	if verdict == retry.Allowed {
 		s.offer(r)
 		return
 	}
-	if s.counted(r) {
+	if s.measured(r) {
 		s.result.Failed++
 	}
 }
 
-// serve gives places to the node's waiting requests.
-func (s *simulation) serve(n *node) {
+// serveWaiting sends the decider's queued requests for which there are permits.
+func (s *simulation) serveWaiting(from *decider) {
 	for {
-		place, payload := n.core.Next(s.time())
-		if place == nil {
+		permit, payload := from.core.Next(s.time())
+		if permit == nil {
 			return
 		}
-		s.send(payload.(*request), place)
+		s.send(payload.(*request), permit)
 	}
 }
 
-// serveCentral gives free slots to the one queue, wherever they are.
-func (s *simulation) serveCentral() {
-	for len(s.central) > 0 {
+// serveCentralQueue assigns queued requests to free slots, in the order of the back ends.
+// The delay between the zones does not affect the choice.
+func (s *simulation) serveCentralQueue() {
+	for len(s.centralQueue) > 0 {
 		var free *worker
-		for _, one := range s.workers {
-			if len(one.running) < one.slots {
-				free = one
+		for _, backend := range s.workers {
+			if len(backend.running) < backend.slots {
+				free = backend
 				break
 			}
 		}
 		if free == nil {
 			return
 		}
-		r := s.central[0]
-		s.central = s.central[1:]
-		s.noteSent(free)
+		r := s.centralQueue[0]
+		s.centralQueue = s.centralQueue[1:]
+		s.recordSent(free)
 		free.assigned++
 		free.arrive(r.work, func() {
-			wires := s.wire(r.zone, free.zone) * 2
-			s.after(wires, func() { s.record(r) })
-			s.after(0, s.serveCentral)
+			roundTrip := s.messageDelay(r.zone, free.zone) * 2
+			s.after(roundTrip, func() { s.recordAnswer(r) })
+			s.after(0, s.serveCentralQueue)
 		})
 	}
 }
--- a/lab/simulation/outcome.go
+++ b/lab/simulation/outcome.go
@@ -6,34 +6,35 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Outcome is what the callers of a pattern got.
+// Outcome holds the results of a replay.
 type Outcome struct {
 	Classes map[string]*ClassOutcome
-	// ColdFailures is how often a cold back end got more than it bears, MostCold the most that
-	// one got within a second, and Intruders how many requests reached evacuated ones.
+	// ColdFailures counts failures of cold back ends that got too many requests,
+	// PeakColdArrivals is the most requests that one got within a second, and
+	// EvacuatedArrivals counts requests that reached evacuated back ends.
 	ColdFailures, PeakColdArrivals, EvacuatedArrivals int
 }
 
-// seen takes in what the back ends have seen.
-func (o *Outcome) seen(workers []*worker) {
-	for _, one := range workers {
-		o.ColdFailures += one.fell
-		o.PeakColdArrivals = max(o.PeakColdArrivals, one.most)
-		o.EvacuatedArrivals += one.intruders
+// recordWorkers adds the counts of the back ends.
+func (o *Outcome) recordWorkers(workers []*worker) {
+	for _, backend := range workers {
+		o.ColdFailures += backend.coldFailures
+		o.PeakColdArrivals = max(o.PeakColdArrivals, backend.peakColdArrivals)
+		o.EvacuatedArrivals += backend.evacuatedArrivals
 	}
 }
 
-// ClassOutcome is what the callers of a class got.
+// ClassOutcome holds the results of a class.
 type ClassOutcome struct {
 	Requests          int
 	InTime            int // answered within the objective, from the first try
-	Late              int // answered before the deadline
+	Late              int // answered later, but before the deadline
 	Refused           int // tries that were refused
 	RefusedRepeatedly int // callers that were refused more than once
-	GaveUp            int // callers without an answer
+	GaveUp            int // callers that got no response before their deadline or ran out of retries
 	Hedges            int
-	Latency           *hdrhistogram.Histogram // of the answered, from the first try
-	RefusalDelay      *hdrhistogram.Histogram // of the refused tries, until they were told
+	Latency           *hdrhistogram.Histogram // of answered requests, from the first try
+	RefusalDelay      *hdrhistogram.Histogram // from the arrival of a refused try at the dispatcher to its refusal
 }
 
 func newOutcome(pattern Pattern) *Outcome {
@@ -44,72 +45,72 @@
 	return outcome
 }
 
-func (o *Outcome) of(class PatternClass) *ClassOutcome {
+func (o *Outcome) forClass(class PatternClass) *ClassOutcome {
 	return o.Classes[class.Name]
 }
 
-func (o *Outcome) answered(asking *caller, at time.Time) {
-	to := o.of(asking.class)
+func (o *Outcome) recordAnswer(sender *caller, at time.Time) {
+	outcome := o.forClass(sender.class)
 	switch {
-	case at.After(asking.deadline):
-		to.GaveUp++
+	case at.After(sender.deadline):
+		outcome.GaveUp++
 		return
-	case at.Sub(asking.begun) <= time.Duration(asking.class.Objective):
-		to.InTime++
+	case at.Sub(sender.startedAt) <= time.Duration(sender.class.Objective):
+		outcome.InTime++
 	default:
-		to.Late++
+		outcome.Late++
 	}
-	_ = to.Latency.RecordValue(at.Sub(asking.begun).Microseconds()) // below the highest value: there is a deadline
+	_ = outcome.Latency.RecordValue(at.Sub(sender.startedAt).Microseconds()) // below the maximum, because of the deadline
 }
 
-func (o *Outcome) refused(one *try, held time.Duration) {
-	to := o.of(one.class)
-	to.Refused++
-	if one.refused == 1 {
-		to.RefusedRepeatedly++
+func (o *Outcome) recordRefusal(t *try, delay time.Duration) {
+	outcome := o.forClass(t.class)
+	outcome.Refused++
+	if t.refusals == 1 {
+		outcome.RefusedRepeatedly++
 	}
-	_ = to.RefusalDelay.RecordValue(held.Microseconds()) // below the highest value: there is a deadline
+	_ = outcome.RefusalDelay.RecordValue(delay.Microseconds()) // below the maximum, because of the deadline
 }
 
-func (o *Outcome) gaveUp(asking *caller) {
-	o.of(asking.class).GaveUp++
+func (o *Outcome) recordGiveUp(sender *caller) {
+	o.forClass(sender.class).GaveUp++
 }
 
-// Share returns a part of all that asked.
-func (c *ClassOutcome) Share(part int) float64 {
-	return float64(part) / float64(max(c.Requests, 1))
+// Share returns a count as a share of all requests.
+func (c *ClassOutcome) Share(count int) float64 {
+	return float64(count) / float64(max(c.Requests, 1))
 }
 
-// RefusalDelayAt returns for how long this many in a hundred refused tries were held at most.
+// RefusalDelayAt returns a quantile, in percent, of the refusal delay.
 func (c *ClassOutcome) RefusalDelayAt(quantile float64) time.Duration {
 	return time.Duration(c.RefusalDelay.ValueAtQuantile(quantile)) * time.Microsecond
 }
 
-// LatencyAt returns a quantile, in percent, of the latency of those that were answered.
+// LatencyAt returns a quantile, in percent, of the latency of answered requests.
 func (c *ClassOutcome) LatencyAt(quantile float64) time.Duration {
 	return time.Duration(c.Latency.ValueAtQuantile(quantile)) * time.Microsecond
 }
 
-// Merge takes in what the callers of another play got.
+// Merge adds the results of another replay of the same pattern.
 func (o *Outcome) Merge(other *Outcome) {
-	for name, one := range other.Classes {
-		o.Classes[name].add(one)
+	for name, class := range other.Classes {
+		o.Classes[name].merge(class)
 	}
 	o.ColdFailures += other.ColdFailures
 	o.PeakColdArrivals = max(o.PeakColdArrivals, other.PeakColdArrivals)
 	o.EvacuatedArrivals += other.EvacuatedArrivals
 }
 
-// Total sums up the classes.
+// Total returns the sum over all classes.
 func (o *Outcome) Total() *ClassOutcome {
-	all := &ClassOutcome{Latency: newHistogram(), RefusalDelay: newHistogram()}
-	for _, one := range o.Classes {
-		all.add(one)
+	total := &ClassOutcome{Latency: newHistogram(), RefusalDelay: newHistogram()}
+	for _, class := range o.Classes {
+		total.merge(class)
 	}
-	return all
+	return total
 }
 
-func (c *ClassOutcome) add(other *ClassOutcome) {
+func (c *ClassOutcome) merge(other *ClassOutcome) {
 	c.Requests += other.Requests
 	c.InTime += other.InTime
 	c.Late += other.Late
--- a/lab/simulation/pattern.go
+++ b/lab/simulation/pattern.go
@@ -11,12 +11,12 @@
 	"github.com/tuliphall/tuliphall/config"
 )
 
-// Pattern is a load that is played to the decisions of one dispatcher.
+// Pattern is a load pattern for Replay.
 type Pattern struct {
-	// Description says which load this is.
+	// Description says what load the pattern stands for.
 	Description string          `toml:"answers"`
 	Duration    config.Duration `toml:"duration"`
-	// MessageDelay is how long a message takes between caller, daemon, dispatcher and back end.
+	// MessageDelay is the one-way delay between caller, daemon, dispatcher and back end.
 	MessageDelay config.Duration `toml:"wire"`
 	// RetryRatio and RetryBurst are the retry budget of the service.
 	RetryRatio float64         `toml:"retry_ratio"`
@@ -30,57 +30,57 @@
 type PatternBackends struct {
 	Count int `toml:"count"`
 	Slots int `toml:"slots"`
-	Queue int `toml:"queue"` // requests that each queues before it refuses more
-	// Knee is from how many running requests on all take KneeFactor times as long.
+	Queue int `toml:"queue"` // requests that each queues before it rejects more
+	// With Knee or more requests running, all take KneeFactor times as long.
 	Knee       int     `toml:"knee"`
 	KneeFactor float64 `toml:"knee_factor"`
-	// Slowdown, Noisy and Quiet are the neighbour's; see Noise.
-	// WarmUp is how long a back end is cold after its start or its evacuation, and Bears how
-	// many requests it bears in a second then; more than FallsOver of them, and it is gone
-	// for as long. 0: none is ever cold.
+	// WarmUp is how long a back end is cold after its start or its evacuation; 0: never.
+	// ColdRate is how many requests a second the dispatcher may send it meanwhile. More
+	// than ColdFailureThreshold within a second make it fail for WarmUp.
 	WarmUp               config.Duration `toml:"warm_up"`
 	ColdRate             float64         `toml:"bears"`
 	ColdFailureThreshold int             `toml:"falls_over"`
-	Slowdown             float64         `toml:"slowdown"`
-	Noisy                config.Duration `toml:"noisy"`
-	Quiet                config.Duration `toml:"quiet"`
+	// Slowdown, Noisy and Quiet describe the noisy neighbours; see Noise.
+	Slowdown float64         `toml:"slowdown"`
+	Noisy    config.Duration `toml:"noisy"`
+	Quiet    config.Duration `toml:"quiet"`
 }
 
-// PatternClass is one kind of requests.
+// PatternClass is one class of requests.
 type PatternClass struct {
 	Name          string          `toml:"name"`
 	Weight        int             `toml:"weight"`
 	Repeatable    bool            `toml:"repeatable"`
 	PerSecond     float64         `toml:"per_second"`
-	Work          config.Duration `toml:"work"`   // mean
-	LogSigma      float64         `toml:"spread"` // of its logarithm
+	Work          config.Duration `toml:"work"`   // mean service time
+	LogSigma      float64         `toml:"spread"` // standard deviation of the logarithm of the service time
 	Objective     config.Duration `toml:"objective"`
 	Deadline      config.Duration `toml:"deadline"`
 	CallerRetries int             `toml:"retries"`  // of the caller
 	MaxAttempts   int             `toml:"attempts"` // of the daemon
-	// ImmediateRetryShare is the share of the callers that come back at once.
+	// ImmediateRetryShare is the share of the retries that ignore Retry-After.
 	ImmediateRetryShare float64 `toml:"impatient"`
 }
 
-// draw returns the work of one request.
-func (c PatternClass) draw(random *rand.Rand) time.Duration {
+// drawWork draws the service time of one request from a log-normal distribution.
+func (c PatternClass) drawWork(random *rand.Rand) time.Duration {
 	factor := math.Exp(c.LogSigma*random.NormFloat64() - c.LogSigma*c.LogSigma/2)
 	return time.Duration(factor * float64(c.Work))
 }
 
-// The kinds of trouble.
+// The kinds of events. Share is of the back ends that there are.
 const (
-	troubleBurst  = "burst"  // Factor times as many requests
-	troubleSlow   = "slow"   // a Share of the back ends works Factor times as slowly
-	troubleShed   = "shed"   // a Share of them refuses a part, Factor, of the requests
-	troubleGone   = "gone"   // a Share of them answers nothing
-	troubleForget = "forget" // the dispatcher is replaced by one that knows nothing
-	troubleJoin   = "join"   // Share more back ends join, slow at first by Factor for For
-	// A Share of the back ends is evacuated for For and comes back cold, slow by Factor.
-	troubleEvacuate = "evacuate"
+	eventBurst  = "burst"  // the arrival rate is Factor times as high
+	eventSlow   = "slow"   // a Share of them serves requests Factor times as slowly
+	eventShed   = "shed"   // a Share of them rejects the share Factor of their requests
+	eventGone   = "gone"   // a Share of them fails every request without running it
+	eventForget = "forget" // the dispatcher is replaced by one without any state
+	eventJoin   = "join"   // a Share of new ones joins, slowed down by Factor for Duration
+	// A Share of them is evacuated for Duration and returns cold, slowed down by Factor.
+	eventEvacuate = "evacuate"
 )
 
-// PatternEvent is what happens at a time.
+// PatternEvent is an event of a pattern.
 type PatternEvent struct {
 	Kind     string          `toml:"kind"`
 	At       config.Duration `toml:"at"`
--- a/lab/simulation/record.go
+++ b/lab/simulation/record.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-func (s *simulation) record(r *request) {
-	if !s.counted(r) {
+func (s *simulation) recordAnswer(r *request) {
+	if !s.measured(r) {
 		return
 	}
-	latency := s.now - r.begun
+	latency := s.now - r.arrivedAt
 	s.result.Answered++
 	if !s.time().After(r.deadline) {
 		s.result.InTime++
@@ -17,16 +17,16 @@
 		histogram = newHistogram()
 		s.result.Classes[r.class.Name] = histogram
 	}
-	// No latency is above the histogram's highest value: runs are shorter.
+	// Latencies are below the histogram's maximum, because runs are shorter than that.
 	_ = s.result.Latency.RecordValue(latency.Microseconds())
 	_ = histogram.RecordValue(latency.Microseconds())
-	if interval := s.interval(); interval != nil {
+	if interval := s.currentInterval(); interval != nil {
 		_ = interval.Latency.RecordValue(latency.Microseconds())
 	}
 }
 
-// interval returns the present interval of the timeline, or nil without one.
-func (s *simulation) interval() *Interval {
+// currentInterval returns the current interval of the timeline, or nil if there is no timeline.
+func (s *simulation) currentInterval() *Interval {
 	if s.scenario.Timeline == 0 {
 		return nil
 	}
@@ -40,13 +40,13 @@
 	return &s.result.Intervals[index]
 }
 
-func (s *simulation) noteSent(target *worker) {
-	interval := s.interval()
+func (s *simulation) recordSent(target *worker) {
+	interval := s.currentInterval()
 	if interval == nil {
 		return
 	}
-	for index, one := range s.workers {
-		if one == target {
+	for index, backend := range s.workers {
+		if backend == target {
 			interval.Sent[index]++
 		}
 	}
--- a/lab/simulation/replay.go
+++ b/lab/simulation/replay.go
@@ -14,232 +14,235 @@
 )
 
 const (
-	// replayRecheck is how often the dispatcher looks again while requests wait.
-	replayRecheck = 20 * time.Millisecond
-	// replayQueue bounds the waiting requests, as a service's default does.
-	replayQueue = 1000
-	// patientShare is for how much of the time that is left callers obey Retry-After.
-	patientShare = 1.0 / 3
+	// replayRecheckInterval is how often the dispatcher checks the waiting requests.
+	replayRecheckInterval = 20 * time.Millisecond
+	// replayQueueLimit bounds the waiting requests, as the default of a service does.
+	replayQueueLimit = 1000
+	// maxRetryDelayShare is the largest share of the remaining time that callers wait for
+	// Retry-After.
+	maxRetryDelayShare = 1.0 / 3
 )
 
-// replay plays a pattern to the decisions of one dispatcher.
+// replay is the state of one replay.
 type replay struct {
 	clock
-	pattern Pattern
-	random  *rand.Rand
-	core    dispatch.Core
-	budget  retry.Budget
-	workers []*worker
-	byID    map[string]*worker
-	burst   float64 // on all arrivals
-	queued  []*try  // those that have waited since the last dispatcher began
-	outcome *Outcome
-}
-
-// caller is one caller's request with its tries.
+	pattern    Pattern
+	random     *rand.Rand
+	core       dispatch.Core
+	budget     retry.Budget
+	workers    []*worker
+	byID       map[string]*worker
+	rateFactor float64 // on all arrival rates; 0: arrivals have ended
+	queued     []*try  // since the current dispatcher started; may have left the queue
+	outcome    *Outcome
+}
+
+// caller is a request of a caller, which may take several tries.
 type caller struct {
-	class    PatternClass
-	begun    time.Time
-	deadline time.Time
-	retries  int // left
-	refused  int // so far
-	work     time.Duration
+	class       PatternClass
+	startedAt   time.Time
+	deadline    time.Time
+	retriesLeft int
+	refusals    int
+	work        time.Duration
 }
 
-// try is one try of a caller, as a daemon sees it.
+// try is one request to a daemon: the first of a caller or a retry.
 type try struct {
 	*caller
-	came     time.Time
-	tried    []string
-	attempts int
-	running  []*attempt
-	ticket   *admission.Ticket // nil unless it waits
-	over     bool              // answered, refused or given up
+	arrivedAt       time.Time
+	tried           []string
+	attemptCount    int
+	backendAttempts []*attempt
+	ticket          *admission.Ticket // nil unless queued
+	finished        bool              // answered or refused
 }
 
-// attempt is a try at one back end.
+// attempt is an attempt of the daemon at one back end.
 type attempt struct {
-	place  *dispatch.Permit
-	worker *worker
-	job    *job
-	over   bool
+	permit   *dispatch.Permit
+	worker   *worker
+	job      *job
+	finished bool
 }
 
-// Replay plays a pattern and returns what the callers got.
+// Replay runs a pattern and returns the results of its callers.
 func Replay(pattern Pattern, seed uint64) *Outcome {
 	r := &replay{
-		pattern: pattern, random: rand.New(rand.NewPCG(seed, 1)), byID: make(map[string]*worker), burst: 1,
+		pattern: pattern, random: rand.New(rand.NewPCG(seed, 1)), byID: make(map[string]*worker), rateFactor: 1,
 		outcome: newOutcome(pattern),
 		budget:  retry.Budget{Ratio: pattern.RetryRatio, Burst: pattern.RetryBurst},
 	}
 	r.addWorkers(pattern.Backends.Count)
-	r.forget()
-	r.recheck()
+	r.replaceDispatcher()
+	r.scheduleRecheck()
 	for number, class := range pattern.Classes {
-		// Arrivals and work have randomness of their own, so that they are the same
-		// whatever is decided.
-		r.arrivals(class, rand.New(rand.NewPCG(seed, uint64(10+number))))
+		// Each class has its own random source, so that arrivals and service times do
+		// not depend on the decisions.
+		r.scheduleArrival(class, rand.New(rand.NewPCG(seed, uint64(10+number))))
 	}
-	for _, trouble := range pattern.Events {
-		r.trouble(trouble)
+	for _, event := range pattern.Events {
+		r.scheduleEvent(event)
 	}
-	// What was asked last is followed to its end.
-	r.run(time.Duration(pattern.Duration))
-	r.burst = 0
-	r.run(2 * time.Duration(pattern.Duration))
-	r.outcome.seen(r.workers)
+	// Arrivals end with the pattern; the requests sent by then run to their end.
+	r.runUntil(time.Duration(pattern.Duration))
+	r.rateFactor = 0
+	r.runUntil(2 * time.Duration(pattern.Duration))
+	r.outcome.recordWorkers(r.workers)
 	return r.outcome
 }
 
 func (r *replay) addWorkers(count int) []*worker {
-	declared := r.pattern.Backends
+	options := r.pattern.Backends
 	var added []*worker
 	for range count {
 		number := len(r.workers)
-		one := newWorker(&r.clock, rand.New(rand.NewPCG(r.random.Uint64(), uint64(number))), fmt.Sprintf("w%04d", number), 0, declared.Slots)
-		one.knee, one.kneeFactor, one.limit = declared.Knee, declared.KneeFactor, declared.Queue
-		one.disturb(Noise{Slowdown: declared.Slowdown, Noisy: time.Duration(declared.Noisy), Quiet: time.Duration(declared.Quiet)})
-		r.workers, r.byID[one.id] = append(r.workers, one), one
-		added = append(added, one)
+		backend := newWorker(&r.clock, rand.New(rand.NewPCG(r.random.Uint64(), uint64(number))), fmt.Sprintf("w%04d", number), 0, options.Slots)
+		backend.knee, backend.kneeFactor, backend.queueLimit = options.Knee, options.KneeFactor, options.Queue
+		backend.startNoise(Noise{Slowdown: options.Slowdown, Noisy: time.Duration(options.Noisy), Quiet: time.Duration(options.Quiet)})
+		r.workers, r.byID[backend.id] = append(r.workers, backend), backend
+		added = append(added, backend)
 	}
 	return added
 }
 
-// forget starts a dispatcher that knows the back ends' names only.
-func (r *replay) forget() {
+// replaceDispatcher starts a dispatcher without any state of the back ends. Daemons
+// send it the requests that wait.
+func (r *replay) replaceDispatcher() {
 	group := routing.NewGroup(routing.Options{
 		Picker: routing.LeastLoad{}, Random: rand.New(rand.NewPCG(r.random.Uint64(), 2)), Overcommit: routing.DefaultOvercommit, SlowStart: true,
 	})
-	r.core = dispatch.Core{Group: group, Queue: admission.NewQueue(replayQueue)}
-	r.configure()
+	r.core = dispatch.Core{Group: group, Queue: admission.NewQueue(replayQueueLimit)}
+	r.updateBackends()
 	queued := r.queued
 	r.queued = nil
-	for _, one := range queued {
-		if one.ticket != nil {
-			one.ticket = nil
-			r.offer(one) // its daemon asks again
+	for _, t := range queued {
+		if t.ticket != nil {
+			t.ticket = nil
+			r.offer(t)
 		}
 	}
 }
 
-// configure tells the dispatcher which back ends there are.
-func (r *replay) configure() {
+// updateBackends sets the back ends of the dispatcher.
+func (r *replay) updateBackends() {
 	backends := make([]routing.Backend, 0, len(r.workers))
-	for _, one := range r.workers {
+	for _, backend := range r.workers {
 		backends = append(backends, routing.Backend{
-			ID: one.id, Slots: one.slots, Window: one.slots, Warm: r.clock.now >= one.coldUntil,
+			ID: backend.id, Slots: backend.slots, Window: backend.slots, Warm: r.clock.now >= backend.coldUntil,
 			WarmUp: routing.WarmUp{Duration: time.Duration(r.pattern.Backends.WarmUp), PerSecond: r.pattern.Backends.ColdRate},
 		})
 	}
 	r.core.Group.SetBackends(r.time(), backends)
 }
 
-func (r *replay) arrivals(class PatternClass, random *rand.Rand) {
-	gap := time.Duration(random.ExpFloat64() / class.PerSecond / max(r.burst, 1) * float64(time.Second))
+func (r *replay) scheduleArrival(class PatternClass, random *rand.Rand) {
+	gap := time.Duration(random.ExpFloat64() / class.PerSecond / max(r.rateFactor, 1) * float64(time.Second))
 	r.after(gap, func() {
-		if r.burst == 0 {
-			return // the pattern is over
+		if r.rateFactor == 0 {
+			return // the pattern has ended
 		}
-		asking := &caller{class: class, begun: r.time(), deadline: r.time().Add(time.Duration(class.Deadline)), retries: class.CallerRetries, work: class.draw(random)}
-		r.outcome.of(class).Requests++
-		r.ask(asking)
-		r.arrivals(class, random)
+		sender := &caller{class: class, startedAt: r.time(), deadline: r.time().Add(time.Duration(class.Deadline)), retriesLeft: class.CallerRetries, work: class.drawWork(random)}
+		r.outcome.forClass(class).Requests++
+		r.sendTry(sender)
+		r.scheduleArrival(class, random)
 	})
 }
 
-// ask sends a try of a caller to its daemon, and from there to the dispatcher.
-func (r *replay) ask(asking *caller) {
-	r.after(2*r.pattern.wire(), func() {
+// sendTry sends a try from a caller to its daemon and from there to the dispatcher.
+func (r *replay) sendTry(sender *caller) {
+	r.after(2*r.pattern.messageDelay(), func() {
 		r.budget.Earn()
-		r.offer(&try{caller: asking, came: r.time()})
+		r.offer(&try{caller: sender, arrivedAt: r.time()})
 	})
 }
 
-func (p Pattern) wire() time.Duration {
+func (p Pattern) messageDelay() time.Duration {
 	return time.Duration(p.MessageDelay)
 }
 
-func (r *replay) request(one *try, spare bool) dispatch.Request {
+func (r *replay) dispatchRequest(t *try, noWait bool) dispatch.Request {
 	return dispatch.Request{
-		Weight: one.class.Weight, Deadline: one.deadline, FirstTry: one.begun, Class: one.class.Name,
-		Objective: time.Duration(one.class.Objective), NoWait: spare,
-		Routing: routing.Request{Tried: slices.Clone(one.tried), Repeatable: one.class.Repeatable},
+		Weight: t.class.Weight, Deadline: t.deadline, FirstTry: t.startedAt, Class: t.class.Name,
+		Objective: time.Duration(t.class.Objective), NoWait: noWait,
+		Routing: routing.Request{Tried: slices.Clone(t.tried), Repeatable: t.class.Repeatable},
 	}
 }
 
-// offer asks the dispatcher for a place.
-func (r *replay) offer(one *try) {
-	request := r.request(one, false)
-	decision := r.core.Offer(r.time(), request, one)
+// offer asks the dispatcher for a permit.
+func (r *replay) offer(t *try) {
+	request := r.dispatchRequest(t, false)
+	decision := r.core.Offer(r.time(), request, t)
 	if decision.Displaced != nil {
 		r.refuse(decision.Displaced.(*try))
 	}
 	switch {
 	case decision.Permit != nil:
-		r.send(one, decision.Permit)
+		r.send(t, decision.Permit)
 	case decision.Ticket == nil:
-		r.refuse(one)
+		r.refuse(t)
 	default:
-		one.ticket = decision.Ticket
-		r.queued = append(r.queued, one)
+		t.ticket = decision.Ticket
+		r.queued = append(r.queued, t)
 		r.after(decision.Ticket.Expiry.Sub(r.time()), func() {
-			if one.ticket == decision.Ticket && r.core.Queue.Remove(decision.Ticket) {
-				r.refuse(one)
+			if t.ticket == decision.Ticket && r.core.Queue.Remove(decision.Ticket) {
+				r.refuse(t)
 			}
 		})
 	}
 }
 
-// recheck looks again for places that time has brought and for requests without hope.
-func (r *replay) recheck() {
-	r.after(replayRecheck, func() {
-		r.serve()
-		for _, one := range r.core.Shed(r.time()) {
-			r.refuse(one.Payload.(*try))
+// scheduleRecheck periodically sends waiting requests for which there are permits by now,
+// and refuses those that can no longer be served in time.
+func (r *replay) scheduleRecheck() {
+	r.after(replayRecheckInterval, func() {
+		r.serveWaiting()
+		for _, ticket := range r.core.Shed(r.time()) {
+			r.refuse(ticket.Payload.(*try))
 		}
-		r.recheck()
+		r.scheduleRecheck()
 	})
 }
 
-// serve gives places to the requests that wait.
-func (r *replay) serve() {
+// serveWaiting sends the waiting requests for which there are permits.
+func (r *replay) serveWaiting() {
 	for {
-		place, payload := r.core.Next(r.time())
-		if place == nil {
+		permit, payload := r.core.Next(r.time())
+		if permit == nil {
 			return
 		}
-		waited := payload.(*try)
-		waited.ticket = nil
-		r.send(waited, place)
+		t := payload.(*try)
+		t.ticket = nil
+		r.send(t, permit)
 	}
 }
 
-// refuse tells a caller that it gets no place, and lets it come back.
-func (r *replay) refuse(one *try) {
-	r.refuseFor(one, r.core.Refusal(r.time(), r.request(one, false), resultcode.DeadlineTooShort).RetryAfter)
+// refuse refuses a try with the Retry-After that the dispatcher gives.
+func (r *replay) refuse(t *try) {
+	r.refuseWithRetryAfter(t, r.core.Refusal(r.time(), r.dispatchRequest(t, false), resultcode.DeadlineTooShort).RetryAfter)
 }
 
-// refuseFor tells a caller to come back after a time.
-func (r *replay) refuseFor(one *try, advice time.Duration) {
-	if one.over {
+// refuseWithRetryAfter refuses a try with the given Retry-After.
+func (r *replay) refuseWithRetryAfter(t *try, retryAfter time.Duration) {
+	if t.finished {
 		return
 	}
-	one.over, one.ticket = true, nil
-	r.outcome.refused(one, r.time().Sub(one.came))
-	one.refused++
-	r.after(2*r.pattern.wire(), func() { r.comeBack(one.caller, advice) })
+	t.finished, t.ticket = true, nil
+	r.outcome.recordRefusal(t, r.time().Sub(t.arrivedAt))
+	t.refusals++
+	r.after(2*r.pattern.messageDelay(), func() { r.scheduleCallerRetry(t.caller, retryAfter) })
 }
 
-// comeBack lets a caller try again, as it was told.
-func (r *replay) comeBack(asking *caller, advice time.Duration) {
-	left := asking.deadline.Sub(r.time())
-	if asking.retries == 0 || left <= 0 {
-		r.outcome.gaveUp(asking)
+// scheduleCallerRetry makes a caller retry after Retry-After, or give up.
+func (r *replay) scheduleCallerRetry(sender *caller, retryAfter time.Duration) {
+	remaining := sender.deadline.Sub(r.time())
+	if sender.retriesLeft == 0 || remaining <= 0 {
+		r.outcome.recordGiveUp(sender)
 		return
 	}
-	asking.retries--
-	if r.random.Float64() < asking.class.ImmediateRetryShare {
-		advice = 0
+	sender.retriesLeft--
+	if r.random.Float64() < sender.class.ImmediateRetryShare {
+		retryAfter = 0
 	}
-	r.after(min(advice, time.Duration(patientShare*float64(left))), func() { r.ask(asking) })
+	r.after(min(retryAfter, time.Duration(maxRetryDelayShare*float64(remaining))), func() { r.sendTry(sender) })
 }
--- a/lab/simulation/replay_test.go
+++ b/lab/simulation/replay_test.go
@@ -11,31 +11,30 @@
 	"github.com/tuliphall/tuliphall/lab/simulation"
 )
 
-// replaySeeds is how often each pattern is played, with other arrivals each time.
+// replaySeeds is the number of seeds with which each pattern is replayed.
 const replaySeeds = 3
 
-// play plays a pattern and returns what the callers got in all plays.
-func play(t *testing.T, name string) *simulation.Outcome {
+// replayAll replays a pattern with all seeds and returns the sum of the results.
+func replayAll(t *testing.T, name string) *simulation.Outcome {
 	t.Helper()
 	pattern, err := simulation.LoadPattern(filepath.Join("patterns", name+".toml"))
 	require.NoError(t, err)
-	sum := simulation.Replay(pattern, 1)
+	total := simulation.Replay(pattern, 1)
 	for seed := uint64(2); seed <= replaySeeds; seed++ {
-		sum.Merge(simulation.Replay(pattern, seed))
+		total.Merge(simulation.Replay(pattern, seed))
 	}
-	return sum
+	return total
 }
 
-// floors are what the callers of each class get at the least in a pattern. Where more is
-// asked than can be served, a change that decides nothing else moves the shares by 0.01:
-// the floors leave that much.
-type floors struct {
-	inTime map[string]float64 // share of the callers, by class
-	gaveUp float64            // at most, of all callers
+// bounds are the limits for the results of a pattern. Under overload, shares vary by 0.01
+// even after changes that do not affect decisions, which the limits allow for.
+type bounds struct {
+	minInTime map[string]float64 // share of the requests, by class
+	maxGaveUp float64            // share of all requests
 }
 
-// patterns are all load patterns with what their callers get.
-var patterns = map[string]floors{
+// patterns are all load patterns with their limits.
+var patterns = map[string]bounds{
 	"burst":     {map[string]float64{"read": 0.835}, 0.15},
 	"cold":      {map[string]float64{"read": 0.88}, 0.1},
 	"evacuated": {map[string]float64{"read": 0.84}, 0.14},
@@ -50,37 +49,36 @@
 	"urgent":    {map[string]float64{"read": 0.74, "write": 0.98}, 0.18},
 }
 
-// TestPatterns plays each load pattern, and says what the callers of each class got.
+// TestPatterns guards against a change of the decisions that serves fewer callers in time:
+// it replays each load pattern, checks its limits and logs the results of each class.
 func TestPatterns(t *testing.T) {
 	for name, want := range patterns {
 		t.Run(name, func(t *testing.T) {
-			outcome := play(t, name)
+			outcome := replayAll(t, name)
 			for class, got := range outcome.Classes {
 				t.Logf("%s: asked %d, in time %.3f, late %.3f, gave up %.3f; refused %.3f, twice %.3f, held %s, %s at p99; hedges %.3f; p99 %s",
 					class, got.Requests, got.Share(got.InTime), got.Share(got.Late), got.Share(got.GaveUp),
 					got.Share(got.Refused), got.Share(got.RefusedRepeatedly), got.RefusalDelayAt(50), got.RefusalDelayAt(99), got.Share(got.Hedges), got.LatencyAt(99))
-				require.GreaterOrEqual(t, got.Share(got.InTime), want.inTime[class], class)
+				require.GreaterOrEqual(t, got.Share(got.InTime), want.minInTime[class], class)
 			}
-			all := outcome.Total()
-			require.LessOrEqual(t, all.Share(all.GaveUp), want.gaveUp)
+			total := outcome.Total()
+			require.LessOrEqual(t, total.Share(total.GaveUp), want.maxGaveUp)
 		})
 	}
 }
 
-// TestColdAndEvacuatedAreSpared plays the patterns in which back ends are cold or evacuated:
-// none falls over, none gets more than comes evenly spaced, and none that is evacuated gets
-// anything.
+// TestColdAndEvacuatedAreSpared checks that no cold back end fails or gets more requests than
+// evenly spaced ones at its rate, and that no evacuated one gets any.
 func TestColdAndEvacuatedAreSpared(t *testing.T) {
 	for _, name := range []string{"cold", "evacuated"} {
-		outcome := play(t, name)
+		outcome := replayAll(t, name)
 		require.Zero(t, outcome.ColdFailures, name)
 		require.Zero(t, outcome.EvacuatedArrivals, name)
-		require.Equal(t, 3, outcome.PeakColdArrivals, "%s: 2.5 a second, evenly spaced", name)
+		require.Equal(t, 3, outcome.PeakColdArrivals, "%s: 2.5 requests per second, evenly spaced", name)
 	}
 }
 
-// TestEveryPatternIsPlayed keeps a file from being forgotten, and from not saying what it is
-// for.
+// TestEveryPatternIsPlayed checks that each pattern file has limits and a description.
 func TestEveryPatternIsPlayed(t *testing.T) {
 	paths, err := filepath.Glob("patterns/*.toml")
 	require.NoError(t, err)
@@ -93,7 +91,7 @@
 	}
 }
 
-// TestSameSeedSameReplay keeps the replays repeatable.
+// TestSameSeedSameReplay checks that replays are deterministic.
 func TestSameSeedSameReplay(t *testing.T) {
 	pattern, err := simulation.LoadPattern("patterns/slow.toml")
 	require.NoError(t, err)
@@ -102,20 +100,20 @@
 	require.Equal(t, first.Refused, second.Refused)
 }
 
-// TestRefusedAtOnce offers five times what the back ends can do: who gets no place is told
-// at once, and the back ends serve as many in time as at their capacity.
+// TestRefusedAtOnce offers five times the capacity: requests that get no permit must be
+// refused without delay, and as many must be answered in time as at capacity.
 func TestRefusedAtOnce(t *testing.T) {
-	overload, capacity := play(t, "overload").Total(), play(t, "capacity").Total()
+	overload, capacity := replayAll(t, "overload").Total(), replayAll(t, "capacity").Total()
 	require.LessOrEqual(t, overload.RefusalDelayAt(50), 5*time.Millisecond)
-	require.LessOrEqual(t, overload.RefusalDelayAt(99), 95*time.Millisecond, "in the first second the traffic is not known yet")
+	require.LessOrEqual(t, overload.RefusalDelayAt(99), 95*time.Millisecond, "the arrival rate is not known during the first second")
 	require.GreaterOrEqual(t, float64(overload.InTime), 0.9*float64(capacity.InTime))
 }
 
-// TestUrgentIsServedFirst lets two kinds share back ends in a burst: the more urgent one
-// gets at least as much of what it asks for.
+// TestUrgentIsServedFirst checks that, when two classes share back ends in a burst, the one
+// with the higher weight gets at least as large a share of its requests answered.
 func TestUrgentIsServedFirst(t *testing.T) {
-	got := play(t, "urgent").Classes
-	write, read := got["write"], got["read"]
+	classes := replayAll(t, "urgent").Classes
+	write, read := classes["write"], classes["read"]
 	require.GreaterOrEqual(t, write.Share(write.InTime), read.Share(read.InTime))
 	require.GreaterOrEqual(t, write.Share(write.InTime+write.Late), read.Share(read.InTime+read.Late))
 }
--- a/lab/simulation/scenario.go
+++ b/lab/simulation/scenario.go
@@ -8,14 +8,14 @@
 	"github.com/tuliphall/tuliphall/routing"
 )
 
-// Noise says how a neighbour disturbs a back end.
+// Noise describes how a noisy neighbour slows a back end down.
 type Noise struct {
-	Slowdown float64       `toml:"slowdown" json:"slowdown"` // factor on work during a spell
-	Noisy    time.Duration `toml:"noisy" json:"noisy_ns"`    // mean length of a spell
-	Quiet    time.Duration `toml:"quiet" json:"quiet_ns"`    // mean time between spells
+	Slowdown float64       `toml:"slowdown" json:"slowdown"` // factor on the service time during a noisy period
+	Noisy    time.Duration `toml:"noisy" json:"noisy_ns"`    // mean duration of a noisy period
+	Quiet    time.Duration `toml:"quiet" json:"quiet_ns"`    // mean time between noisy periods
 }
 
-// MeanSpeed returns the share of full speed that is left on average.
+// MeanSpeed returns the mean speed under the noise, as a share of full speed.
 func (n Noise) MeanSpeed() float64 {
 	if n.Slowdown <= 1 {
 		return 1
@@ -32,16 +32,16 @@
 	Deadline time.Duration // 0: 10 s
 }
 
-// FaultKind is a way in which a back end fails.
+// FaultKind is the kind of a fault.
 type FaultKind string
 
-// The faults.
+// The kinds of faults.
 const (
-	FaultReject FaultKind = "reject" // answers everything at once with a refusal
-	FaultSlow   FaultKind = "slow"   // works Factor times as slowly
+	FaultReject FaultKind = "reject" // rejects every request immediately
+	FaultSlow   FaultKind = "slow"   // serves requests Factor times as slowly
 )
 
-// Fault makes one back end fail for a time.
+// Fault is a fault of one back end.
 type Fault struct {
 	Kind   FaultKind
 	Worker int
@@ -50,62 +50,65 @@
 	Factor float64
 }
 
-// Scenario is what is simulated.
+// Scenario is the deployment and load that are simulated.
 type Scenario struct {
 	Name           string
 	Zones          int
 	Daemons        int
 	Workers        int
 	Slots          int
-	Work           time.Duration // mean work of a request at full speed
+	Work           time.Duration // mean service time at full speed
 	Noise          Noise
 	SameZoneDelay  time.Duration
 	CrossZoneDelay time.Duration
 	HopCost        time.Duration
-	Load           float64 // offered, as a share of capacity under noise
+	Load           float64 // offered load, as a share of the capacity under noise
 	Duration       time.Duration
-	WarmUp         time.Duration // not counted
+	WarmUp         time.Duration // excluded from the results
 	Classes        []Class
 	Faults         []Fault
-	Queue          int // bound of a queue; 0: 100,000
+	Queue          int // limit of each queue; 0: 100,000
 	Seed           uint64
 	// Timeline, if above 0, is the length of the intervals of Result.Intervals.
 	Timeline time.Duration
 }
 
-// System is how requests are balanced.
+// System is a way of balancing requests.
 type System struct {
 	Name string
-	// Picker makes the picker of one deciding daemon.
+	// Picker returns a new picker for one decider.
 	Picker func(oracle Oracle) routing.Picker
 	// Overcommit is routing.Options.Overcommit.
 	Overcommit func(slots int) int
-	// Dispatchers is how many daemons decide, the others forward to one in
-	// their zone or the first; 0: every daemon decides for itself.
+	// Dispatchers is the number of dispatchers; 0: every daemon decides for
+	// itself. Daemon i uses dispatcher i modulo this number. If there is one per
+	// zone, that is the dispatcher in the daemon's zone.
 	Dispatchers int
-	// Permits lets the others ask the dispatcher for a place only, and send the
-	// request themselves.
+	// Permits makes daemons get a permit from the dispatcher and send the request
+	// to the back end themselves. Otherwise they forward the request.
 	Permits bool
-	// ExchangeInterval is how often deciding daemons tell each other their requests in
+	// ExchangeInterval is how often deciders send each other their requests in
 	// flight; 0: never.
 	ExchangeInterval time.Duration
-	// LoadReports lets back ends tell their load on answers.
+	// LoadReports makes back ends report their load with each response.
 	LoadReports bool
-	// CentralQueue is the limit of one queue over all slots, without any decision.
+	// CentralQueue replaces the pickers by one queue for all slots, which is the
+	// theoretical limit.
 	CentralQueue bool
 }
 
-// Oracle knows every back end's requests now, those on the wire included.
+// Oracle returns the current number of requests at a back end, those on their way to
+// it included.
 type Oracle func(backend string) int
 
-// Interval sums up one interval of the timeline.
+// Interval holds the results of one interval of the timeline.
 type Interval struct {
 	From    time.Duration
 	Latency *hdrhistogram.Histogram
 	Sent    []int // attempts by back end
 }
 
-// Result is what came of a run.
+// Result holds the results of a run.
 type Result struct {
 	Latency          *hdrhistogram.Histogram
 	Classes          map[string]*hdrhistogram.Histogram
@@ -130,7 +133,7 @@
 	return time.Duration(r.Latency.ValueAtQuantile(q)) * time.Microsecond
 }
 
-// Goodput returns the requests answered in time, a second.
+// Goodput returns the requests answered before their deadline, per second.
 func (r *Result) Goodput() float64 {
 	return float64(r.InTime) / r.MeasuredDuration.Seconds()
 }
--- a/lab/simulation/simulation.go
+++ b/lab/simulation/simulation.go
@@ -13,58 +13,60 @@
 )
 
 const (
-	highest = int64(5 * time.Minute / time.Microsecond)
-	digits  = 3
+	maxLatencyMicros  = int64(5 * time.Minute / time.Microsecond)
+	significantDigits = 3
 )
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, highest, digits)
+	return hdrhistogram.New(1, maxLatencyMicros, significantDigits)
 }
 
-// node is a daemon that decides.
-type node struct {
+// decider is a daemon that picks back ends, either for all daemons as a
+// dispatcher or for itself.
+type decider struct {
 	core   dispatch.Core
 	zone   int
 	budget retry.Budget
-	// told holds what other nodes said they have in flight, by node and worker.
-	told [][]int
+	// peerInFlight holds the requests in flight that the deciders last reported, by
+	// decider and back end.
+	peerInFlight [][]int
 }
 
-// simulation is one run.
+// simulation is the state of one run.
 type simulation struct {
 	clock
-	scenario Scenario
-	system   System
-	random   *rand.Rand
-	workers  []*worker
-	byID     map[string]*worker
-	nodes    []*node
-	central  []*request
-	result   *Result
+	scenario     Scenario
+	system       System
+	random       *rand.Rand
+	workers      []*worker
+	byID         map[string]*worker
+	deciders     []*decider
+	centralQueue []*request
+	result       *Result
 }
 
-// request is one caller's request.
+// request is one request of a caller.
 type request struct {
-	class    Class
-	zone     int
-	begun    time.Duration
-	deadline time.Time
-	work     time.Duration
-	tried    []string
-	attempts int
-	ran      bool
-	node     *node
+	class     Class
+	zone      int
+	arrivedAt time.Duration
+	deadline  time.Time
+	work      time.Duration
+	tried     []string
+	attempts  int
+	executed  bool
+	decider   *decider
 }
 
 // Run simulates the scenario under the system.
 func Run(scenario Scenario, system System) *Result {
 	s := newSimulation(scenario, system)
-	s.arrivals()
-	s.faults()
+	s.scheduleArrival()
+	s.scheduleFaults()
 	if system.ExchangeInterval > 0 {
-		s.exchange()
+		s.scheduleExchange()
 	}
-	s.run(scenario.Duration)
+	s.runUntil(scenario.Duration)
 	return s.result
 }
 
@@ -85,19 +87,19 @@
 	slots := float64(scenario.Workers * scenario.Slots)
 	s.result.Capacity = slots / scenario.Work.Seconds() * scenario.Noise.MeanSpeed()
 	s.makeWorkers()
-	s.makeNodes()
+	s.makeDeciders()
 	return s
 }
 
 func (s *simulation) makeWorkers() {
 	for number := range s.scenario.Workers {
-		// Neighbours have randomness of their own, so that every system meets
-		// the same spells.
+		// Each noisy neighbour has its own random source, so that every system
+		// sees the same noise.
 		random := rand.New(rand.NewPCG(s.scenario.Seed, uint64(100+number)))
-		one := newWorker(&s.clock, random, workerID(number), number%s.scenario.Zones, s.scenario.Slots)
-		one.disturb(s.scenario.Noise)
-		s.workers = append(s.workers, one)
-		s.byID[one.id] = one
+		backend := newWorker(&s.clock, random, workerID(number), number%s.scenario.Zones, s.scenario.Slots)
+		backend.startNoise(s.scenario.Noise)
+		s.workers = append(s.workers, backend)
+		s.byID[backend.id] = backend
 	}
 }
 
@@ -105,33 +107,34 @@
 	return "w" + string(rune('0'+number/100)) + string(rune('0'+number/10%10)) + string(rune('0'+number%10))
 }
 
-func (s *simulation) makeNodes() {
+func (s *simulation) makeDeciders() {
 	count := s.system.Dispatchers
 	if count == 0 {
 		count = s.scenario.Daemons
 	}
 	var backends []routing.Backend
-	for _, one := range s.workers {
-		backends = append(backends, routing.Backend{ID: one.id, Slots: one.slots})
+	for _, backend := range s.workers {
+		backends = append(backends, routing.Backend{ID: backend.id, Slots: backend.slots})
 	}
 	for number := range count {
 		random := rand.New(rand.NewPCG(s.scenario.Seed, uint64(1000+number)))
-		group := routing.NewGroup(routing.Options{Picker: s.system.Picker(s.oracle), Random: random, Overcommit: s.system.Overcommit})
+		group := routing.NewGroup(routing.Options{Picker: s.system.Picker(s.requestsAssigned), Random: random, Overcommit: s.system.Overcommit})
 		group.SetBackends(epoch, backends)
-		one := &node{zone: number % s.scenario.Zones, core: dispatch.Core{Group: group, Queue: admission.NewQueue(s.scenario.Queue)}}
+		added := &decider{zone: number % s.scenario.Zones, core: dispatch.Core{Group: group, Queue: admission.NewQueue(s.scenario.Queue)}}
 		for range count {
-			one.told = append(one.told, make([]int, len(s.workers)))
+			added.peerInFlight = append(added.peerInFlight, make([]int, len(s.workers)))
 		}
-		s.nodes = append(s.nodes, one)
+		s.deciders = append(s.deciders, added)
 	}
 }
 
-func (s *simulation) oracle(backend string) int {
+// requestsAssigned is the Oracle of a run.
+func (s *simulation) requestsAssigned(backend string) int {
 	return s.byID[backend].assigned
 }
 
-// wire returns how long a message takes between two zones.
-func (s *simulation) wire(from, to int) time.Duration {
+// messageDelay returns the one-way delay of a message between two zones.
+func (s *simulation) messageDelay(from, to int) time.Duration {
 	if from == to {
 		return s.scenario.SameZoneDelay
 	}
--- a/lab/simulation/simulation_test.go
+++ b/lab/simulation/simulation_test.go
@@ -11,7 +11,7 @@
 	"github.com/tuliphall/tuliphall/routing"
 )
 
-// product is how the daemons balance.
+// product is the system that the daemons implement.
 func product() simulation.System {
 	return simulation.System{
 		Name: "tuliphall", Picker: func(simulation.Oracle) routing.Picker { return routing.LeastLoad{} },
@@ -19,7 +19,7 @@
 	}
 }
 
-// priceQuery is Kingston's price query service without noise.
+// priceQuery is the price query service of the Kingston deployment, without noise.
 func priceQuery(load float64, duration time.Duration) simulation.Scenario {
 	return simulation.Scenario{
 		Zones: 4, Daemons: 16, Workers: 10, Slots: 3, Work: 5 * time.Millisecond,
@@ -28,7 +28,7 @@
 	}
 }
 
-// TestSameSeedSameResult keeps the simulator repeatable.
+// TestSameSeedSameResult checks that the simulator is deterministic.
 func TestSameSeedSameResult(t *testing.T) {
 	scenario := priceQuery(0.85, 3*time.Second)
 	scenario.Noise = simulation.Noise{Slowdown: 3, Noisy: 50 * time.Millisecond, Quiet: 450 * time.Millisecond}
@@ -38,7 +38,7 @@
 	require.Equal(t, first.Attempts, second.Attempts)
 }
 
-// shareOf returns a worker's share of the attempts in an interval.
+// shareOf returns a back end's share of the attempts in an interval.
 func shareOf(interval simulation.Interval, worker int) float64 {
 	total := 0
 	for _, sent := range interval.Sent {
@@ -47,7 +47,8 @@
 	return float64(interval.Sent[worker]) / float64(total)
 }
 
-// TestRejectingServer lets one of ten refuse everything from second 3 to 8.
+// TestRejectingServer has one of ten back ends reject every request from second 3 to 8: it
+// must get few requests meanwhile, and its share again afterwards.
 func TestRejectingServer(t *testing.T) {
 	scenario := priceQuery(0.7, 20*time.Second)
 	scenario.Faults = []simulation.Fault{{Kind: simulation.FaultReject, Worker: 4, From: 3 * time.Second, Until: 8 * time.Second}}
@@ -57,22 +58,22 @@
 		case interval.From >= 4*time.Second && interval.From < 8*time.Second:
 			require.Less(t, shareOf(interval, 4), 0.01, "at %s", interval.From)
 		case interval.From >= 18*time.Second && interval.From < 19*time.Second:
-			require.Greater(t, shareOf(interval, 4), 0.05, "not back at %s", interval.From)
+			require.Greater(t, shareOf(interval, 4), 0.05, "no requests again at %s", interval.From)
 		}
 	}
 	require.Zero(t, result.RefusedAfterRun)
 	require.Less(t, float64(result.Failed), 0.001*float64(result.Offered))
 }
 
-// TestSlowServer slows one of ten down tenfold from second 3 to 10. The p99 of half a
-// second is that of the five slowest of 700 requests, and differs by half from one half
-// second to the next; that of the whole time, for ten seeds, is held to less.
+// TestSlowServer slows one of ten back ends down tenfold from second 3 to 10 and limits
+// the effect on p99. The p99 of half a second depends on the five slowest of 700 requests
+// and varies by half between intervals, so the test takes the whole time, for ten seeds.
 func TestSlowServer(t *testing.T) {
 	for seed := uint64(1); seed <= 10; seed++ {
-		calm := priceQuery(0.7, 10*time.Second)
-		calm.Seed = seed
-		undisturbed := simulation.Run(calm, product())
-		scenario := calm
+		baseline := priceQuery(0.7, 10*time.Second)
+		baseline.Seed = seed
+		expected := simulation.Run(baseline, product())
+		scenario := baseline
 		scenario.Faults = []simulation.Fault{{Kind: simulation.FaultSlow, Worker: 4, From: 3 * time.Second, Until: 10 * time.Second, Factor: 10}}
 		result := simulation.Run(scenario, product())
 		slowed := hdrhistogram.New(1, time.Minute.Microseconds(), 3)
@@ -82,12 +83,13 @@
 			}
 		}
 		p99 := time.Duration(slowed.ValueAtQuantile(99)) * time.Microsecond
-		t.Logf("seed %d: %.3f", seed, float64(p99)/float64(undisturbed.Quantile(99)))
-		require.Less(t, float64(p99), 1.25*float64(undisturbed.Quantile(99)), "seed %d: %s against %s", seed, p99, undisturbed.Quantile(99))
+		t.Logf("seed %d: %.3f", seed, float64(p99)/float64(expected.Quantile(99)))
+		require.Less(t, float64(p99), 1.25*float64(expected.Quantile(99)), "seed %d: %s against %s", seed, p99, expected.Quantile(99))
 	}
 }
 
-// overloadClasses are a heavy class of a tenth of the requests, and the rest.
+// overloadClasses are a class of high weight with a tenth of the requests, and a class of
+// low weight.
 func overloadClasses() []simulation.Class {
 	return []simulation.Class{
 		{Name: "high", Share: 0.1, Weight: 100, Deadline: time.Second},
@@ -95,11 +97,12 @@
 	}
 }
 
-// TestOverload offers two and five times the capacity.
+// TestOverload offers two and five times the capacity: goodput must stay near capacity,
+// and the p99 of the class of high weight within twice that at low load.
 func TestOverload(t *testing.T) {
-	calm := priceQuery(0.5, 5*time.Second)
-	calm.Classes = overloadClasses()
-	unloaded := simulation.Run(calm, product()).Classes["high"].ValueAtQuantile(99)
+	baseline := priceQuery(0.5, 5*time.Second)
+	baseline.Classes = overloadClasses()
+	unloaded := simulation.Run(baseline, product()).Classes["high"].ValueAtQuantile(99)
 	for _, load := range []float64{2, 5} {
 		scenario := priceQuery(load, 8*time.Second)
 		scenario.Classes = overloadClasses()
--- a/lab/simulation/trouble.go
+++ b/lab/simulation/trouble.go
@@ -2,76 +2,76 @@
 
 import "time"
 
-// trouble schedules what happens in a pattern.
-func (r *replay) trouble(trouble PatternEvent) {
-	r.after(time.Duration(trouble.At), func() {
-		struck := r.workers[:int(trouble.Share*float64(len(r.workers)))]
-		switch trouble.Kind {
-		case troubleBurst:
-			r.burst = trouble.Factor
-			r.after(time.Duration(trouble.Duration), func() { r.burst = 1 })
-		case troubleForget:
-			r.forget()
-		case troubleJoin:
-			joined := r.addWorkers(int(trouble.Share * float64(len(r.workers))))
-			r.cool(joined)
-			r.configure()
-			r.slow(joined, trouble)
-		case troubleEvacuate:
-			r.evacuate(struck, trouble)
-		case troubleSlow:
-			r.slow(struck, trouble)
-		case troubleShed:
-			r.strike(struck, trouble, func(one *worker, begins bool) {
-				one.sheds = 0
-				if begins {
-					one.sheds = trouble.Factor
+// scheduleEvent schedules an event of the pattern.
+func (r *replay) scheduleEvent(event PatternEvent) {
+	r.after(time.Duration(event.At), func() {
+		affected := r.workers[:int(event.Share*float64(len(r.workers)))]
+		switch event.Kind {
+		case eventBurst:
+			r.rateFactor = event.Factor
+			r.after(time.Duration(event.Duration), func() { r.rateFactor = 1 })
+		case eventForget:
+			r.replaceDispatcher()
+		case eventJoin:
+			joined := r.addWorkers(int(event.Share * float64(len(r.workers))))
+			r.makeCold(joined)
+			r.updateBackends()
+			r.slowDown(joined, event)
+		case eventEvacuate:
+			r.evacuate(affected, event)
+		case eventSlow:
+			r.slowDown(affected, event)
+		case eventShed:
+			r.applyFor(affected, event, func(target *worker, active bool) {
+				target.rejectShare = 0
+				if active {
+					target.rejectShare = event.Factor
 				}
 			})
-		case troubleGone:
-			r.strike(struck, trouble, func(one *worker, begins bool) { one.gone = begins })
+		case eventGone:
+			r.applyFor(affected, event, func(target *worker, active bool) { target.unavailable = active })
 		}
-		r.serve()
+		r.serveWaiting()
 	})
 }
 
-// evacuate empties back ends for a while; then they are cold.
-func (r *replay) evacuate(struck []*worker, trouble PatternEvent) {
-	r.strike(struck, trouble, func(one *worker, begins bool) {
-		r.core.Group.SetDraining(r.time(), one.id, begins)
-		one.emptied = 0
-		if begins {
-			one.emptied = r.clock.now
+// evacuate drains back ends for the duration of the event; afterwards they are cold.
+func (r *replay) evacuate(affected []*worker, event PatternEvent) {
+	r.applyFor(affected, event, func(target *worker, active bool) {
+		r.core.Group.SetDraining(r.time(), target.id, active)
+		target.evacuatedAt = 0
+		if active {
+			target.evacuatedAt = r.clock.now
 		}
 	})
 	warmUp := r.pattern.Backends.WarmUp
-	r.after(time.Duration(trouble.Duration), func() {
-		r.cool(struck)
-		r.slow(struck, PatternEvent{Duration: warmUp, Factor: trouble.Factor})
+	r.after(time.Duration(event.Duration), func() {
+		r.makeCold(affected)
+		r.slowDown(affected, PatternEvent{Duration: warmUp, Factor: event.Factor})
 	})
 }
 
-// cool makes back ends cold, as far as the pattern has cold ones.
-func (r *replay) cool(struck []*worker) {
-	for _, one := range struck {
-		one.cool(time.Duration(r.pattern.Backends.WarmUp), r.pattern.Backends.ColdFailureThreshold)
+// makeCold makes back ends cold for the warm-up time of the pattern.
+func (r *replay) makeCold(affected []*worker) {
+	for _, target := range affected {
+		target.startCold(time.Duration(r.pattern.Backends.WarmUp), r.pattern.Backends.ColdFailureThreshold)
 	}
 }
 
-func (r *replay) slow(struck []*worker, trouble PatternEvent) {
-	r.strike(struck, trouble, func(one *worker, begins bool) {
-		slow := 1.0
-		if begins {
-			slow = trouble.Factor
+func (r *replay) slowDown(affected []*worker, event PatternEvent) {
+	r.applyFor(affected, event, func(target *worker, active bool) {
+		factor := 1.0
+		if active {
+			factor = event.Factor
 		}
-		one.setSpeed(one.speed, slow)
+		target.setSpeed(target.speed, factor)
 	})
 }
 
-// strike applies a trouble to some back ends, and takes it back after its time.
-func (r *replay) strike(struck []*worker, trouble PatternEvent, apply func(one *worker, begins bool)) {
-	for _, one := range struck {
-		apply(one, true)
-		r.after(time.Duration(trouble.Duration), func() { apply(one, false) })
+// applyFor applies an event to some back ends and reverts it when its duration is over.
+func (r *replay) applyFor(affected []*worker, event PatternEvent, apply func(target *worker, active bool)) {
+	for _, target := range affected {
+		apply(target, true)
+		r.after(time.Duration(event.Duration), func() { apply(target, false) })
 	}
 }
--- a/lab/simulation/worker.go
+++ b/lab/simulation/worker.go
@@ -8,121 +8,124 @@
 
 // job is one request at a back end.
 type job struct {
-	work    time.Duration // left, at full speed
-	started time.Duration // when work was last reckoned
-	version int           // of the finish event that counts
-	done    func()
+	work       time.Duration // remaining service time at full speed
+	updatedAt  time.Duration // when work was last updated
+	generation int           // of the valid finish event; older ones are ignored
+	done       func()
 }
 
 // worker is one back end with its noisy neighbour.
 type worker struct {
-	clock   *clock
-	random  *rand.Rand
-	id      string
-	zone    int
-	slots   int
-	speed   float64 // of work now; 1 is full
-	slow    float64 // standing slowness; 1: none
-	queue   []*job
-	running []*job
-	// assigned counts requests that any daemon has sent here and that have not
-	// been worked off, those on the wire included.
-	assigned int
-	busy     time.Duration // slot time taken, for the utilisation
-	rejects  bool
-	sheds    float64 // share of the requests that it refuses
-	gone     bool    // it answers nothing any more
-	served   int
-	// knee is from how many running requests on all take kneeFactor times as long; 0: none.
+	clock      *clock
+	random     *rand.Rand
+	id         string
+	zone       int
+	slots      int
+	speed      float64 // under the neighbour's noise; 1: full speed
+	slowFactor float64 // factor on service times from a fault; 1: none
+	queue      []*job
+	running    []*job
+	// assigned counts the unfinished requests that daemons have sent here, those on
+	// their way included.
+	assigned    int
+	busyTime    time.Duration // sum over the slots, for the utilisation
+	rejectsAll  bool
+	rejectShare float64 // share of the requests that it rejects
+	unavailable bool    // requests fail without being run
+	served      int
+	// With knee or more requests running, all take kneeFactor times as long; 0: never.
 	knee       int
 	kneeFactor float64
-	limit      int // requests that it queues before it refuses more; 0: no bound
+	queueLimit int // requests that it queues before it rejects more; 0: no limit
 
-	// While it is cold it falls over for as long when more than fallsOver requests come
-	// within a second.
-	coldUntil time.Duration
-	coldFor   time.Duration
-	fallsOver int
-	arrivals  []time.Duration // of the last second, while it is cold
-	fell      int             // how often it fell over
-	emptied   time.Duration   // since when it is to get nothing; 0: it may
-	intruders int             // requests that came all the same
-	most      int             // that came within a second while it was cold
+	// While cold, the back end fails for coldDuration when more than
+	// coldFailureThreshold requests arrive within a second.
+	coldUntil            time.Duration
+	coldDuration         time.Duration
+	coldFailureThreshold int
+	arrivals             []time.Duration // of the last second, while cold
+	coldFailures         int             // how often it failed while cold
+	evacuatedAt          time.Duration   // since when it should get no requests; 0: not evacuated
+	evacuatedArrivals    int             // requests that arrived while evacuated
+	peakColdArrivals     int             // most requests within a second while cold
 }
 
-// cool makes it cold from now on.
-func (w *worker) cool(lasts time.Duration, fallsOver int) {
-	w.coldUntil, w.coldFor, w.fallsOver = w.clock.now+lasts, lasts, fallsOver
+// startCold makes the back end cold from now on.
+func (w *worker) startCold(duration time.Duration, failureThreshold int) {
+	w.coldUntil, w.coldDuration, w.coldFailureThreshold = w.clock.now+duration, duration, failureThreshold
 }
 
-// underWay is how long a request may be on its way to a back end.
-const underWay = 10 * time.Millisecond
+// maxDeliveryTime bounds how long a request takes to a back end. Requests that arrive
+// within it after an evacuation were sent before.
+const maxDeliveryTime = 10 * time.Millisecond
 
-// strain notes a request, which it may fall over by while it is cold.
-func (w *worker) strain() {
+// recordArrival counts a request at an evacuated or cold back end. A cold back end fails
+// if the request is one too many.
+func (w *worker) recordArrival() {
 	now := w.clock.now
-	if w.emptied > 0 && now-w.emptied > underWay {
-		w.intruders++
+	if w.evacuatedAt > 0 && now-w.evacuatedAt > maxDeliveryTime {
+		w.evacuatedArrivals++
 	}
 	if now >= w.coldUntil {
 		return
 	}
 	w.arrivals = slices.DeleteFunc(w.arrivals, func(at time.Duration) bool { return now-at >= time.Second })
 	w.arrivals = append(w.arrivals, now)
-	w.most = max(w.most, len(w.arrivals))
-	if w.fallsOver > 0 && len(w.arrivals) > w.fallsOver && !w.gone {
-		w.fell++
-		w.gone = true
-		w.clock.after(w.coldFor, func() { w.gone = false })
+	w.peakColdArrivals = max(w.peakColdArrivals, len(w.arrivals))
+	if w.coldFailureThreshold > 0 && len(w.arrivals) > w.coldFailureThreshold && !w.unavailable {
+		w.coldFailures++
+		w.unavailable = true
+		w.clock.after(w.coldDuration, func() { w.unavailable = false })
 	}
 }
 
 func newWorker(c *clock, random *rand.Rand, id string, zone, slots int) *worker {
-	return &worker{clock: c, random: random, id: id, zone: zone, slots: slots, speed: 1, slow: 1}
+	return &worker{clock: c, random: random, id: id, zone: zone, slots: slots, speed: 1, slowFactor: 1}
 }
 
-// arrive takes in a request that has come over the wire.
+// arrive starts or queues a request that has arrived.
 func (w *worker) arrive(work time.Duration, done func()) *job {
-	one := &job{work: work, done: done}
+	added := &job{work: work, done: done}
 	if len(w.running) < w.slots {
-		w.start(one)
-		return one
+		w.start(added)
+		return added
 	}
-	w.queue = append(w.queue, one)
-	return one
+	w.queue = append(w.queue, added)
+	return added
 }
 
-// slowdown is how much longer work takes there now than usually, as it tells.
+// slowdown returns how many times as long as usual requests take now, as the back end
+// reports it.
 func (w *worker) slowdown() float64 {
-	return 1 / w.rate()
+	return 1 / w.workRate()
 }
 
-func (w *worker) start(one *job) {
-	w.change(func() {
-		one.started = w.clock.now
-		w.running = append(w.running, one)
+func (w *worker) start(added *job) {
+	w.updateRate(func() {
+		added.updatedAt = w.clock.now
+		w.running = append(w.running, added)
 	})
 }
 
-// refuses says whether it refuses a request that comes now.
-func (w *worker) refuses() bool {
-	full := w.limit > 0 && len(w.running) >= w.slots && len(w.queue) >= w.limit
-	return w.rejects || full || (w.sheds > 0 && w.random.Float64() < w.sheds)
+// rejectsNext reports whether a request that arrives now is rejected.
+func (w *worker) rejectsNext() bool {
+	full := w.queueLimit > 0 && len(w.running) >= w.slots && len(w.queue) >= w.queueLimit
+	return w.rejectsAll || full || (w.rejectShare > 0 && w.random.Float64() < w.rejectShare)
 }
 
-// cancel gives a job up, whose caller has left.
-func (w *worker) cancel(one *job) {
-	one.version++
-	w.queue = slices.DeleteFunc(w.queue, func(other *job) bool { return other == one })
-	if slices.Contains(w.running, one) {
-		w.leave(one)
+// cancel aborts a job whose response is no longer needed.
+func (w *worker) cancel(target *job) {
+	target.generation++
+	w.queue = slices.DeleteFunc(w.queue, func(other *job) bool { return other == target })
+	if slices.Contains(w.running, target) {
+		w.releaseSlot(target)
 	}
 }
 
-// leave takes a job from its slot and gives that to the next one.
-func (w *worker) leave(one *job) {
-	w.change(func() {
-		w.running = slices.DeleteFunc(w.running, func(other *job) bool { return other == one })
+// releaseSlot removes a job from its slot and starts the next one in the queue.
+func (w *worker) releaseSlot(target *job) {
+	w.updateRate(func() {
+		w.running = slices.DeleteFunc(w.running, func(other *job) bool { return other == target })
 	})
 	if len(w.queue) > 0 {
 		next := w.queue[0]
@@ -131,72 +134,74 @@
 	}
 }
 
-// schedule sets the time at which a running job ends at the present speed.
-func (w *worker) schedule(one *job) {
-	one.version++
-	version := one.version
-	w.clock.after(time.Duration(float64(one.work)/w.rate()), func() {
-		if one.version == version {
-			w.finish(one)
+// schedule schedules the end of a running job at the current speed.
+func (w *worker) schedule(target *job) {
+	target.generation++
+	generation := target.generation
+	w.clock.after(time.Duration(float64(target.work)/w.workRate()), func() {
+		if target.generation == generation {
+			w.finish(target)
 		}
 	})
 }
 
-func (w *worker) rate() float64 {
-	rate := w.speed / w.slow
+// workRate returns the current speed, as a share of full speed.
+func (w *worker) workRate() float64 {
+	rate := w.speed / w.slowFactor
 	if w.knee > 0 && len(w.running) >= w.knee {
 		rate /= w.kneeFactor
 	}
 	return rate
 }
 
-func (w *worker) finish(one *job) {
+func (w *worker) finish(target *job) {
 	w.assigned--
 	w.served++
-	w.leave(one)
-	one.done()
+	w.releaseSlot(target)
+	target.done()
 }
 
-// inFlight is the load that the back end knows of itself.
+// inFlight returns the load that the back end reports.
 func (w *worker) inFlight() int {
 	return len(w.running) + len(w.queue)
 }
 
-// setSpeed changes the speed of all work, that under way included.
-func (w *worker) setSpeed(speed, slow float64) {
-	w.change(func() { w.speed, w.slow = speed, slow })
+// setSpeed changes the speed of all work, the requests in service included.
+func (w *worker) setSpeed(speed, slowFactor float64) {
+	w.updateRate(func() { w.speed, w.slowFactor = speed, slowFactor })
 }
 
-// change reckons what was worked until now, applies a change of the speed or of what
-// runs, and goes on from there.
-func (w *worker) change(apply func()) {
-	rate := w.rate()
-	for _, one := range w.running {
-		passed := w.clock.now - one.started
-		w.busy += passed
-		one.work = max(one.work-time.Duration(float64(passed)*rate), 0)
-		one.started = w.clock.now
+// updateRate subtracts the work done so far at the old rate, applies a change of the speed
+// or of the running jobs, and reschedules all running jobs at the new rate.
+func (w *worker) updateRate(apply func()) {
+	rate := w.workRate()
+	for _, running := range w.running {
+		elapsed := w.clock.now - running.updatedAt
+		w.busyTime += elapsed
+		running.work = max(running.work-time.Duration(float64(elapsed)*rate), 0)
+		running.updatedAt = w.clock.now
 	}
 	apply()
-	for _, one := range w.running {
-		w.schedule(one)
+	for _, running := range w.running {
+		w.schedule(running)
 	}
 }
 
-// disturb begins the neighbour's life.
-func (w *worker) disturb(n Noise) {
+// startNoise schedules the neighbour's noisy and quiet periods.
+func (w *worker) startNoise(n Noise) {
 	if n.Slowdown <= 1 {
 		return
 	}
-	w.clock.after(w.spell(n.Quiet), func() {
-		w.setSpeed(1/n.Slowdown, w.slow)
-		w.clock.after(w.spell(n.Noisy), func() {
-			w.setSpeed(1, w.slow)
-			w.disturb(n)
+	w.clock.after(w.randomSpell(n.Quiet), func() {
+		w.setSpeed(1/n.Slowdown, w.slowFactor)
+		w.clock.after(w.randomSpell(n.Noisy), func() {
+			w.setSpeed(1, w.slowFactor)
+			w.startNoise(n)
 		})
 	})
 }
 
-func (w *worker) spell(mean time.Duration) time.Duration {
+// randomSpell draws an exponentially distributed duration.
+func (w *worker) randomSpell(mean time.Duration) time.Duration {
 	return time.Duration(w.random.ExpFloat64() * float64(mean))
 }
