--- a/lab/account/account.go
+++ b/lab/account/account.go
@@ -1,6 +1,6 @@
-// Package account says where the worth of a day was lost: each unit that was owed and not earned is put under
-// one cause. How much was lost, by kind of request and second, is the users' word; why is told by the daemons'
-// logs, by the rules of package explain. Account is pure.
+// Package account attributes the value that was lost on a day to causes. Each counted request that did not earn
+// its full value is put under one cause. The day's report says how much each class lost; the daemons' logs say
+// why, by the rules of package explain. The package does no I/O.
 package account
 
 import (
@@ -14,70 +14,71 @@
 	"github.com/tuliphall/tuliphall/resultcode"
 )
 
-// Causes that the logs do not name.
+// Causes that the rules of package explain do not give.
 const (
-	// LateAfterCallerRetry is a request that was late only from its first try on, which had been refused or had failed.
+	// LateAfterCallerRetry is for requests that were late only if measured from their first try, which was refused
+	// or failed.
 	LateAfterCallerRetry = "late: came back after a refusal or a failure"
-	// Unconnected is one that no daemon took.
+	// Unconnected is for requests whose connection no daemon accepted.
 	Unconnected = "failed: no daemon took the connection"
-	// Unexplained is what no rule explains.
+	// Unexplained is for requests whose loss no rule explains.
 	Unexplained = explain.LateUnexplained
-	// pricePrefix begins the names of prices.
-	pricePrefix = "price: "
+	// penaltyPrefix precedes the names of penalties.
+	penaltyPrefix = "price: "
 )
 
-// Loss is what was lost for one cause, as a part of what was owed over the day.
+// Loss is the value lost to one cause, as a fraction of the value of all counted requests of the day.
 type Loss struct {
 	Cause    string
 	Fraction float64
 	ByClass  map[string]float64
-	// BySecond is what of it was lost in the span that begins at a second of the day.
+	// BySecond holds the part of Fraction that was lost in each window, by the second of the day at which it starts.
 	BySecond map[int]float64
 }
 
-// Breakdown is where the worth of a day was lost.
+// Breakdown is the lost value of a day by cause.
 type Breakdown struct {
-	// Losses are the causes, the largest first; prices are none of them.
+	// Losses are sorted in descending order and do not include the penalties.
 	Losses    []Loss
 	Penalties []Loss
-	// LostFraction is the sum of the rows, and Reported what the report says was not earned.
+	// LostFraction is the sum of Losses; ReportedFraction is the loss according to the report.
 	LostFraction, ReportedFraction float64
 }
 
-// UnexplainedShare returns the part of what was lost that has no named cause.
-func (a Breakdown) UnexplainedShare() float64 {
-	for _, row := range a.Losses {
-		if row.Cause == Unexplained && a.LostFraction > 0 {
-			return row.Fraction / a.LostFraction
+// UnexplainedShare returns the unexplained part of LostFraction.
+func (b Breakdown) UnexplainedShare() float64 {
+	for _, loss := range b.Losses {
+		if loss.Cause == Unexplained && b.LostFraction > 0 {
+			return loss.Fraction / b.LostFraction
 		}
 	}
 	return 0
 }
 
-// Day is what an account is made of.
+// Day is the input of Compute.
 type Day struct {
 	Report     dayreport.Report
 	ClassSpecs []dayreport.ClassSpec
 	Log        *explain.Log
-	// Start is when the day's seconds begin to count, by the daemons' clocks.
+	// Start is when second 0 of the day begins, by the daemons' clocks.
 	Start time.Time
 }
 
-// ended is how the requests of a policy ended, by cause and window.
-type ended struct {
-	late, refused, failed causes
-	// inTime were answered in time, and overRate refused as their tenant was beyond its rate: what it asks
-	// beyond is not owed.
+// outcomeCounts counts the requests of a policy by outcome, cause and window.
+type outcomeCounts struct {
+	late, refused, failed causeCounts
+	// inTime counts requests that were answered in time, overRate those that were refused because their tenant
+	// exceeded its rate, which do not count for the score.
 	inTime, overRate int
 }
 
-// causes counts requests by cause, and of each by the second at which its span begins.
-type causes struct {
+// causeCounts counts requests by cause and by the second at which their window starts.
+type causeCounts struct {
 	total   int
 	byCause map[string]map[int]int
 }
 
-func (c *causes) add(cause string, window int) {
+func (c *causeCounts) add(cause string, window int) {
 	if c.byCause == nil {
 		c.byCause = make(map[string]map[int]int)
 	}
@@ -88,147 +89,147 @@
 	c.total++
 }
 
-// WindowSeconds is how long the spans of the day are in which causes are counted.
+// WindowSeconds is the length of the windows in which causes are counted.
 const WindowSeconds = 2
 
-// Compute makes the account of a day.
+// Compute attributes the losses of a day.
 func Compute(day Day) Breakdown {
-	seen := endingsOf(day)
-	owed := 0.0
-	worths := make(map[string]dayreport.ClassSpec)
-	for _, sheet := range day.ClassSpecs {
-		worths[sheet.Name] = sheet
-	}
-	for _, kind := range day.Report.Classes {
-		owed += worths[kind.Name].Value * float64(kind.Counted())
-	}
-	book := ledger{rows: make(map[string]*Loss)}
-	for _, kind := range day.Report.Classes {
-		sheet := worths[kind.Name]
-		book.unit = sheet.Value / owed
-		book.charge(kind, sheet, seen[sheet.Policy()], day.Report)
-	}
-	made := Breakdown{ReportedFraction: 1 - day.Report.GrossScore, Losses: book.sorted()}
-	for _, row := range made.Losses {
-		made.LostFraction += row.Fraction
-	}
-	for _, price := range day.Report.Penalties {
-		made.Penalties = append(made.Penalties, Loss{Cause: pricePrefix + price.Name, Fraction: price.Fraction})
-	}
-	slices.SortFunc(made.Penalties, func(a, b Loss) int { return cmp.Compare(b.Fraction, a.Fraction) })
-	return made
+	counts := countOutcomes(day)
+	countedValue := 0.0
+	specs := make(map[string]dayreport.ClassSpec)
+	for _, spec := range day.ClassSpecs {
+		specs[spec.Name] = spec
+	}
+	for _, class := range day.Report.Classes {
+		countedValue += specs[class.Name].Value * float64(class.Counted())
+	}
+	accumulator := lossAccumulator{losses: make(map[string]*Loss)}
+	for _, class := range day.Report.Classes {
+		spec := specs[class.Name]
+		accumulator.requestFraction = spec.Value / countedValue
+		accumulator.attribute(class, spec, counts[spec.Policy()], day.Report)
+	}
+	breakdown := Breakdown{ReportedFraction: 1 - day.Report.GrossScore, Losses: accumulator.sorted()}
+	for _, loss := range breakdown.Losses {
+		breakdown.LostFraction += loss.Fraction
+	}
+	for _, penalty := range day.Report.Penalties {
+		breakdown.Penalties = append(breakdown.Penalties, Loss{Cause: penaltyPrefix + penalty.Name, Fraction: penalty.Fraction})
+	}
+	slices.SortFunc(breakdown.Penalties, func(a, b Loss) int { return cmp.Compare(b.Fraction, a.Fraction) })
+	return breakdown
 }
 
-// endingsOf counts how requests ended by the logs.
-func endingsOf(day Day) map[dayreport.Policy]*ended {
-	seen := make(map[dayreport.Policy]*ended)
+// countOutcomes counts the outcomes of the requests in the logs.
+func countOutcomes(day Day) map[dayreport.Policy]*outcomeCounts {
+	counts := make(map[dayreport.Policy]*outcomeCounts)
 	objective := func(class string) time.Duration {
 		policy, _ := dayreport.ParsePolicyName(class)
 		return policy.Objective
 	}
-	for _, one := range day.Log.Outcomes(objective) {
-		policy, known := dayreport.ParsePolicyName(one.Line.Class)
+	for _, outcome := range day.Log.Outcomes(objective) {
+		policy, known := dayreport.ParsePolicyName(outcome.Line.Class)
 		if !known {
-			continue // of no kind that is owed anything: no route, or no configuration yet
+			continue // not a class that counts: no route, or no configuration yet
 		}
-		if seen[policy] == nil {
-			seen[policy] = &ended{}
+		if counts[policy] == nil {
+			counts[policy] = &outcomeCounts{}
 		}
-		window := int(math.Floor(one.Line.Time.Sub(day.Start).Seconds()/WindowSeconds)) * WindowSeconds
+		window := int(math.Floor(outcome.Line.Time.Sub(day.Start).Seconds()/WindowSeconds)) * WindowSeconds
 		switch {
-		case one.Late:
-			seen[policy].late.add(one.Cause.Kind, window)
-		case one.Succeeded():
-			seen[policy].inTime++
-		case one.Line.Code == int(resultcode.RateExceeded):
-			seen[policy].overRate++
-		case one.Line.Run == string(resultcode.NotRun):
-			seen[policy].refused.add("refused: "+one.Cause.Kind, window)
+		case outcome.Late:
+			counts[policy].late.add(outcome.Cause.Kind, window)
+		case outcome.Succeeded():
+			counts[policy].inTime++
+		case outcome.Line.Code == int(resultcode.RateExceeded):
+			counts[policy].overRate++
+		case outcome.Line.Run == string(resultcode.NotRun):
+			counts[policy].refused.add("refused: "+outcome.Cause.Kind, window)
 		default:
-			seen[policy].failed.add("failed: "+one.Cause.Kind, window)
+			counts[policy].failed.add("failed: "+outcome.Cause.Kind, window)
 		}
 	}
-	return seen
+	return counts
 }
 
-// ledger gathers what was lost.
-type ledger struct {
-	rows map[string]*Loss
-	unit float64 // what one request of the kind is worth, as a part of what was owed
-	loss float64 // what one request that the report has as lost whole lost, in requests
+// lossAccumulator sums up the losses by cause.
+type lossAccumulator struct {
+	losses          map[string]*Loss
+	requestFraction float64 // value of one request of the class, as a fraction of the value of all counted requests
+	lostPerRequest  float64 // mean loss of a refused or failed request, as a fraction of its value
 }
 
-// charge puts what was lost of a kind under its causes, in proportion to what each request lost: refused and
-// failed ones all, late ones what an answer in time is worth more. All together lose what the report says, as
-// some that came back after a refusal earn a part.
-func (b *ledger) charge(kind dayreport.ClassResult, sheet dayreport.ClassSpec, seen *ended, report dayreport.Report) {
-	if seen == nil {
-		seen = &ended{}
+// attribute distributes the loss of a class over its causes, in proportion to the loss per request: refused and
+// failed requests lose their whole value, late ones the difference between Value and LateValue. The sum is scaled
+// to the loss in the report, which is smaller because some requests earn a part after a refusal and a retry.
+func (b *lossAccumulator) attribute(class dayreport.ClassResult, spec dayreport.ClassSpec, counts *outcomeCounts, report dayreport.Report) {
+	if counts == nil {
+		counts = &outcomeCounts{}
 	}
-	refused := float64(kind.Refused)
-	if seen.overRate > 0 {
-		refused *= float64(seen.refused.total) / float64(seen.refused.total+seen.overRate)
+	refused := float64(class.Refused)
+	if counts.overRate > 0 {
+		refused *= float64(counts.refused.total) / float64(counts.refused.total+counts.overRate)
 	}
-	late := float64(kind.Late)
-	if sheet.Value > 0 {
-		late *= 1 - sheet.LateValue/sheet.Value
+	late := float64(class.Late)
+	if spec.Value > 0 {
+		late *= 1 - spec.LateValue/spec.Value
 	}
-	whole := late + refused + float64(kind.Failed)
-	if whole == 0 {
+	total := late + refused + float64(class.Failed)
+	if total == 0 {
 		return
 	}
-	b.loss = kind.LostRequests() / whole
-	b.spread(kind.Name, refused, seen.refused)
-	// The report does not say of which kind those were that no daemon took.
-	unreached := float64(kind.Failed) * min(float64(report.Unconnected)/float64(max(report.Failed(), 1)), 1)
-	b.add(Unconnected, kind.Name, 0, unreached)
-	b.spread(kind.Name, float64(kind.Failed)-unreached, seen.failed)
-	if seen.late.total+seen.inTime == 0 {
-		b.add(Unexplained, kind.Name, 0, late)
+	b.lostPerRequest = class.LostRequests() / total
+	b.distribute(class.Name, refused, counts.refused)
+	// The report does not give unconnected requests by class, so each class gets a part in proportion to its failures.
+	unconnected := float64(class.Failed) * min(float64(report.Unconnected)/float64(max(report.Failed(), 1)), 1)
+	b.add(Unconnected, class.Name, 0, unconnected)
+	b.distribute(class.Name, float64(class.Failed)-unconnected, counts.failed)
+	if counts.late.total+counts.inTime == 0 {
+		b.add(Unexplained, class.Name, 0, late)
 		return
 	}
-	// Of the late ones those have no line of a late answer that were late from their first try on only.
-	own := min(float64(seen.late.total)/float64(max(kind.Late, 1)), 1)
-	b.spread(kind.Name, late*own, seen.late)
-	b.add(LateAfterCallerRetry, kind.Name, 0, late*(1-own))
+	// The logs show a late response for a late request, unless it is late only if measured from its first try.
+	lateInLogs := min(float64(counts.late.total)/float64(max(class.Late, 1)), 1)
+	b.distribute(class.Name, late*lateInLogs, counts.late)
+	b.add(LateAfterCallerRetry, class.Name, 0, late*(1-lateInLogs))
 }
 
-// spread puts requests under causes in the proportions in which the logs have them.
-func (b *ledger) spread(kind string, requests float64, found causes) {
-	if found.total == 0 {
-		b.add(Unexplained, kind, 0, requests)
+// distribute puts requests under causes in the proportions of the logs.
+func (b *lossAccumulator) distribute(class string, requests float64, counts causeCounts) {
+	if counts.total == 0 {
+		b.add(Unexplained, class, 0, requests)
 		return
 	}
-	for cause, windows := range found.byCause {
+	for cause, windows := range counts.byCause {
 		for window, count := range windows {
-			b.add(cause, kind, window, requests*float64(count)/float64(found.total))
+			b.add(cause, class, window, requests*float64(count)/float64(counts.total))
 		}
 	}
 }
 
-func (b *ledger) add(cause, kind string, window int, requests float64) {
+func (b *lossAccumulator) add(cause, class string, window int, requests float64) {
 	if requests == 0 {
 		return
 	}
-	row := b.rows[cause]
-	if row == nil {
-		row = &Loss{Cause: cause, ByClass: make(map[string]float64), BySecond: make(map[int]float64)}
-		b.rows[cause] = row
+	loss := b.losses[cause]
+	if loss == nil {
+		loss = &Loss{Cause: cause, ByClass: make(map[string]float64), BySecond: make(map[int]float64)}
+		b.losses[cause] = loss
 	}
-	lost := requests * b.loss * b.unit
-	row.Fraction += lost
-	row.ByClass[kind] += lost
-	row.BySecond[window] += lost
+	lost := requests * b.lostPerRequest * b.requestFraction
+	loss.Fraction += lost
+	loss.ByClass[class] += lost
+	loss.BySecond[window] += lost
 }
 
-// sorted returns the rows, the largest first.
-func (b *ledger) sorted() []Loss {
-	rows := make([]Loss, 0, len(b.rows))
-	for _, row := range b.rows {
-		rows = append(rows, *row)
+// sorted returns the losses in descending order.
+func (b *lossAccumulator) sorted() []Loss {
+	losses := make([]Loss, 0, len(b.losses))
+	for _, loss := range b.losses {
+		losses = append(losses, *loss)
 	}
-	slices.SortFunc(rows, func(a, c Loss) int {
+	slices.SortFunc(losses, func(a, c Loss) int {
 		return cmp.Or(cmp.Compare(c.Fraction, a.Fraction), cmp.Compare(a.Cause, c.Cause))
 	})
-	return rows
+	return losses
 }
--- a/lab/account/account_test.go
+++ b/lab/account/account_test.go
@@ -16,8 +16,8 @@
 	"github.com/tuliphall/tuliphall/platform/dayreport"
 )
 
-// Each cause occurs once in this day, and two for which logs tell nothing. Requests are of one kind, with
-// an objective of 250 ms; one that is late earns a tenth.
+// causes are the log lines of one request per cause. The class has an objective of 250 ms; a late response earns a
+// tenth of the value. The report counts two more requests, for which there are no lines.
 var causes = []struct {
 	cause string
 	lines []string
@@ -36,7 +36,7 @@
 	{"refused: service overloaded while back ends ask for fewer requests", []string{refused(2004, "no place in time: 3 wait; 2 of 9 back ends ask for fewer requests")}},
 	{"refused: no back end takes requests", []string{refused(2006, "every back end is draining or none is placed")}},
 	{"refused: back ends ended under the request", []string{refused(2018, "fingerprint 1")}},
-	// What a tenant asks beyond its rate is not owed.
+	// Requests of a tenant over its rate do not count for the score.
 	{"", []string{refused(2020, "tenant a")}},
 	{"failed: back end broke the connection", []string{failed(3001)}},
 	{"failed: back end's own failure", []string{answeredWith(500)}},
@@ -69,21 +69,21 @@
 
 const attemptFailed = `"msg":"frontend: attempt failed",` + fields + `,"attempt":1,"code":3001,"cause":"it broke","retry":"again"`
 
-// logOf is the log of a day in which each cause occurs once, two seconds apart.
+// logOf returns the log of a day in which each cause occurs once, two seconds apart.
 func logOf(t *testing.T) (*explain.Log, time.Time) {
 	var text strings.Builder
 	start := time.Date(2026, 1, 1, 12, 0, 0, 0, time.UTC)
-	for number, one := range causes {
-		for index, line := range one.lines {
+	for number, cause := range causes {
+		for index, line := range cause.lines {
 			at := time.Duration(2*number)*time.Second + time.Duration(index)*time.Millisecond
 			fmt.Fprintf(&text, "%8.4f d1 {\"time\":%q,\"daemon\":\"d1\",\"request\":\"r%d\",%s}\n", (at + 5*time.Millisecond).Seconds(), start.Add(at).Format(time.RFC3339Nano), number, line)
 		}
 	}
 	log := explain.NewLog()
-	began, err := explain.ReadTimed(strings.NewReader(text.String()), log)
+	firstTime, err := explain.ReadTimed(strings.NewReader(text.String()), log)
 	require.NoError(t, err)
-	require.WithinDuration(t, start, began, 10*time.Millisecond)
-	return log, began
+	require.WithinDuration(t, start, firstTime, 10*time.Millisecond)
+	return log, firstTime
 }
 
 const site = `
@@ -102,109 +102,109 @@
 "classes": [{"name": "reads", "n": 104, "in_aim": 80, "late": 11, "refused": 5, "failed": 4, "not_owed": 4, "worth": %g}],
 "windows": []}`
 
-func written(t *testing.T, name, text string) string {
+func writeFile(t *testing.T, name, text string) string {
 	path := filepath.Join(t.TempDir(), name)
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 	return path
 }
 
-// TestEachCauseIsNamed puts each unit of worth under the one cause that the day was made with, and the sum
-// is what the report says was lost.
+// TestEachCauseIsNamed checks that each loss is put under the cause that the log lines were written for, and that
+// the sum is the loss according to the report.
 func TestEachCauseIsNamed(t *testing.T) {
 	const earned = (80 + 0.1*11) / 99
-	report, err := dayreport.Read(written(t, "report.json", fmt.Sprintf(reportText, earned, earned)))
+	report, err := dayreport.Read(writeFile(t, "report.json", fmt.Sprintf(reportText, earned, earned)))
 	require.NoError(t, err)
-	sheet, err := dayreport.ReadClassSpecs(written(t, "site.toml", site))
+	specs, err := dayreport.ReadClassSpecs(writeFile(t, "site.toml", site))
 	require.NoError(t, err)
-	log, began := logOf(t)
-	made := account.Compute(account.Day{Report: report, ClassSpecs: sheet, Log: log, Start: began})
-	require.InDelta(t, made.ReportedFraction, made.LostFraction, 0.02*made.ReportedFraction)
-	require.Zero(t, made.UnexplainedShare())
-	rows := make(map[string]account.Loss)
-	for _, row := range made.Losses {
-		rows[row.Cause] = row
+	log, start := logOf(t)
+	breakdown := account.Compute(account.Day{Report: report, ClassSpecs: specs, Log: log, Start: start})
+	require.InDelta(t, breakdown.ReportedFraction, breakdown.LostFraction, 0.02*breakdown.ReportedFraction)
+	require.Zero(t, breakdown.UnexplainedShare())
+	losses := make(map[string]account.Loss)
+	for _, loss := range breakdown.Losses {
+		losses[loss.Cause] = loss
 	}
 	want := map[string]float64{account.LateAfterCallerRetry: 0.9, account.Unconnected: 1}
-	for _, one := range causes {
-		if one.cause == "" {
+	for _, entry := range causes {
+		if entry.cause == "" {
 			continue
 		}
-		want[one.cause] = 1
-		if strings.HasPrefix(one.cause, "late: ") {
-			want[one.cause] = 0.9
+		want[entry.cause] = 1
+		if strings.HasPrefix(entry.cause, "late: ") {
+			want[entry.cause] = 0.9
 		}
 	}
 	for cause, requests := range want {
-		require.InDelta(t, requests/99, rows[cause].Fraction, 1e-9, cause)
-		require.InDelta(t, requests/99, rows[cause].ByClass["reads"], 1e-9, cause)
+		require.InDelta(t, requests/99, losses[cause].Fraction, 1e-9, cause)
+		require.InDelta(t, requests/99, losses[cause].ByClass["reads"], 1e-9, cause)
 	}
-	require.Len(t, rows, len(want))
-	for number, one := range causes {
-		if one.cause == "" {
+	require.Len(t, losses, len(want))
+	for number, entry := range causes {
+		if entry.cause == "" {
 			continue
 		}
-		require.Contains(t, rows[one.cause].BySecond, 2*number, one.cause)
+		require.Contains(t, losses[entry.cause].BySecond, 2*number, entry.cause)
 	}
-	require.Equal(t, []account.Loss{{Cause: "price: machine-seconds", Fraction: 0.04}}, made.Penalties)
+	require.Equal(t, []account.Loss{{Cause: "price: machine-seconds", Fraction: 0.04}}, breakdown.Penalties)
 }
 
-// TestWhatNoLineExplains is unnamed.
+// TestWhatNoLineExplains checks that losses without any log lines are unexplained.
 func TestWhatNoLineExplains(t *testing.T) {
-	report, err := dayreport.Read(written(t, "report.json", fmt.Sprintf(reportText, 0.9, 0.9)))
+	report, err := dayreport.Read(writeFile(t, "report.json", fmt.Sprintf(reportText, 0.9, 0.9)))
 	require.NoError(t, err)
-	made := account.Compute(account.Day{Report: report, ClassSpecs: []dayreport.ClassSpec{{Name: "reads", Kind: "safe", Objective: 250, Value: 1}}, Log: explain.NewLog()})
-	require.InDelta(t, 0.095, made.Losses[0].Fraction, 0.001)
-	require.Equal(t, account.Unexplained, made.Losses[0].Cause)
-	require.Greater(t, made.UnexplainedShare(), 0.5)
+	breakdown := account.Compute(account.Day{Report: report, ClassSpecs: []dayreport.ClassSpec{{Name: "reads", Kind: "safe", Objective: 250, Value: 1}}, Log: explain.NewLog()})
+	require.InDelta(t, 0.095, breakdown.Losses[0].Fraction, 0.001)
+	require.Equal(t, account.Unexplained, breakdown.Losses[0].Cause)
+	require.Greater(t, breakdown.UnexplainedShare(), 0.5)
 }
 
-// TestReportsThatCannotBeRead names what is wrong.
+// TestReportsThatCannotBeRead checks the errors for invalid reports and class specifications.
 func TestReportsThatCannotBeRead(t *testing.T) {
 	for name, text := range map[string]string{
 		"no JSON":     "day",
 		"no kinds":    `{"G": 1}`,
 		"a short row": `{"classes": [{"name": "reads"}], "prices": [["a"]]}`,
 	} {
-		_, err := dayreport.Read(written(t, "report.json", text))
+		_, err := dayreport.Read(writeFile(t, "report.json", text))
 		require.ErrorContains(t, err, "report", name)
 	}
-	_, err := dayreport.ReadClassSpecs(written(t, "site.toml", "name = 1"))
+	_, err := dayreport.ReadClassSpecs(writeFile(t, "site.toml", "name = 1"))
 	require.ErrorContains(t, err, "no classes")
 }
 
-// days are reports of a build, whose worth varies by chance and by a difference of the build.
-func days(seed uint64, differs float64) []account.DayResult {
-	day, chance := rand.New(rand.NewPCG(1, 1)), rand.New(rand.NewPCG(seed, 2))
-	played := make([]account.DayResult, 12)
-	for index := range played {
-		worth := 0.5 + 0.3*day.Float64() + 0.01*chance.NormFloat64() + differs
-		played[index].Report = dayreport.Report{NetScore: worth, GrossScore: worth + 0.1}
+// days returns the reports of a build. Their scores vary by day, at random by seed, and by the given difference.
+func days(seed uint64, difference float64) []account.DayResult {
+	day, noise := rand.New(rand.NewPCG(1, 1)), rand.New(rand.NewPCG(seed, 2))
+	results := make([]account.DayResult, 12)
+	for index := range results {
+		score := 0.5 + 0.3*day.Float64() + 0.01*noise.NormFloat64() + difference
+		results[index].Report = dayreport.Report{NetScore: score, GrossScore: score + 0.1}
 	}
-	return played
+	return results
 }
 
-// TestCompare finds a difference of two builds and none between two plays of one, although the days differ
-// by far more among themselves.
+// TestCompare checks that a difference between two builds is significant and one between two runs of the same build
+// is not, although scores vary far more from day to day.
 func TestCompare(t *testing.T) {
-	same, err := account.Compare(days(1, 0), days(2, 0))
+	sameBuild, err := account.Compare(days(1, 0), days(2, 0))
 	require.NoError(t, err)
-	require.Equal(t, "worth", same[0].Name)
-	require.False(t, same[0].Significant())
-	other, err := account.Compare(days(1, 0), days(2, -0.03))
+	require.Equal(t, "worth", sameBuild[0].Name)
+	require.False(t, sameBuild[0].Significant())
+	otherBuild, err := account.Compare(days(1, 0), days(2, -0.03))
 	require.NoError(t, err)
-	require.True(t, other[0].Significant())
-	require.InDelta(t, -0.03, other[0].Mean, 0.01)
+	require.True(t, otherBuild[0].Significant())
+	require.InDelta(t, -0.03, otherBuild[0].Mean, 0.01)
 	_, err = account.Compare(days(1, 0), nil)
 	require.ErrorContains(t, err, "12 reports before and 0 after")
 }
 
-// TestDayWithoutAPrice counts a price, or a cause, as none on days that do not name it.
+// TestDayWithoutAPrice checks that a penalty or cause counts as 0 on days whose report does not have it.
 func TestDayWithoutAPrice(t *testing.T) {
-	priced := account.DayResult{Report: dayreport.Report{Penalties: []dayreport.Penalty{{Name: "calls", Fraction: 0.02}}}, Losses: []account.Loss{{Cause: "late", Fraction: 0.1}}}
-	found, err := account.Compare([]account.DayResult{{}, {}}, []account.DayResult{priced, {}})
+	withPenalty := account.DayResult{Report: dayreport.Report{Penalties: []dayreport.Penalty{{Name: "calls", Fraction: 0.02}}}, Losses: []account.Loss{{Cause: "late", Fraction: 0.1}}}
+	differences, err := account.Compare([]account.DayResult{{}, {}}, []account.DayResult{withPenalty, {}})
 	require.NoError(t, err)
-	require.Equal(t, "price: calls", found[len(found)-2].Name)
-	require.InDelta(t, 0.01, found[len(found)-2].Mean, 1e-9)
-	require.Equal(t, "lost, late", found[len(found)-1].Name)
-	require.InDelta(t, 0.05, found[len(found)-1].Mean, 1e-9)
+	require.Equal(t, "price: calls", differences[len(differences)-2].Name)
+	require.InDelta(t, 0.01, differences[len(differences)-2].Mean, 1e-9)
+	require.Equal(t, "lost, late", differences[len(differences)-1].Name)
+	require.InDelta(t, 0.05, differences[len(differences)-1].Mean, 1e-9)
 }
--- a/lab/account/compare.go
+++ b/lab/account/compare.go
@@ -8,106 +8,106 @@
 	"github.com/tuliphall/tuliphall/platform/dayreport"
 )
 
-// Difference is by how much the second of two builds or settings differs from the first, over the same days.
+// Difference is the difference of one metric between two builds or settings, second minus first, over the same days.
 type Difference struct {
 	Name string
-	// Mean is over the days; Spread is the standard error of that mean.
+	// Mean is the mean over the days; StandardError is the standard error of the mean.
 	Mean, StandardError float64
 	Days                int
 }
 
-// differsFrom is how many standard errors a mean must be from 0 to count as a difference: 19 of 20 pairs of
-// one build stay below it.
-const differsFrom = 2
+// minStandardErrors is how many standard errors a significant mean exceeds. 19 of 20 comparisons of a build with
+// itself stay within them.
+const minStandardErrors = 2
 
-// leastDifference is what is taken for none whatever the spread: 15 days of one build differ by as much in
-// the mean (docs/DEVELOPING.md).
-const leastDifference = 0.003
+// minDifference is the mean that a significant difference exceeds, whatever the standard error: the mean over 15
+// days of one build varies by this much (docs/DEVELOPING.md).
+const minDifference = 0.003
 
-// Significant says whether the two differ by more than chance.
+// Significant reports whether the difference is larger than random variation.
 func (d Difference) Significant() bool {
-	return math.Abs(d.Mean) > max(differsFrom*d.StandardError, leastDifference)
+	return math.Abs(d.Mean) > max(minStandardErrors*d.StandardError, minDifference)
 }
 
-// DayResult is a day that was played.
+// DayResult holds the results of a day.
 type DayResult struct {
 	Report dayreport.Report
-	// Losses are the rows of its account; none where there are no logs of it.
+	// Losses are those of its Breakdown; empty if the day has no logs.
 	Losses []Loss
 }
 
-// Compare pairs the days of two builds, in order, and returns the differences of their net worth, of what was
-// earned over the whole day, of each kind's, of each price, and of what was lost for each cause.
+// Compare pairs the days of two builds, in order, and returns the differences of the net score, the gross score, the
+// score of each class, each penalty and the loss to each cause.
 func Compare(before, after []DayResult) ([]Difference, error) {
 	if len(before) != len(after) || len(before) == 0 {
-		return nil, errors.NotValidf("%d reports before and %d after: as many of each are compared, in the same order; that", len(before), len(after))
+		return nil, errors.NotValidf("comparison of %d reports before and %d after (the numbers must be equal and above 0)", len(before), len(after))
 	}
 	var names []string
 	pairs := make(map[string][]float64)
-	note := func(name string, difference float64) {
-		if _, known := pairs[name]; !known {
+	record := func(name string, difference float64) {
+		if _, found := pairs[name]; !found {
 			names = append(names, name)
 		}
 		pairs[name] = append(pairs[name], difference)
 	}
 	for index := range before {
-		first, second := figures(before[index]), figures(after[index])
-		for _, one := range first.names {
-			note(one, second.values[one]-first.values[one])
+		first, second := metricsOf(before[index]), metricsOf(after[index])
+		for _, name := range first.names {
+			record(name, second.values[name]-first.values[name])
 		}
-		for _, one := range second.names {
-			if _, known := first.values[one]; !known {
-				note(one, second.values[one])
+		for _, name := range second.names {
+			if _, found := first.values[name]; !found {
+				record(name, second.values[name])
 			}
 		}
 	}
 	differences := make([]Difference, 0, len(names))
 	for _, name := range names {
-		differences = append(differences, differenceOf(name, pairs[name], len(before)))
+		differences = append(differences, newDifference(name, pairs[name], len(before)))
 	}
 	return differences, nil
 }
 
-// figureSet are the figures of a day, in order.
-type figureSet struct {
+// metricSet holds the metrics of a day, in order.
+type metricSet struct {
 	names  []string
 	values map[string]float64
 }
 
-func figures(day DayResult) figureSet {
+func metricsOf(day DayResult) metricSet {
 	report := day.Report
-	set := figureSet{values: make(map[string]float64)}
+	set := metricSet{values: make(map[string]float64)}
 	add := func(name string, value float64) {
 		set.names = append(set.names, name)
 		set.values[name] = value
 	}
 	add("worth", report.NetScore)
 	add("earned over the whole day", report.GrossScore)
-	for _, kind := range report.Classes {
-		add("earned by "+kind.Name, kind.ScoreFraction)
+	for _, class := range report.Classes {
+		add("earned by "+class.Name, class.ScoreFraction)
 	}
-	for _, price := range report.Penalties {
-		add(pricePrefix+price.Name, price.Fraction)
+	for _, penalty := range report.Penalties {
+		add(penaltyPrefix+penalty.Name, penalty.Fraction)
 	}
-	for _, row := range day.Losses {
-		add("lost, "+row.Cause, row.Fraction)
+	for _, loss := range day.Losses {
+		add("lost, "+loss.Cause, loss.Fraction)
 	}
 	return set
 }
 
-// differenceOf sums up the differences of a figure; on days that are not among them it was 0 in both.
-func differenceOf(name string, pairs []float64, days int) Difference {
-	made := Difference{Name: name, Days: days}
-	for _, one := range pairs {
-		made.Mean += one / float64(days)
+// newDifference returns the statistics of a metric. For days without the metric, the difference is 0.
+func newDifference(name string, dayDifferences []float64, days int) Difference {
+	difference := Difference{Name: name, Days: days}
+	for _, dayDifference := range dayDifferences {
+		difference.Mean += dayDifference / float64(days)
 	}
 	if days < 2 {
-		return made
+		return difference
 	}
-	squares := float64(days-len(pairs)) * made.Mean * made.Mean
-	for _, one := range pairs {
-		squares += (one - made.Mean) * (one - made.Mean)
+	squares := float64(days-len(dayDifferences)) * difference.Mean * difference.Mean
+	for _, dayDifference := range dayDifferences {
+		squares += (dayDifference - difference.Mean) * (dayDifference - difference.Mean)
 	}
-	made.StandardError = math.Sqrt(squares / float64(days-1) / float64(days))
-	return made
+	difference.StandardError = math.Sqrt(squares / float64(days-1) / float64(days))
+	return difference
 }
