--- a/lab/baseline/baseline.go
+++ b/lab/baseline/baseline.go
@@ -1,10 +1,10 @@
-// Package baseline holds the pickers that tuliphall is measured against. Each
-// decides by what one daemon knows of itself.
+// Package baseline has the pickers that tuliphall is compared with. Each uses only
+// the state of its own daemon.
 package baseline
 
 import "github.com/tuliphall/tuliphall/routing"
 
-// Random picks any candidate.
+// Random picks a candidate uniformly at random.
 type Random struct{}
 
 // Pick implements routing.Picker.
@@ -12,7 +12,7 @@
 	return info.Random.IntN(len(info.Candidates))
 }
 
-// RoundRobin goes through the candidates in turn.
+// RoundRobin picks the candidates in turn.
 type RoundRobin struct {
 	next int
 }
@@ -23,8 +23,8 @@
 	return r.next % len(info.Candidates)
 }
 
-// LeastInFlight picks the candidate with the fewest of the daemon's own
-// requests, at random among equals.
+// LeastInFlight picks the candidate with the fewest requests in flight from its
+// own daemon, at random among equals.
 type LeastInFlight struct{}
 
 // Pick implements routing.Picker.
@@ -32,7 +32,8 @@
 	return routing.LowestScore(info, func(candidate *routing.BackendState, _ float64) float64 { return float64(candidate.InFlight) })
 }
 
-// PowerOfTwo picks the better of two random candidates by own requests.
+// PowerOfTwo picks, of two random candidates, the one with fewer requests in
+// flight from its own daemon.
 type PowerOfTwo struct{}
 
 // Pick implements routing.Picker.
--- a/lab/chart/chart.go
+++ b/lab/chart/chart.go
@@ -1,4 +1,4 @@
-// Package chart draws the lab's results as PNG and SVG.
+// Package chart draws line charts as PNG and SVG.
 package chart
 
 import (
@@ -11,7 +11,7 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Size of a chart.
+// The size of a chart.
 const (
 	width  = 16 * vg.Centimeter
 	height = 10 * vg.Centimeter
@@ -28,7 +28,7 @@
 	Points []Point
 }
 
-// Chart is a chart of lines.
+// Chart is a line chart.
 type Chart struct {
 	Title  string
 	XLabel string
@@ -36,7 +36,7 @@
 	Lines  []Line
 }
 
-// AddPoint adds a point to the line with a name, and the line if there is none yet.
+// AddPoint adds a point to the line of the given name, which it creates if there is none.
 func (c *Chart) AddPoint(name string, point Point) {
 	for index := range c.Lines {
 		if c.Lines[index].Name == name {
@@ -47,37 +47,37 @@
 	c.Lines = append(c.Lines, Line{Name: name, Points: []Point{point}})
 }
 
-// SaveAt is Save of a path without an ending.
+// SaveAt is Save with a path without file extension.
 func (c Chart) SaveAt(path string) error {
 	return c.Save(filepath.Split(path))
 }
 
-// Save writes the chart as folder/name.png and folder/name.svg.
-func (c Chart) Save(folder, name string) error {
-	drawn := plot.New()
-	drawn.Title.Text = c.Title
-	drawn.X.Label.Text, drawn.Y.Label.Text = c.XLabel, c.YLabel
-	drawn.Y.Min = 0
-	drawn.Legend.Top, drawn.Legend.Left = true, true
-	drawn.Add(plotter.NewGrid())
+// Save writes the chart to directory/name.png and directory/name.svg.
+func (c Chart) Save(directory, name string) error {
+	diagram := plot.New()
+	diagram.Title.Text = c.Title
+	diagram.X.Label.Text, diagram.Y.Label.Text = c.XLabel, c.YLabel
+	diagram.Y.Min = 0
+	diagram.Legend.Top, diagram.Legend.Left = true, true
+	diagram.Add(plotter.NewGrid())
 	for index, line := range c.Lines {
 		points := make(plotter.XYs, 0, len(line.Points))
 		for _, point := range line.Points {
 			points = append(points, plotter.XY{X: point.X, Y: point.Y})
 		}
-		curve, dots, err := plotter.NewLinePoints(points)
+		curve, markers, err := plotter.NewLinePoints(points)
 		if err != nil {
 			return errors.Annotate(err, line.Name)
 		}
-		curve.Color, dots.Color = plotutil.Color(index), plotutil.Color(index)
-		dots.Shape = plotutil.Shape(index)
-		drawn.Add(curve, dots)
+		curve.Color, markers.Color = plotutil.Color(index), plotutil.Color(index)
+		markers.Shape = plotutil.Shape(index)
+		diagram.Add(curve, markers)
 		if len(c.Lines) > 1 {
-			drawn.Legend.Add(line.Name, curve, dots)
+			diagram.Legend.Add(line.Name, curve, markers)
 		}
 	}
-	for _, ending := range []string{".png", ".svg"} {
-		if err := drawn.Save(width, height, filepath.Join(folder, name+ending)); err != nil {
+	for _, extension := range []string{".png", ".svg"} {
+		if err := diagram.Save(width, height, filepath.Join(directory, name+extension)); err != nil {
 			return errors.Annotate(err, name)
 		}
 	}
--- a/lab/datapath/datapath_test.go
+++ b/lab/datapath/datapath_test.go
@@ -10,23 +10,23 @@
 	"github.com/tuliphall/tuliphall/lab/site"
 )
 
-// BenchmarkRequest sends one request after the other over loopback, directly to a
-// back end and through a daemon. Time and allocations are those of all sides
-// together; the difference is the daemon's.
+// BenchmarkRequest sends requests one after another over loopback, directly to a back
+// end and through a daemon. Time and allocations include the client and the back end;
+// the difference between the two is that of the daemon.
 func BenchmarkRequest(b *testing.B) {
-	running, err := site.Start(b.Context(), site.Options{
+	deployment, err := site.Start(b.Context(), site.Options{
 		Zones: []string{"zone-a"}, Daemons: 1,
 		Services: []site.Service{{Declared: config.Service{Name: "work"}, Backends: 1, Backend: backendstub.Options{Fixed: true}}},
 	})
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer running.Close()
-	for _, side := range []struct{ name, address string }{{"direct", running.Backends[0].Address}, {"through", running.Targets()[0]}} {
-		b.Run(side.name, func(b *testing.B) {
+	defer deployment.Close()
+	for _, target := range []struct{ name, address string }{{"direct", deployment.Backends[0].Address}, {"through", deployment.Targets()[0]}} {
+		b.Run(target.name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				response, err := http.Get("http://" + side.address + "/work")
+				response, err := http.Get("http://" + target.address + "/work")
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -1,5 +1,6 @@
-// Package experiment runs experiments from TOML files: scenarios of both
-// deployments under several systems, with seeds, beside baselines and limits.
+// Package experiment runs simulation experiments from TOML files: the services of
+// deployments under several systems, which include baselines and theoretical limits,
+// with several loads and seeds.
 package experiment
 
 import (
@@ -19,7 +20,7 @@
 	"github.com/tuliphall/tuliphall/lab/simulation"
 )
 
-// File is an experiment as written in TOML.
+// File is an experiment file.
 type File struct {
 	Title    string          `toml:"title"`
 	Duration config.Duration `toml:"duration"`
@@ -46,7 +47,7 @@
 	Quiet          config.Duration `toml:"quiet"`
 }
 
-// Row is one measured combination, over all seeds.
+// Row holds the results of one run: a service, load, system and seed.
 type Row struct {
 	Service string  `json:"service"`
 	Load    float64 `json:"load"`
@@ -56,17 +57,17 @@
 	P99     float64 `json:"p99_ms"`
 	P999    float64 `json:"p999_ms"`
 	Count   int     `json:"count"`
-	// MessagesPerSecond is the exchanges between daemons, a second, all together.
+	// MessagesPerSecond counts the exchange messages between all deciding daemons.
 	MessagesPerSecond float64 `json:"messages_per_second"`
 }
 
-// Report is an experiment's results.
+// Report holds the results of an experiment.
 type Report struct {
 	Title string `json:"title"`
 	Rows  []Row  `json:"rows"`
 }
 
-// Load reads an experiment.
+// Load reads and validates an experiment file.
 func Load(path string) (File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -82,28 +83,28 @@
 func (f File) validate(path string) error {
 	switch {
 	case len(f.Seeds) == 0:
-		return errors.NotValidf("%s: seeds: none; it", path)
+		return errors.NotValidf("%s: seeds: empty list", path)
 	case len(f.Loads) == 0:
-		return errors.NotValidf("%s: loads: none; it", path)
+		return errors.NotValidf("%s: loads: empty list", path)
 	case len(f.Services) == 0:
-		return errors.NotValidf("%s: service: none; it", path)
+		return errors.NotValidf("%s: service: empty list", path)
 	case f.Duration <= f.WarmUp:
-		return errors.NotValidf("%s: duration: not above warm_up; it", path)
+		return errors.NotValidf("%s: duration (must be above warm_up)", path)
 	}
 	for _, name := range f.Systems {
 		if _, err := FindSystem(name); err != nil {
 			return errors.Annotate(err, path)
 		}
 	}
-	for _, one := range f.Services {
-		if one.Zones < 1 || one.Daemons < 1 || one.Workers < 1 || one.Workers > 999 || one.Slots < 1 || one.Work <= 0 {
-			return errors.NotValidf("%s: service %q: zones, daemons, workers (up to 999), slots and work must be above 0; it", path, one.Name)
+	for _, service := range f.Services {
+		if service.Zones < 1 || service.Daemons < 1 || service.Workers < 1 || service.Workers > 999 || service.Slots < 1 || service.Work <= 0 {
+			return errors.NotValidf("%s: service %q (zones, daemons, workers, slots and work must be above 0, workers at most 999)", path, service.Name)
 		}
 	}
 	return nil
 }
 
-// FindSystem returns the system with a name.
+// FindSystem returns the system of the given name.
 func FindSystem(name string) (simulation.System, error) {
 	for _, system := range Systems() {
 		if system.Name == name {
@@ -113,17 +114,17 @@
 	return simulation.System{}, errors.NotFoundf("system %q", name)
 }
 
-// Scenario returns the scenario of a service at a load.
-func (f File) Scenario(one Service, load float64, seed uint64) simulation.Scenario {
+// Scenario returns the scenario of a service with the given load and seed.
+func (f File) Scenario(service Service, load float64, seed uint64) simulation.Scenario {
 	return simulation.Scenario{
-		Name: one.Name, Zones: one.Zones, Daemons: one.Daemons, Workers: one.Workers, Slots: one.Slots, Work: time.Duration(one.Work),
-		Noise:         simulation.Noise{Slowdown: one.Slowdown, Noisy: time.Duration(one.Noisy), Quiet: time.Duration(one.Quiet)},
-		SameZoneDelay: time.Duration(one.SameZoneDelay), CrossZoneDelay: time.Duration(one.CrossZoneDelay), HopCost: time.Duration(one.HopCost),
+		Name: service.Name, Zones: service.Zones, Daemons: service.Daemons, Workers: service.Workers, Slots: service.Slots, Work: time.Duration(service.Work),
+		Noise:         simulation.Noise{Slowdown: service.Slowdown, Noisy: time.Duration(service.Noisy), Quiet: time.Duration(service.Quiet)},
+		SameZoneDelay: time.Duration(service.SameZoneDelay), CrossZoneDelay: time.Duration(service.CrossZoneDelay), HopCost: time.Duration(service.HopCost),
 		Load: load, Duration: time.Duration(f.Duration), WarmUp: time.Duration(f.WarmUp), Seed: seed,
 	}
 }
 
-// task is one run to be made.
+// task is one run of the experiment.
 type task struct {
 	service Service
 	load    float64
@@ -131,7 +132,7 @@
 	seed    uint64
 }
 
-// Run runs the experiment on all processors and tells its progress.
+// Run runs the experiment on all processors and reports its progress.
 func Run(file File, progress io.Writer) (Report, error) {
 	var tasks []task
 	for _, service := range file.Services {
@@ -148,15 +149,15 @@
 		}
 	}
 	rows := make([]Row, len(tasks))
-	var waiting sync.WaitGroup
+	var group sync.WaitGroup
 	var mutex sync.Mutex
 	finished := 0
-	slots := make(chan struct{}, runtime.NumCPU())
-	for index, one := range tasks {
-		waiting.Go(func() {
-			slots <- struct{}{}
-			defer func() { <-slots }()
-			rows[index] = file.measure(one)
+	processors := make(chan struct{}, runtime.NumCPU())
+	for index, current := range tasks {
+		group.Go(func() {
+			processors <- struct{}{}
+			defer func() { <-processors }()
+			rows[index] = file.measure(current)
 			mutex.Lock()
 			defer mutex.Unlock()
 			if finished++; finished%50 == 0 || finished == len(tasks) {
@@ -164,14 +165,14 @@
 			}
 		})
 	}
-	waiting.Wait()
+	group.Wait()
 	return Report{Title: file.Title, Rows: rows}, nil
 }
 
-func (f File) measure(one task) Row {
-	result := simulation.Run(f.Scenario(one.service, one.load, one.seed), one.system)
+func (f File) measure(run task) Row {
+	result := simulation.Run(f.Scenario(run.service, run.load, run.seed), run.system)
 	return Row{
-		Service: one.service.Name, Load: one.load, System: one.system.Name, Seed: one.seed,
+		Service: run.service.Name, Load: run.load, System: run.system.Name, Seed: run.seed,
 		P50: milliseconds(result.Quantile(50)), P99: milliseconds(result.Quantile(99)), P999: milliseconds(result.Quantile(99.9)),
 		Count: result.Answered, MessagesPerSecond: float64(result.PeerMessages) / time.Duration(f.Duration).Seconds(),
 	}
@@ -181,7 +182,7 @@
 	return float64(d) / float64(time.Millisecond)
 }
 
-// Summary is a row with its seeds brought together.
+// Summary sums up the rows of all seeds of a service, load and system.
 type Summary struct {
 	Service     string
 	Load        float64
@@ -189,17 +190,17 @@
 	P50         float64 // median over the seeds, ms
 	P99         float64
 	P999        float64
-	OracleRatio float64 // median over the seeds of p99 / the oracle's p99 with the same seed
-	MinRatio    float64 // the smallest of those ratios
+	OracleRatio float64 // median over the seeds of p99 divided by the oracle's p99 with the same seed
+	MinRatio    float64 // smallest of those ratios
 	MaxRatio    float64
 }
 
-// Summaries brings the seeds of each combination together, in order of running.
+// Summaries returns the summary of each service, load and system, in the order of the rows.
 func (r Report) Summaries() []Summary {
-	oracle := make(map[string]float64)
+	oracleP99 := make(map[string]float64)
 	for _, row := range r.Rows {
 		if row.System == OracleName {
-			oracle[seedKey(row)] = row.P99
+			oracleP99[seedKey(row)] = row.P99
 		}
 	}
 	groups := make(map[string][]Row)
@@ -213,7 +214,7 @@
 	}
 	var summaries []Summary
 	for _, key := range order {
-		summaries = append(summaries, summarize(groups[key], oracle))
+		summaries = append(summaries, summarize(groups[key], oracleP99))
 	}
 	return summaries
 }
@@ -222,18 +223,18 @@
 	return fmt.Sprint(row.Service, row.Load, row.Seed)
 }
 
-func summarize(rows []Row, oracle map[string]float64) Summary {
-	var p50, p99, p999, ratio []float64
+func summarize(rows []Row, oracleP99 map[string]float64) Summary {
+	var p50, p99, p999, ratios []float64
 	for _, row := range rows {
 		p50, p99, p999 = append(p50, row.P50), append(p99, row.P99), append(p999, row.P999)
-		if base := oracle[seedKey(row)]; base > 0 {
-			ratio = append(ratio, row.P99/base)
+		if reference := oracleP99[seedKey(row)]; reference > 0 {
+			ratios = append(ratios, row.P99/reference)
 		}
 	}
 	s := Summary{Service: rows[0].Service, Load: rows[0].Load, System: rows[0].System, P50: median(p50), P99: median(p99), P999: median(p999)}
-	if len(ratio) > 0 {
-		s.OracleRatio = median(ratio)
-		s.MinRatio, s.MaxRatio = ratio[0], ratio[len(ratio)-1]
+	if len(ratios) > 0 {
+		s.OracleRatio = median(ratios)
+		s.MinRatio, s.MaxRatio = ratios[0], ratios[len(ratios)-1]
 	}
 	return s
 }
--- a/lab/experiment/systems.go
+++ b/lab/experiment/systems.go
@@ -8,59 +8,60 @@
 	"github.com/tuliphall/tuliphall/routing"
 )
 
-// joinShortest picks by what an oracle knows of every back end now.
-type joinShortest struct {
+// joinShortestQueue picks the candidate with the fewest requests according to the oracle.
+type joinShortestQueue struct {
 	oracle simulation.Oracle
 }
 
 // Pick implements routing.Picker.
-func (j joinShortest) Pick(info routing.PickInfo) int {
+func (j joinShortestQueue) Pick(info routing.PickInfo) int {
 	return routing.LowestScore(info, func(candidate *routing.BackendState, _ float64) float64 { return float64(j.oracle(candidate.ID)) })
 }
 
-func always(picker func() routing.Picker) func(simulation.Oracle) routing.Picker {
+// withoutOracle adapts a picker that does not use the oracle.
+func withoutOracle(picker func() routing.Picker) func(simulation.Oracle) routing.Picker {
 	return func(simulation.Oracle) routing.Picker { return picker() }
 }
 
 func leastLoad() routing.Picker { return routing.LeastLoad{} }
 
-// Names of systems that others are compared with.
+// Names of systems that results of others are compared with.
 const (
 	OracleName  = "oracle"
 	ProductName = "tuliphall"
 )
 
-// unlimited lets a daemon send any number of requests to a back end.
-func unlimited(int) int { return 1 << 20 }
+// unlimitedOvercommit sets no practical limit for the requests at a back end.
+func unlimitedOvercommit(int) int { return 1 << 20 }
 
-// fixed is an overcommit that does not depend on the slots.
-func fixed(count int) func(int) int {
+// fixedOvercommit returns an overcommit that does not depend on the slots.
+func fixedOvercommit(count int) func(int) int {
 	return func(int) int { return count }
 }
 
-// Systems returns every system by name, in the order of the tables.
+// Systems returns all systems, in the order of the tables.
 func Systems() []simulation.System {
 	return []simulation.System{
-		{Name: "random", Picker: always(func() routing.Picker { return baseline.Random{} }), Overcommit: unlimited},
-		{Name: "round-robin", Picker: always(func() routing.Picker { return &baseline.RoundRobin{} }), Overcommit: unlimited},
-		{Name: "own-least", Picker: always(func() routing.Picker { return baseline.LeastInFlight{} }), Overcommit: unlimited},
-		{Name: "power-of-two", Picker: always(func() routing.Picker { return baseline.PowerOfTwo{} }), Overcommit: unlimited},
-		{Name: "own-load", Picker: always(leastLoad), Overcommit: unlimited},
-		{Name: "reports", Picker: always(leastLoad), Overcommit: unlimited, LoadReports: true},
-		{Name: "exchange-1ms", Picker: always(leastLoad), Overcommit: unlimited, ExchangeInterval: time.Millisecond},
-		{Name: "exchange-5ms", Picker: always(leastLoad), Overcommit: unlimited, ExchangeInterval: 5 * time.Millisecond},
-		{Name: "exchange-20ms", Picker: always(leastLoad), Overcommit: unlimited, ExchangeInterval: 20 * time.Millisecond},
-		{Name: "exchange-100ms", Picker: always(leastLoad), Overcommit: unlimited, ExchangeInterval: 100 * time.Millisecond},
-		{Name: "zone-dispatch", Picker: always(leastLoad), Overcommit: unlimited, Dispatchers: 4, ExchangeInterval: 20 * time.Millisecond},
-		{Name: ProductName, Picker: always(leastLoad), Overcommit: routing.DefaultOvercommit, Dispatchers: 1, Permits: true, LoadReports: true},
-		{Name: "forwarding", Picker: always(leastLoad), Overcommit: routing.DefaultOvercommit, Dispatchers: 1, LoadReports: true},
-		{Name: "dispatch-least", Picker: always(func() routing.Picker { return baseline.LeastInFlight{} }), Overcommit: routing.DefaultOvercommit, Dispatchers: 1},
-		{Name: "dispatch-commit0", Picker: always(leastLoad), Overcommit: fixed(0), Dispatchers: 1},
-		{Name: "dispatch-commit1", Picker: always(leastLoad), Overcommit: fixed(1), Dispatchers: 1},
-		{Name: "dispatch-commit2", Picker: always(leastLoad), Overcommit: fixed(2), Dispatchers: 1},
-		{Name: "dispatch-commit4", Picker: always(leastLoad), Overcommit: fixed(4), Dispatchers: 1},
-		{Name: "dispatch-unlimited", Picker: always(leastLoad), Overcommit: unlimited, Dispatchers: 1},
-		{Name: OracleName, Picker: func(o simulation.Oracle) routing.Picker { return joinShortest{oracle: o} }, Overcommit: unlimited},
-		{Name: "central-queue", Picker: always(leastLoad), Overcommit: unlimited, CentralQueue: true},
+		{Name: "random", Picker: withoutOracle(func() routing.Picker { return baseline.Random{} }), Overcommit: unlimitedOvercommit},
+		{Name: "round-robin", Picker: withoutOracle(func() routing.Picker { return &baseline.RoundRobin{} }), Overcommit: unlimitedOvercommit},
+		{Name: "own-least", Picker: withoutOracle(func() routing.Picker { return baseline.LeastInFlight{} }), Overcommit: unlimitedOvercommit},
+		{Name: "power-of-two", Picker: withoutOracle(func() routing.Picker { return baseline.PowerOfTwo{} }), Overcommit: unlimitedOvercommit},
+		{Name: "own-load", Picker: withoutOracle(leastLoad), Overcommit: unlimitedOvercommit},
+		{Name: "reports", Picker: withoutOracle(leastLoad), Overcommit: unlimitedOvercommit, LoadReports: true},
+		{Name: "exchange-1ms", Picker: withoutOracle(leastLoad), Overcommit: unlimitedOvercommit, ExchangeInterval: time.Millisecond},
+		{Name: "exchange-5ms", Picker: withoutOracle(leastLoad), Overcommit: unlimitedOvercommit, ExchangeInterval: 5 * time.Millisecond},
+		{Name: "exchange-20ms", Picker: withoutOracle(leastLoad), Overcommit: unlimitedOvercommit, ExchangeInterval: 20 * time.Millisecond},
+		{Name: "exchange-100ms", Picker: withoutOracle(leastLoad), Overcommit: unlimitedOvercommit, ExchangeInterval: 100 * time.Millisecond},
+		{Name: "zone-dispatch", Picker: withoutOracle(leastLoad), Overcommit: unlimitedOvercommit, Dispatchers: 4, ExchangeInterval: 20 * time.Millisecond},
+		{Name: ProductName, Picker: withoutOracle(leastLoad), Overcommit: routing.DefaultOvercommit, Dispatchers: 1, Permits: true, LoadReports: true},
+		{Name: "forwarding", Picker: withoutOracle(leastLoad), Overcommit: routing.DefaultOvercommit, Dispatchers: 1, LoadReports: true},
+		{Name: "dispatch-least", Picker: withoutOracle(func() routing.Picker { return baseline.LeastInFlight{} }), Overcommit: routing.DefaultOvercommit, Dispatchers: 1},
+		{Name: "dispatch-commit0", Picker: withoutOracle(leastLoad), Overcommit: fixedOvercommit(0), Dispatchers: 1},
+		{Name: "dispatch-commit1", Picker: withoutOracle(leastLoad), Overcommit: fixedOvercommit(1), Dispatchers: 1},
+		{Name: "dispatch-commit2", Picker: withoutOracle(leastLoad), Overcommit: fixedOvercommit(2), Dispatchers: 1},
+		{Name: "dispatch-commit4", Picker: withoutOracle(leastLoad), Overcommit: fixedOvercommit(4), Dispatchers: 1},
+		{Name: "dispatch-unlimited", Picker: withoutOracle(leastLoad), Overcommit: unlimitedOvercommit, Dispatchers: 1},
+		{Name: OracleName, Picker: func(o simulation.Oracle) routing.Picker { return joinShortestQueue{oracle: o} }, Overcommit: unlimitedOvercommit},
+		{Name: "central-queue", Picker: withoutOracle(leastLoad), Overcommit: unlimitedOvercommit, CentralQueue: true},
 	}
 }
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -1,10 +1,10 @@
 // Package load is the lab's load generator.
 //
-// Arrivals are open-loop: they come at random times whatever the answers do, and
-// latency counts from the time a request should have been sent, so that waiting
-// is not hidden. Every answer is checked to be the whole answer to its own
-// request, and what each answer said about having run is kept, so that it can be
-// compared with what the back ends saw.
+// Arrivals are open-loop: they come at random times whatever the responses, and
+// latency counts from the time at which a request was due, so that delays of the
+// generator are not omitted. Every response is checked to be the complete response
+// to its own request. Its run state is kept, so that it can be compared with the
+// requests that the back ends ran.
 package load
 
 import (
@@ -35,46 +35,47 @@
 	Method             string
 	Path               string
 	Share              float64
-	WithIdempotencyKey bool   // carries an operation key
-	TenantKey          string // of a tenant; empty: none
+	WithIdempotencyKey bool   // sends an Idempotency-Key
+	TenantKey          string // API key of a tenant; empty: none
 }
 
-// Options say what load to make.
+// Options describe the load.
 type Options struct {
 	Network  network.Network
 	Targets  []string // caller addresses of daemons, or of one back end
-	Rate     float64  // requests a second, all kinds together
+	Rate     float64  // requests per second, all kinds together
 	Duration time.Duration
 	Seed     uint64
 	Kinds    []RequestKind
-	// ClosedLoopCallers, if above 0, is a number of callers that each send the next
-	// request when the last was answered; Rate is then ignored.
+	// ClosedLoopCallers, if above 0, is the number of callers that each send their
+	// next request when the previous one has ended; Rate is then ignored.
 	ClosedLoopCallers int
-	// RetryUnanswered lets the caller of an operation that got no answer come back once
-	// with the same key, through another target.
+	// RetryUnanswered retries an operation without a complete response once, with the
+	// same key, at a randomly chosen target.
 	RetryUnanswered bool
-	// HTTP2 lets callers speak HTTP/2 without encryption; false: HTTP/1.1.
+	// HTTP2 selects HTTP/2 without TLS; false: HTTP/1.1.
 	HTTP2 bool
 	// Timeout bounds one request; 0: none.
 	Timeout time.Duration
-	// MaxRequests bounds the requests made; 0: 1,000,000.
+	// MaxRequests bounds the requests sent, in a closed loop those of each caller;
+	// 0: 1,000,000.
 	MaxRequests int
 }
 
-// Outcome is what one request came to.
+// Outcome is the outcome of one request.
 type Outcome struct {
 	Name          string
 	Run           resultcode.RunState
-	WrongResponse bool // not the whole answer to its own request, yet passed off as it
+	WrongResponse bool // got status 200 with a body other than the response to its own request
 }
 
-// Result sums up a run of load.
+// Result holds the results of a run.
 type Result struct {
 	Seed           uint64                      `json:"seed"`
 	Sent           int                         `json:"sent"`
-	Answered       int                         `json:"answered"` // with a back end's whole answer
+	Answered       int                         `json:"answered"` // got the complete response of a back end
 	WrongResponses int                         `json:"wrong"`
-	Aborted        int                         `json:"aborted"` // broken off, so that the caller sees it
+	Aborted        int                         `json:"aborted"` // broken off in a way that the caller notices: result code Answered or none
 	Codes          map[resultcode.Code]int     `json:"codes"`
 	RunStates      map[resultcode.RunState]int `json:"runs"`
 	Outcomes       []Outcome                   `json:"-"`
@@ -82,18 +83,19 @@
 	Elapsed        time.Duration               `json:"elapsed_ns"`
 	mutex          sync.Mutex
 	perKind        map[string]*hdrhistogram.Histogram
-	firstFail      string
+	firstFailure   string
 }
 
-// Histogram bounds: microseconds, up to ten minutes, to three digits.
+// Bounds of the latency histograms: microseconds, up to ten minutes, with three
+// significant digits.
 const (
-	lowest  = 1
-	highest = int64(10 * time.Minute / time.Microsecond)
-	digits  = 3
+	minLatencyMicros  = 1
+	maxLatencyMicros  = int64(10 * time.Minute / time.Microsecond)
+	significantDigits = 3
 )
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(lowest, highest, digits)
+	return hdrhistogram.New(minLatencyMicros, maxLatencyMicros, significantDigits)
 }
 
 // Quantile returns a latency quantile of the answered requests; q is in percent.
@@ -101,7 +103,8 @@
 	return time.Duration(r.Latency.ValueAtQuantile(q)) * time.Microsecond
 }
 
-// KindQuantile returns a latency quantile of one kind.
+// KindQuantile returns a latency quantile of the answered requests of one kind; q is in
+// percent.
 func (r *Result) KindQuantile(kind string, q float64) time.Duration {
 	histogram, ok := r.perKind[kind]
 	if !ok {
@@ -110,26 +113,26 @@
 	return time.Duration(histogram.ValueAtQuantile(q)) * time.Microsecond
 }
 
-// FirstFailure describes the first request that was not answered.
+// FirstFailure describes the first request without a complete response.
 func (r *Result) FirstFailure() string {
-	return r.firstFail
+	return r.firstFailure
 }
 
-// Failed returns the requests that did not get their answer.
+// Failed returns the number of requests without a complete response.
 func (r *Result) Failed() int {
 	return r.Sent - r.Answered
 }
 
-// generator makes the load.
+// generator sends the requests of one run.
 type generator struct {
-	options Options
-	client  *http.Client
-	result  *Result
-	random  *rand.Rand
-	waiting sync.WaitGroup
+	options  Options
+	client   *http.Client
+	result   *Result
+	random   *rand.Rand
+	requests sync.WaitGroup
 }
 
-// Run makes the load and waits for every answer.
+// Run sends the load and waits until all requests have ended.
 func Run(ctx context.Context, options Options) *Result {
 	if options.Network == nil {
 		options.Network = network.TCP{}
@@ -154,48 +157,48 @@
 			Latency: newHistogram(), perKind: make(map[string]*hdrhistogram.Histogram),
 		},
 	}
-	begun := time.Now()
+	start := time.Now()
 	if options.ClosedLoopCallers > 0 {
-		g.closedLoop(ctx, begun)
+		g.closedLoop(ctx, start)
 	} else {
-		g.openLoop(ctx, begun)
+		g.openLoop(ctx, start)
 	}
-	g.waiting.Wait()
-	g.result.Elapsed = time.Since(begun)
+	g.requests.Wait()
+	g.result.Elapsed = time.Since(start)
 	return g.result
 }
 
-// openLoop sends at random times.
-func (g *generator) openLoop(ctx context.Context, begun time.Time) {
-	due := begun
+// openLoop sends requests at random times, with exponential gaps.
+func (g *generator) openLoop(ctx context.Context, start time.Time) {
+	due := start
 	for number := 0; number < g.options.MaxRequests; number++ {
 		due = due.Add(time.Duration(g.random.ExpFloat64() / g.options.Rate * float64(time.Second)))
-		if due.Sub(begun) >= g.options.Duration || ctx.Err() != nil {
+		if due.Sub(start) >= g.options.Duration || ctx.Err() != nil {
 			return
 		}
-		if wait := time.Until(due); wait > 0 {
-			time.Sleep(wait)
+		if delay := time.Until(due); delay > 0 {
+			time.Sleep(delay)
 		}
 		kind := g.pickKind()
 		target := g.options.Targets[g.random.IntN(len(g.options.Targets))]
-		intended := due
-		other := g.options.Targets[g.random.IntN(len(g.options.Targets))]
-		g.waiting.Go(func() {
-			answered := g.one(ctx, number, "", kind, target, intended)
+		dueAt := due
+		retryTarget := g.options.Targets[g.random.IntN(len(g.options.Targets))]
+		g.requests.Go(func() {
+			answered := g.sendRequest(ctx, number, "", kind, target, dueAt)
 			if !answered && g.options.RetryUnanswered && kind.WithIdempotencyKey {
-				g.one(ctx, number, againSuffix, kind, other, time.Now())
+				g.sendRequest(ctx, number, retrySuffix, kind, retryTarget, time.Now())
 			}
 		})
 	}
 }
 
-// closedLoop lets a few callers each send one request after another.
-func (g *generator) closedLoop(ctx context.Context, begun time.Time) {
+// closedLoop sends requests from a fixed number of callers, each one after the other.
+func (g *generator) closedLoop(ctx context.Context, start time.Time) {
 	for caller := range g.options.ClosedLoopCallers {
 		kind, target := g.pickKind(), g.options.Targets[caller%len(g.options.Targets)]
-		g.waiting.Go(func() {
-			for number := 0; time.Since(begun) < g.options.Duration && number < g.options.MaxRequests && ctx.Err() == nil; number++ {
-				g.one(ctx, caller*g.options.MaxRequests+number, "", kind, target, time.Now())
+		g.requests.Go(func() {
+			for number := 0; time.Since(start) < g.options.Duration && number < g.options.MaxRequests && ctx.Err() == nil; number++ {
+				g.sendRequest(ctx, caller*g.options.MaxRequests+number, "", kind, target, time.Now())
 			}
 		})
 	}
@@ -205,12 +208,12 @@
 	return weighted.Draw(g.random, g.options.Kinds, func(kind RequestKind) float64 { return kind.Share })
 }
 
-// againSuffix tells the second attempt of an operation from the first.
-const againSuffix = "-again"
+// retrySuffix distinguishes the name of a retry from that of the first request.
+const retrySuffix = "-again"
 
-// one sends one request, notes what came of it and says whether it got its whole
-// answer.
-func (g *generator) one(ctx context.Context, number int, suffix string, kind RequestKind, target string, intended time.Time) bool {
+// sendRequest sends one request, records its outcome and reports whether it got its
+// complete response.
+func (g *generator) sendRequest(ctx context.Context, number int, suffix string, kind RequestKind, target string, due time.Time) bool {
 	key := fmt.Sprintf("r%d-%d", g.options.Seed, number)
 	name := key + suffix
 	body := ""
@@ -219,7 +222,7 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, kind.Method, "http://"+target+kind.Path, strings.NewReader(body))
 	if err != nil {
-		g.note(kind, Outcome{Name: name}, 0, 0, false, err.Error())
+		g.record(kind, Outcome{Name: name}, 0, 0, false, err.Error())
 		return false
 	}
 	request.Header.Set(backendstub.HeaderRunCount, name)
@@ -229,37 +232,38 @@
 	if kind.TenantKey != "" {
 		request.Header.Set(identity.HeaderAuthorization, identity.AuthScheme+" "+kind.TenantKey)
 	}
-	// The transport must not resend what it cannot know to be safe.
+	// Without GetBody, the transport cannot resend a request that has a body, which
+	// would count as one request here but might run twice.
 	request.GetBody = nil
 	response, err := g.client.Do(request)
 	if err != nil {
-		g.note(kind, Outcome{Name: name, Run: resultcode.Unknown}, 0, 0, false, err.Error())
+		g.record(kind, Outcome{Name: name, Run: resultcode.Unknown}, 0, 0, false, err.Error())
 		return false
 	}
 	defer response.Body.Close()
-	text, readErr := io.ReadAll(response.Body)
-	latency := time.Since(intended)
-	code := codeOf(response)
+	received, readErr := io.ReadAll(response.Body)
+	latency := time.Since(due)
+	code := parseCode(response)
 	outcome := Outcome{Name: name, Run: resultcode.RunState(response.Header.Get(resultcode.HeaderRun))}
 	if outcome.Run == "" {
-		outcome.Run = resultcode.Run // asked a back end directly
+		outcome.Run = resultcode.Run // sent to a back end directly
 	}
-	ran := name
+	executed := name
 	if code == resultcode.Replayed {
-		ran = key // the answer is that of the first attempt
+		executed = key // the replayed response names the first request
 	}
-	expected := fmt.Sprintf("%s %s %s %s\n", kind.Method, kind.Path, ran, body)
-	whole := readErr == nil && response.StatusCode == http.StatusOK && string(text) == expected
-	outcome.WrongResponse = readErr == nil && response.StatusCode == http.StatusOK && string(text) != expected
+	expected := fmt.Sprintf("%s %s %s %s\n", kind.Method, kind.Path, executed, body)
+	complete := readErr == nil && response.StatusCode == http.StatusOK && string(received) == expected
+	outcome.WrongResponse = readErr == nil && response.StatusCode == http.StatusOK && string(received) != expected
 	failure := ""
-	if !whole {
-		failure = fmt.Sprintf("%s: status %d, code %d, error %v, body %.200q", name, response.StatusCode, code, readErr, text)
+	if !complete {
+		failure = fmt.Sprintf("%s: status %d, code %d, error %v, body %.200q", name, response.StatusCode, code, readErr, received)
 	}
-	g.note(kind, outcome, code, latency, whole, failure)
-	return whole
+	g.record(kind, outcome, code, latency, complete, failure)
+	return complete
 }
 
-func codeOf(response *http.Response) resultcode.Code {
+func parseCode(response *http.Response) resultcode.Code {
 	number, err := strconv.Atoi(response.Header.Get(resultcode.HeaderCode))
 	if err != nil {
 		return 0
@@ -267,7 +271,7 @@
 	return resultcode.Code(number)
 }
 
-func (g *generator) note(kind RequestKind, outcome Outcome, code resultcode.Code, latency time.Duration, whole bool, failure string) {
+func (g *generator) record(kind RequestKind, outcome Outcome, code resultcode.Code, latency time.Duration, complete bool, failure string) {
 	r := g.result
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -278,12 +282,12 @@
 	if outcome.WrongResponse {
 		r.WrongResponses++
 	}
-	if !whole {
+	if !complete {
 		if code == resultcode.Answered || code == 0 {
 			r.Aborted++
 		}
-		if r.firstFail == "" {
-			r.firstFail = failure
+		if r.firstFailure == "" {
+			r.firstFailure = failure
 		}
 		return
 	}
@@ -293,7 +297,7 @@
 		histogram = newHistogram()
 		r.perKind[kind.Name] = histogram
 	}
-	// Values above the highest are dropped by the histogram; none lasts so long.
+	// The histogram drops latencies above its maximum, which no request reaches.
 	_ = r.Latency.RecordValue(latency.Microseconds())
 	_ = histogram.RecordValue(latency.Microseconds())
 }
--- a/lab/weighted/weighted.go
+++ b/lab/weighted/weighted.go
@@ -1,10 +1,10 @@
-// Package weighted draws from a list by shares.
+// Package weighted makes weighted random choices.
 package weighted
 
 import "math/rand/v2"
 
-// Draw returns one of the choices, each as often as its share of the sum says.
-// There must be at least one.
+// Draw returns a random choice, each with a probability of its share divided by
+// the sum of all shares. There must be at least one choice.
 func Draw[T any](random *rand.Rand, choices []T, share func(T) float64) T {
 	total := 0.0
 	for _, choice := range choices {
