--- a/lab/simulation/pattern.go
+++ b/lab/simulation/pattern.go
@@ -56,8 +56,8 @@
 	LogSigma      float64         `toml:"spread"` // standard deviation of the logarithm of the service time
 	Objective     config.Duration `toml:"objective"`
 	Deadline      config.Duration `toml:"deadline"`
-	CallerRetries int             `toml:"retries"`  // of the caller
-	MaxAttempts   int             `toml:"attempts"` // of the daemon
+	CallerRetries int             `toml:"retries"`  // of one request by the caller
+	MaxAttempts   int             `toml:"attempts"` // at back ends, by the daemon, per try
 	// ImmediateRetryShare is the share of the retries that ignore Retry-After.
 	ImmediateRetryShare float64 `toml:"impatient"`
 }
@@ -68,14 +68,14 @@
 	return time.Duration(factor * float64(c.Work))
 }
 
-// The kinds of events. Share is of the back ends that there are.
+// The kinds of events. Share is a share of the existing back ends.
 const (
 	eventBurst  = "burst"  // the arrival rate is Factor times as high
 	eventSlow   = "slow"   // a Share of them serves requests Factor times as slowly
 	eventShed   = "shed"   // a Share of them rejects the share Factor of their requests
 	eventGone   = "gone"   // a Share of them fails every request without running it
 	eventForget = "forget" // the dispatcher is replaced by one without any state
-	eventJoin   = "join"   // a Share of new ones joins, slowed down by Factor for Duration
+	eventJoin   = "join"   // new ones join, as many as Share says, slowed down by Factor for Duration
 	// A Share of them is evacuated for Duration and returns cold, slowed down by Factor.
 	eventEvacuate = "evacuate"
 )
--- a/lab/simulation/simulation_test.go
+++ b/lab/simulation/simulation_test.go
@@ -48,7 +48,7 @@
 }
 
 // TestRejectingServer has one of ten back ends reject every request from second 3 to 8: it
-// must get few requests meanwhile, and its share again afterwards.
+// must get less than 1% of the requests meanwhile and more than 5% again afterwards.
 func TestRejectingServer(t *testing.T) {
 	scenario := priceQuery(0.7, 20*time.Second)
 	scenario.Faults = []simulation.Fault{{Kind: simulation.FaultReject, Worker: 4, From: 3 * time.Second, Until: 8 * time.Second}}
