--- a/lab/backendstub/stub.go
+++ b/lab/backendstub/stub.go
@@ -23,42 +23,42 @@
 
 // Paths of the stand-in besides its work.
 const (
-	PathLoad   = "/load"
-	PathStream = "/stream" // ?pieces=N&every=DURATION
-	PathEcho   = "/echo"
-	PathUpper  = "/upgrade"
+	PathLoad    = "/load"
+	PathStream  = "/stream" // ?pieces=N&every=DURATION
+	PathEcho    = "/echo"
+	PathUpgrade = "/upgrade"
 )
 
-// HeaderRunCount is the header by which a request names itself, so that the
+// HeaderRequestName is the header by which a request names itself, so that the
 // back end can count how often it ran.
-const HeaderRunCount = "Lab-Request"
+const HeaderRequestName = "Lab-Request"
 
 // Fault is a way to misbehave.
 type Fault string
 
 // The faults.
 const (
-	FaultNone        Fault = ""
-	FaultRejectAll   Fault = "reject-all"   // 503 at once
-	FaultError       Fault = "error"        // 500 at once
-	FaultCloseEarly  Fault = "close-early"  // closes in the middle of the body
-	FaultCloseFirst  Fault = "close-first"  // closes before any answer
-	FaultWrongLength Fault = "wrong-length" // says more bytes than it sends
-	FaultExtraBytes  Fault = "extra-bytes"  // sends a second answer nobody asked for
-	FaultUnframed    Fault = "unframed"     // neither length nor chunks
-	FaultFreeze      Fault = "freeze"       // takes requests and never answers
+	FaultNone                Fault = ""
+	FaultRejectAll           Fault = "reject-all"   // 503 at once
+	FaultError               Fault = "error"        // 500 at once
+	FaultCloseMidBody        Fault = "close-early"  // closes in the middle of the body
+	FaultCloseBeforeResponse Fault = "close-first"  // closes before any answer
+	FaultWrongLength         Fault = "wrong-length" // says more bytes than it sends
+	FaultExtraResponse       Fault = "extra-bytes"  // sends a second answer nobody asked for
+	FaultUnframed            Fault = "unframed"     // neither length nor chunks
+	FaultFreeze              Fault = "freeze"       // takes requests and never answers
 )
 
 // Options are a stand-in's settings.
 type Options struct {
-	Slots    int
-	Work     time.Duration // mean time of one request
-	Fixed    bool          // every request takes the mean; false: exponential
-	Seed     uint64
-	Probe    time.Duration // slot time of one look at PathLoad
-	Slowdown float64       // factor while a neighbour is noisy; 0: none
-	Noisy    time.Duration // mean length of a noisy spell
-	Quiet    time.Duration // mean time between spells
+	Slots            int
+	MeanServiceTime  time.Duration // mean time of one request
+	FixedServiceTime bool          // every request takes the mean; false: exponential
+	Seed             uint64
+	ProbeTime        time.Duration // slot time of one look at PathLoad
+	Slowdown         float64       // factor while a neighbour is noisy; 0: none
+	MeanNoisyPeriod  time.Duration // mean length of a noisy spell
+	MeanQuietPeriod  time.Duration // mean time between spells
 }
 
 // Stub is one back end. It is safe for concurrent use.
@@ -101,8 +101,8 @@
 	s.fault = fault
 }
 
-// SetSlow makes every request take factor times as long.
-func (s *Stub) SetSlow(factor float64) {
+// SetSlowdown makes every request take factor times as long.
+func (s *Stub) SetSlowdown(factor float64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.slow = factor
@@ -115,15 +115,15 @@
 	s.draining = draining
 }
 
-// SetLie adds to the load the back end reports.
-func (s *Stub) SetLie(added int) {
+// SetLoadOffset adds to the load the back end reports.
+func (s *Stub) SetLoadOffset(added int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.lie = added
 }
 
-// SetLimit makes the back end say how many requests a second it takes; empty: it says nothing.
-func (s *Stub) SetLimit(perSecond string) {
+// SetRequestLimit makes the back end say how many requests a second it takes; empty: it says nothing.
+func (s *Stub) SetRequestLimit(perSecond string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.limit = perSecond
@@ -151,29 +151,29 @@
 	return s.pushback.retryAfter, s.pushback.every > 0 && s.pushback.requests%s.pushback.every == 0
 }
 
-// Total returns how many requests ran.
-func (s *Stub) Total() int {
+// TotalRuns returns how many requests ran.
+func (s *Stub) TotalRuns() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.total
 }
 
-// Probes returns when the load endpoint was asked.
-func (s *Stub) Probes() []time.Time {
+// ProbeTimes returns when the load endpoint was asked.
+func (s *Stub) ProbeTimes() []time.Time {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return append([]time.Time(nil), s.probes...)
 }
 
-// Runs returns how often each named request ran.
-func (s *Stub) Runs() map[string]int {
+// RunsByRequest returns how often each named request ran.
+func (s *Stub) RunsByRequest() map[string]int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return maps.Clone(s.runs)
 }
 
-// Keys returns how often the operation of each key ran.
-func (s *Stub) Keys() map[string]int {
+// RunsByKey returns how often the operation of each key ran.
+func (s *Stub) RunsByKey() map[string]int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return maps.Clone(s.keys)
@@ -185,7 +185,7 @@
 	mux.HandleFunc(PathLoad, s.load)
 	mux.HandleFunc(PathStream, s.stream)
 	mux.HandleFunc("/{service}"+PathStream, s.stream)
-	mux.HandleFunc(PathUpper, s.upgrade)
+	mux.HandleFunc(PathUpgrade, s.upgrade)
 	mux.HandleFunc("/", s.work)
 	return mux
 }
@@ -224,8 +224,8 @@
 			scale *= s.options.Slowdown
 		}
 	}
-	length := float64(s.options.Work)
-	if !s.options.Fixed {
+	length := float64(s.options.MeanServiceTime)
+	if !s.options.FixedServiceTime {
 		length *= s.random.ExpFloat64()
 	}
 	return time.Duration(length * scale)
@@ -234,13 +234,13 @@
 // flip moves the noisy neighbour on to the present.
 func (s *Stub) flip(now time.Time) {
 	if s.nextFlip.IsZero() {
-		s.nextFlip = now.Add(s.spell(s.options.Quiet))
+		s.nextFlip = now.Add(s.spell(s.options.MeanQuietPeriod))
 	}
 	for !now.Before(s.nextFlip) {
 		s.noisy = !s.noisy
-		mean := s.options.Quiet
+		mean := s.options.MeanQuietPeriod
 		if s.noisy {
-			mean = s.options.Noisy
+			mean = s.options.MeanNoisyPeriod
 		}
 		s.nextFlip = s.nextFlip.Add(s.spell(mean))
 	}
@@ -266,7 +266,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.total++
-	if name := r.Header.Get(HeaderRunCount); name != "" {
+	if name := r.Header.Get(HeaderRequestName); name != "" {
 		s.runs[name]++
 	}
 	if key := r.Header.Get(policy.HeaderIdempotencyKey); key != "" {
@@ -304,7 +304,7 @@
 	if !wait.Sleep(r.Context(), s.duration(time.Now())) {
 		return
 	}
-	answer := fmt.Sprintf("%s %s %s %s\n", r.Method, r.URL.Path, r.Header.Get(HeaderRunCount), body)
+	answer := fmt.Sprintf("%s %s %s %s\n", r.Method, r.URL.Path, r.Header.Get(HeaderRequestName), body)
 	if fault == FaultNone {
 		w.Header().Set("Content-Length", strconv.Itoa(len(answer)))
 		_, _ = io.WriteString(w, answer)
@@ -322,7 +322,7 @@
 	defer conn.Close()
 	writeBroken(buffered.Writer, fault, answer)
 	_ = buffered.Flush()
-	if fault == FaultExtraBytes {
+	if fault == FaultExtraResponse {
 		// The connection stays open, so that the extra answer can do harm.
 		waitForPeer(conn)
 	}
@@ -330,11 +330,11 @@
 
 func writeBroken(w *bufio.Writer, fault Fault, answer string) {
 	switch fault {
-	case FaultCloseEarly:
+	case FaultCloseMidBody:
 		fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(answer), answer)
 	case FaultWrongLength:
 		fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(answer)+10, answer)
-	case FaultExtraBytes:
+	case FaultExtraResponse:
 		fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(answer), answer)
 		other := "the answer of somebody else\n"
 		fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(other), other)
@@ -364,7 +364,7 @@
 		return
 	}
 	defer s.leave()
-	wait.Sleep(r.Context(), s.options.Probe)
+	wait.Sleep(r.Context(), s.options.ProbeTime)
 	w.WriteHeader(http.StatusOK)
 }
 
--- a/lab/datapath/datapath.go
+++ b/lab/datapath/datapath.go
@@ -81,9 +81,9 @@
 
 func measure(ctx context.Context, work workload, options Options) (Result, error) {
 	deployment, err := site.Start(ctx, site.Options{
-		Zones: []string{"zone-a"}, Daemons: 1, Decisions: work.logDecisions, LogLevel: "info", LogTo: io.Discard,
+		Zones: []string{"zone-a"}, Daemons: 1, Decisions: work.logDecisions, LogLevel: "info", LogOutput: io.Discard,
 		Services: []site.Service{{
-			Declared: config.Service{Name: "work", Slots: 64}, Backends: work.backends, Backend: backendstub.Options{Slots: 64, Fixed: true},
+			Config: config.Service{Name: "work", Slots: 64}, Backends: work.backends, Backend: backendstub.Options{Slots: 64, FixedServiceTime: true},
 		}},
 	})
 	if err != nil {
@@ -115,9 +115,9 @@
 }
 
 func (m *measurement) add(ctx context.Context, options load.Options) {
-	before := usage.Processor()
+	before := usage.CPUTime()
 	result := load.Run(ctx, options)
-	m.cpuTime += usage.Processor() - before
+	m.cpuTime += usage.CPUTime() - before
 	m.elapsed += result.Elapsed
 	m.requests += result.Answered
 	m.p50 = append(m.p50, milliseconds(result.Quantile(50)))
--- a/lab/datapath/datapath_test.go
+++ b/lab/datapath/datapath_test.go
@@ -16,7 +16,7 @@
 func BenchmarkRequest(b *testing.B) {
 	deployment, err := site.Start(b.Context(), site.Options{
 		Zones: []string{"zone-a"}, Daemons: 1,
-		Services: []site.Service{{Declared: config.Service{Name: "work"}, Backends: 1, Backend: backendstub.Options{Fixed: true}}},
+		Services: []site.Service{{Config: config.Service{Name: "work"}, Backends: 1, Backend: backendstub.Options{FixedServiceTime: true}}},
 	})
 	if err != nil {
 		b.Fatal(err)
--- a/lab/fakenet/fakenet.go
+++ b/lab/fakenet/fakenet.go
@@ -75,15 +75,15 @@
 	return netip.AddrPortFrom(n.Host(name).ip, 0).String()
 }
 
-// Sent returns the bytes the host has written to connections.
-func (h *Host) Sent() int64 { return h.sent.Load() }
+// BytesSent returns the bytes the host has written to connections.
+func (h *Host) BytesSent() int64 { return h.sent.Load() }
 
 // Connections returns how many connections the host has opened and accepted.
 func (h *Host) Connections() int64 { return h.dials.Load() + h.accepts.Load() }
 
-// SetCut cuts two hosts off from each other, or joins them. Connections between
+// SetPartitioned cuts two hosts off from each other, or joins them. Connections between
 // them break when they are cut.
-func (n *Net) SetCut(a, b string, cut bool) {
+func (n *Net) SetPartitioned(a, b string, cut bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.cut[[2]string{a, b}], n.cut[[2]string{b, a}] = cut, cut
@@ -98,17 +98,17 @@
 	}
 }
 
-// SetRule cuts off all pairs of hosts for which rule says so; nil lifts that.
+// SetPartitionRule cuts off all pairs of hosts for which rule says so; nil lifts that.
 // Connections under way are not broken.
-func (n *Net) SetRule(rule func(a, b string) bool) {
+func (n *Net) SetPartitionRule(rule func(a, b string) bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.rule = rule
 }
 
-// SetRefusals lets connections from host a to host b be refused for which refusals says so, as a
+// SetRefusalRule lets connections from host a to host b be refused for which refusals says so, as a
 // firewall does; nil lifts that. Connections under way are not broken.
-func (n *Net) SetRefusals(refusals func(a, b string) bool) {
+func (n *Net) SetRefusalRule(refusals func(a, b string) bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.refusals = refusals
--- a/lab/labcommand/agree.go
+++ b/lab/labcommand/agree.go
@@ -74,7 +74,7 @@
 	for _, itself := range []bool{true, false} {
 		running, err := site.Start(ctx, site.Options{
 			Zones: []string{"zone-a"}, Daemons: agreeDaemons,
-			Services: []site.Service{{Declared: config.Service{Name: "price-query", Direct: itself}, Backends: agreeBackends, Backend: noisy(agreeWork)}},
+			Services: []site.Service{{Config: config.Service{Name: "price-query", Direct: itself}, Backends: agreeBackends, Backend: noisy(agreeWork)}},
 		})
 		if err != nil {
 			return 0, 0, err
--- a/lab/labcommand/demo.go
+++ b/lab/labcommand/demo.go
@@ -74,7 +74,7 @@
 				stop()
 				return nil, err
 			}
-			stub := backendstub.New(backendstub.Options{Work: 5 * time.Millisecond, Seed: uint64(len(servers))})
+			stub := backendstub.New(backendstub.Options{MeanServiceTime: 5 * time.Millisecond, Seed: uint64(len(servers))})
 			server := &http.Server{Handler: stub.Handler()}
 			servers[placed.Address] = server
 			go func() { _ = server.Serve(listener) }()
--- a/lab/labcommand/serve.go
+++ b/lab/labcommand/serve.go
@@ -61,10 +61,10 @@
 
 // Execute implements flags.Commander.
 func (c *backendServe) Execute([]string) error {
-	stub := backendstub.New(backendstub.Options{Slots: c.Slots, Work: c.Work, Seed: c.Seed})
+	stub := backendstub.New(backendstub.Options{Slots: c.Slots, MeanServiceTime: c.Work, Seed: c.Seed})
 	stub.SetFault(backendstub.Fault(c.Fault))
 	stub.SetDraining(c.Drain)
-	stub.SetLimit(c.Limit)
+	stub.SetRequestLimit(c.Limit)
 	if c.Pause != "" {
 		stub.SetPushback(c.Pause, c.Every)
 	}
--- a/lab/labcommand/site.go
+++ b/lab/labcommand/site.go
@@ -17,7 +17,7 @@
 
 // noisy is a back end with a neighbour that slows it threefold a tenth of the time.
 func noisy(work time.Duration) backendstub.Options {
-	return backendstub.Options{Slots: slotsEach, Work: work, Probe: probeCost, Seed: 7, Slowdown: 3, Noisy: 50 * time.Millisecond, Quiet: 450 * time.Millisecond}
+	return backendstub.Options{Slots: slotsEach, MeanServiceTime: work, ProbeTime: probeCost, Seed: 7, Slowdown: 3, MeanNoisyPeriod: 50 * time.Millisecond, MeanQuietPeriod: 450 * time.Millisecond}
 }
 
 // A back end at Kingston, what a probe takes there, and the budget.
@@ -49,17 +49,17 @@
 func (d deployment) services() []site.Service {
 	return []site.Service{
 		{
-			Declared: probed(config.Service{Name: d.reads, PathPrefix: "/" + d.reads, Policy: "reads"}),
+			Config:   probed(config.Service{Name: d.reads, PathPrefix: "/" + d.reads, Policy: "reads"}),
 			Policy:   config.Policy{Name: "reads", Source: policy.Source{Class: `"read"`, Weight: "100", Retry: "true", Deadline: `duration("2s")`}},
 			Backends: d.readers, Backend: noisy(5 * time.Millisecond),
 		},
 		{
-			Declared: probed(config.Service{Name: d.changes, PathPrefix: "/" + d.changes, Policy: "changes", RefusalStatus: http.StatusServiceUnavailable}),
+			Config:   probed(config.Service{Name: d.changes, PathPrefix: "/" + d.changes, Policy: "changes", RefusalStatus: http.StatusServiceUnavailable}),
 			Policy:   config.Policy{Name: "changes", Source: policy.Source{Class: `"change"`, Weight: "200", Once: "true", Deadline: `duration("5s")`}},
 			Backends: d.changers, Backend: noisy(10 * time.Millisecond),
 		},
 		{
-			Declared: probed(config.Service{Name: d.archives, PathPrefix: "/" + d.archives, Policy: "batch"}),
+			Config:   probed(config.Service{Name: d.archives, PathPrefix: "/" + d.archives, Policy: "batch"}),
 			Policy:   config.Policy{Name: "batch", Source: policy.Source{Class: `"batch"`, Weight: "1", Retry: "true", Wait: `duration("30s")`, Deadline: `duration("60s")`}},
 			Backends: d.keepers, Backend: noisy(40 * time.Millisecond),
 		},
@@ -89,9 +89,9 @@
 	defer cancel()
 	chosen := deployments[c.Site]
 	fmt.Fprintf(c.out, "starting: platform, 3 zones, 4 daemons, %d back ends\n", chosen.readers+chosen.changers+chosen.keepers)
-	options := site.Options{Zones: []string{"zone-a", "zone-b", "zone-c"}, Daemons: 4, Services: chosen.services(), Notice: 500 * time.Millisecond}
+	options := site.Options{Zones: []string{"zone-a", "zone-b", "zone-c"}, Daemons: 4, Services: chosen.services(), StopNotice: 500 * time.Millisecond}
 	if c.Verbose {
-		options.LogTo, options.LogLevel, options.Decisions = c.out, "info", true
+		options.LogOutput, options.LogLevel, options.Decisions = c.out, "info", true
 	}
 	running, err := site.Start(ctx, options)
 	if err != nil {
@@ -126,11 +126,11 @@
 	}
 	fmt.Fprintln(c.out, "decisions (requests run at each back end):")
 	for _, one := range running.Backends {
-		fmt.Fprintf(c.out, "  %-16s %s %d\n", one.ID, one.Zone, one.Stub.Total())
+		fmt.Fprintf(c.out, "  %-16s %s %d\n", one.ID, one.Zone, one.Stub.TotalRuns())
 	}
 	probes := 0
 	for _, one := range running.Backends {
-		probes += len(one.Stub.Probes())
+		probes += len(one.Stub.ProbeTimes())
 	}
 	slotTime := result.Elapsed.Seconds() * float64(len(running.Backends)*slotsEach)
 	fmt.Fprintf(c.out, "probes: %d, %.3f%% of slot time\n", probes, 100*float64(probes)*probeCost.Seconds()/slotTime)
@@ -145,7 +145,7 @@
 		fmt.Fprintln(c.out, line)
 	}
 	duplicates := 0
-	for _, count := range running.Keys() {
+	for _, count := range running.RunsByKey() {
 		if count > 1 {
 			duplicates++
 		}
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -225,7 +225,7 @@
 		g.record(kind, Outcome{Name: name}, 0, 0, false, err.Error())
 		return false
 	}
-	request.Header.Set(backendstub.HeaderRunCount, name)
+	request.Header.Set(backendstub.HeaderRequestName, name)
 	if kind.WithIdempotencyKey {
 		request.Header.Set(policy.HeaderIdempotencyKey, key)
 	}
--- a/lab/objectstub/crash_test.go
+++ b/lab/objectstub/crash_test.go
@@ -74,7 +74,7 @@
 			f.store.SetFaults(objectstub.Faults{Down: true})
 		}, 7},
 		{"answers of the store are lost", path, func(f *fleet, r *repeater) {
-			f.store.SetFaults(objectstub.Faults{LoseAnswers: 3})
+			f.store.SetFaults(objectstub.Faults{DropResponses: 3})
 			time.Sleep(8 * time.Second)
 			r.pause()
 			f.startAnew()
@@ -121,9 +121,9 @@
 			// Four at once end four back ends in one moment, which counts as one.
 		}, 13},
 		{"half of the daemons are cut off from the others", path, func(f *fleet, _ *repeater) {
-			f.net.SetRule(func(a, b string) bool { return isLeft(a) && isRight(b) || isRight(a) && isLeft(b) })
+			f.net.SetPartitionRule(func(a, b string) bool { return isLeft(a) && isRight(b) || isRight(a) && isLeft(b) })
 			time.Sleep(8 * time.Second)
-			f.net.SetRule(nil)
+			f.net.SetPartitionRule(nil)
 		}, 12},
 	} {
 		t.Run(one.name, func(t *testing.T) {
@@ -174,20 +174,20 @@
 		{"connections to back ends are reset", func(f *fleet, backends []*mortal) {
 			for round := range 100 {
 				for number := range daemons {
-					f.net.SetCut(hostOf(number), hostOfMortal(backends[round%len(backends)].name), true)
-					f.net.SetCut(hostOf(number), hostOfMortal(backends[round%len(backends)].name), false)
+					f.net.SetPartitioned(hostOf(number), hostOfMortal(backends[round%len(backends)].name), true)
+					f.net.SetPartitioned(hostOf(number), hostOfMortal(backends[round%len(backends)].name), false)
 				}
 				time.Sleep(150 * time.Millisecond)
 			}
 		}, 0.95},
 		{"a firewall refuses one daemon's connections to all back ends", func(f *fleet, backends []*mortal) {
-			f.net.SetRefusals(func(a, b string) bool { return a == hostOf(0) && strings.HasPrefix(b, hostOfMortal("")) })
+			f.net.SetRefusalRule(func(a, b string) bool { return a == hostOf(0) && strings.HasPrefix(b, hostOfMortal("")) })
 			for round := range 20 {
-				f.net.SetCut(hostOf(0), hostOfMortal(backends[round%len(backends)].name), true)
-				f.net.SetCut(hostOf(0), hostOfMortal(backends[round%len(backends)].name), false)
+				f.net.SetPartitioned(hostOf(0), hostOfMortal(backends[round%len(backends)].name), true)
+				f.net.SetPartitioned(hostOf(0), hostOfMortal(backends[round%len(backends)].name), false)
 				time.Sleep(500 * time.Millisecond)
 			}
-			f.net.SetRefusals(nil)
+			f.net.SetRefusalRule(nil)
 		}, 0.7},
 		{"back ends go dark", func(f *fleet, backends []*mortal) {
 			for round := range 10 {
--- a/lab/objectstub/evacuation_test.go
+++ b/lab/objectstub/evacuation_test.go
@@ -68,14 +68,14 @@
 var evacuationTroubles = []evacuationTrouble{
 	{name: "calm", excused: calmEvacuation},
 	{name: "watches are deaf and history is dropped", excused: evacuationBound,
-		before: func(f *fleet) { f.store.SetFaults(objectstub.Faults{Deaf: true}) },
+		before: func(f *fleet) { f.store.SetFaults(objectstub.Faults{StallWatches: true}) },
 		after: func(f *fleet) {
 			time.Sleep(time.Second)
 			f.store.Compact()
 			f.store.SetFaults(objectstub.Faults{})
 		}},
 	{name: "the store is down from then on", excused: 4*time.Second + contact,
-		before: func(f *fleet) { f.store.SetFaults(objectstub.Faults{Deaf: true}) },
+		before: func(f *fleet) { f.store.SetFaults(objectstub.Faults{StallWatches: true}) },
 		after: func(f *fleet) {
 			f.store.SetFaults(objectstub.Faults{Down: true})
 			time.Sleep(4 * time.Second)
@@ -186,10 +186,10 @@
 	runFleet(t, 12, 1, func(f *fleet) {
 		const span = 30 * time.Second
 		time.Sleep(10 * time.Second)
-		require.Equal(t, watchers, f.store.Lists("evacuations"), "only those who watch list them, once")
-		before, calls := f.store.Watches("evacuations"), f.store.Watches("config")
+		require.Equal(t, watchers, f.store.ListCalls("evacuations"), "only those who watch list them, once")
+		before, calls := f.store.WatchCalls("evacuations"), f.store.WatchCalls("config")
 		time.Sleep(span)
-		watches, configuration := f.store.Watches("evacuations")-before, f.store.Watches("config")-calls
+		watches, configuration := f.store.WatchCalls("evacuations")-before, f.store.WatchCalls("config")-calls
 		t.Log("watches in", span, "evacuations", watches, "configuration", configuration)
 		require.LessOrEqual(t, 3*watches, 2*configuration)
 	})
--- a/lab/objectstub/leaving_test.go
+++ b/lab/objectstub/leaving_test.go
@@ -96,7 +96,7 @@
 			time.Sleep(5 * time.Second)
 			f.store.SetFaults(objectstub.Faults{})
 		}},
-		{name: "watches of the store are deaf", plays: func(f *fleet, _ *randomLoad) { f.store.SetFaults(objectstub.Faults{Deaf: true}) }},
+		{name: "watches of the store are deaf", plays: func(f *fleet, _ *randomLoad) { f.store.SetFaults(objectstub.Faults{StallWatches: true}) }},
 		{name: "the store says again that it is ready", plays: func(f *fleet, _ *randomLoad) {
 			for range 3 {
 				f.announce(f.workers[0], "ready")
--- a/lab/objectstub/limit_test.go
+++ b/lab/objectstub/limit_test.go
@@ -364,11 +364,11 @@
 		case 3:
 			alone := f.daemons[random.IntN(len(f.daemons))].Addresses().Peer
 			host := f.hostAt(alone)
-			f.net.SetRule(func(a, b string) bool {
+			f.net.SetPartitionRule(func(a, b string) bool {
 				return (a == host || b == host) && strings.HasPrefix(a, "edge-") && strings.HasPrefix(b, "edge-")
 			})
 			time.Sleep(time.Duration(500+random.IntN(6000)) * time.Millisecond)
-			f.net.SetRule(nil)
+			f.net.SetPartitionRule(nil)
 		case 4:
 			one := f.workers[2+random.IntN(len(f.workers)-2)]
 			one.change(func() { one.refuse = true })
--- a/lab/objectstub/news_test.go
+++ b/lab/objectstub/news_test.go
@@ -35,7 +35,7 @@
 	run(t, 2, func(f *fleet) {
 		f.configure("/two/")
 		require.Less(t, f.awaitRoute("/two/safe/"), 200*time.Millisecond)
-		f.store.SetFaults(objectstub.Faults{Deaf: true})
+		f.store.SetFaults(objectstub.Faults{StallWatches: true})
 		f.configure("/three/")
 		f.store.Compact()
 		require.Less(t, f.awaitRoute("/three/safe/"), 2*time.Second)
@@ -157,12 +157,12 @@
 		time.Sleep(time.Second)
 		f.announce(f.workers[1], "draining")
 		require.Less(t, f.inForce(f.store.Revision()), 250*time.Millisecond)
-		listed := f.store.Lists("servers")
+		listed := f.store.ListCalls("servers")
 		f.powerOff(func(one *daemon.Daemon, _ int) bool { return one.Status(f.t.Context()).Watching })
 		f.announce(f.workers[0], "ready")
 		require.Less(t, f.inForce(f.store.Revision()), 1500*time.Millisecond)
 		time.Sleep(time.Second)
-		require.Equal(t, listed, f.store.Lists("servers"))
+		require.Equal(t, listed, f.store.ListCalls("servers"))
 	})
 }
 
--- a/lab/objectstub/older_rollout_test.go
+++ b/lab/objectstub/older_rollout_test.go
@@ -32,11 +32,11 @@
 				stop := f.steadyLoad(100)
 				defer stop()
 				time.Sleep(time.Second)
-				copied := f.store.Copy()
+				copied := f.store.Snapshot()
 				started := f.newVersion(half)
 				if one.copied > 0 {
 					time.Sleep(one.copied)
-					copied = f.store.Copy()
+					copied = f.store.Snapshot()
 				}
 				f.awaitState("rolled_back")
 				time.Sleep(2 * time.Second)
@@ -64,7 +64,7 @@
 }
 
 // storeComesBackWith lets the store come back from a copy, to which back ends then write their entries again.
-func (f *fleet) storeComesBackWith(copied objectstub.Copy, again []*worker) {
+func (f *fleet) storeComesBackWith(copied objectstub.Snapshot, again []*worker) {
 	f.storeComesBack(copied)
 	time.Sleep(time.Second)
 	for _, one := range again {
--- a/lab/objectstub/older_test.go
+++ b/lab/objectstub/older_test.go
@@ -34,7 +34,7 @@
 // comesBackOlder lets the store be away and come back from a copy, to which the operator has
 // since added so many versions of the configuration. It returns the last of these, which is in force.
 func (f *fleet) comesBackOlder(versions int, meanwhile func()) uint64 {
-	copied := f.store.Copy()
+	copied := f.store.Snapshot()
 	for range versions {
 		f.configureNext()
 		time.Sleep(copyAge / time.Duration(versions))
@@ -47,10 +47,10 @@
 }
 
 // storeComesBack lets the store be away for a moment and come back from a copy.
-func (f *fleet) storeComesBack(from objectstub.Copy) {
+func (f *fleet) storeComesBack(from objectstub.Snapshot) {
 	f.store.SetFaults(objectstub.Faults{Down: true})
 	time.Sleep(storeAway)
-	f.store.ComeBackOlder(from)
+	f.store.RollBack(from)
 	f.store.SetFaults(objectstub.Faults{})
 }
 
@@ -153,7 +153,7 @@
 	defer f.light(requestGap)()
 	c.before(f)
 	time.Sleep(2 * time.Second)
-	copied := f.store.Copy()
+	copied := f.store.Snapshot()
 	time.Sleep(time.Second)
 	c.change(f)
 	time.Sleep(evacuationBound)
@@ -182,7 +182,7 @@
 	run(t, 3, func(f *fleet) {
 		f.store.Remove("servers", f.workers[0].id)
 		time.Sleep(2 * time.Second)
-		copied := f.store.Copy()
+		copied := f.store.Snapshot()
 		f.announce(f.workers[0], "ready")
 		time.Sleep(2 * time.Second)
 		f.storeComesBack(copied)
@@ -198,36 +198,36 @@
 var olderTroubles = []struct {
 	name string
 	// plays happens right after the return, and says after how long all daemons are in touch.
-	plays func(f *fleet, copied objectstub.Copy) (inTouch time.Duration)
+	plays func(f *fleet, copied objectstub.Snapshot) (inTouch time.Duration)
 }{
-	{"calm", func(*fleet, objectstub.Copy) time.Duration { return 0 }},
-	{"daemons start meanwhile", func(f *fleet, _ objectstub.Copy) time.Duration {
+	{"calm", func(*fleet, objectstub.Snapshot) time.Duration { return 0 }},
+	{"daemons start meanwhile", func(f *fleet, _ objectstub.Snapshot) time.Duration {
 		f.restart(0)
 		f.restart(0)
 		return contact
 	}},
-	{"it comes back older twice", func(f *fleet, copied objectstub.Copy) time.Duration {
+	{"it comes back older twice", func(f *fleet, copied objectstub.Snapshot) time.Duration {
 		time.Sleep(time.Second)
 		f.storeComesBack(copied)
 		return 0
 	}},
-	{"one daemon is kept away from the others and the store", func(f *fleet, _ objectstub.Copy) time.Duration {
-		f.net.SetRule(func(a, b string) bool {
+	{"one daemon is kept away from the others and the store", func(f *fleet, _ objectstub.Snapshot) time.Duration {
+		f.net.SetPartitionRule(func(a, b string) bool {
 			isCaller := strings.HasPrefix(a, "callers") || strings.HasPrefix(b, "callers")
 			return !isCaller && (a == hostOf(1)) != (b == hostOf(1)) && !strings.HasPrefix(a, "i-") && !strings.HasPrefix(b, "i-")
 		})
 		time.Sleep(4 * time.Second)
-		f.net.SetRule(nil)
+		f.net.SetPartitionRule(nil)
 		return contact
 	}},
-	{"a daemon is frozen and wakes", func(f *fleet, _ objectstub.Copy) time.Duration {
+	{"a daemon is frozen and wakes", func(f *fleet, _ objectstub.Snapshot) time.Duration {
 		f.net.SetFrozen(hostOf(1), true)
 		time.Sleep(4 * time.Second)
 		f.net.SetFrozen(hostOf(1), false)
 		return contact
 	}},
-	{"watches are deaf and history is dropped", func(f *fleet, _ objectstub.Copy) time.Duration {
-		f.store.SetFaults(objectstub.Faults{Deaf: true})
+	{"watches are deaf and history is dropped", func(f *fleet, _ objectstub.Snapshot) time.Duration {
+		f.store.SetFaults(objectstub.Faults{StallWatches: true})
 		time.Sleep(time.Second)
 		f.store.Compact()
 		f.store.SetFaults(objectstub.Faults{})
@@ -243,7 +243,7 @@
 			run(t, 3, func(f *fleet) {
 				f.configureNext()
 				time.Sleep(time.Second)
-				copied := f.store.Copy()
+				copied := f.store.Snapshot()
 				lost := f.comesBackOlder(3, func() {})
 				time.Sleep(one.plays(f, copied))
 				f.holds(lost, time.Second)
@@ -287,17 +287,17 @@
 	const size = 60
 	runFleet(t, size, 3, func(f *fleet) {
 		f.configureNext()
-		copied := f.store.Copy()
+		copied := f.store.Snapshot()
 		lost := f.comesBackOlder(1, func() {})
 		kinds := []string{"config", "servers", "evacuations"}
 		before := make(map[string]int)
 		for _, kind := range kinds {
-			before[kind] = f.store.Lists(kind)
+			before[kind] = f.store.ListCalls(kind)
 		}
 		f.storeComesBack(copied)
 		f.holds(lost, 5*time.Second)
 		for _, kind := range kinds {
-			require.LessOrEqual(t, f.store.Lists(kind)-before[kind], watchers, kind)
+			require.LessOrEqual(t, f.store.ListCalls(kind)-before[kind], watchers, kind)
 		}
 	})
 }
--- a/lab/objectstub/rollout_test.go
+++ b/lab/objectstub/rollout_test.go
@@ -139,7 +139,7 @@
 			time.Sleep(6 * time.Second)
 			f.store.SetFaults(objectstub.Faults{})
 		}},
-		{"fails half, answers of the store lost", half, func(f *fleet) { f.store.SetFaults(objectstub.Faults{LoseAnswers: 3}) }},
+		{"fails half, answers of the store lost", half, func(f *fleet) { f.store.SetFaults(objectstub.Faults{DropResponses: 3}) }},
 		{"fails half, the dispatcher dies", half, func(f *fleet) {
 			time.Sleep(700 * time.Millisecond)
 			for number, daemon := range f.daemons {
--- a/lab/objectstub/stub.go
+++ b/lab/objectstub/stub.go
@@ -31,10 +31,10 @@
 type Faults struct {
 	// Down refuses every call with 503.
 	Down bool
-	// Deaf watches hear of no change, nor of the end of their wait.
-	Deaf bool
-	// LoseAnswers is how many coming writes take effect without an answer.
-	LoseAnswers int
+	// StallWatches watches hear of no change, nor of the end of their wait.
+	StallWatches bool
+	// DropResponses is how many coming writes take effect without an answer.
+	DropResponses int
 }
 
 // headerEra tells in each answer how often the store has come back older.
@@ -84,15 +84,15 @@
 	return s.calls
 }
 
-// Lists returns how many calls listed a kind.
-func (s *Stub) Lists(kind string) int {
+// ListCalls returns how many calls listed a kind.
+func (s *Stub) ListCalls(kind string) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.lists[kind]
 }
 
-// Watches returns how many calls watched a kind.
-func (s *Stub) Watches(kind string) int {
+// WatchCalls returns how many calls watched a kind.
+func (s *Stub) WatchCalls(kind string) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.watches[kind]
@@ -112,18 +112,18 @@
 	s.history, s.floor = nil, s.revision
 }
 
-// Copy is what the store held at a moment.
-type Copy struct {
+// Snapshot is what the store held at a moment.
+type Snapshot struct {
 	revision, floor uint64
 	kinds           map[string]map[string]Object
 	history         []event
 }
 
-// Copy returns what the store holds now.
-func (s *Stub) Copy() Copy {
+// Snapshot returns what the store holds now.
+func (s *Stub) Snapshot() Snapshot {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return Copy{revision: s.revision, floor: s.floor, kinds: cloneKinds(s.kinds), history: slices.Clone(s.history)}
+	return Snapshot{revision: s.revision, floor: s.floor, kinds: cloneKinds(s.kinds), history: slices.Clone(s.history)}
 }
 
 func cloneKinds(kinds map[string]map[string]Object) map[string]map[string]Object {
@@ -134,12 +134,12 @@
 	return cloned
 }
 
-// ComeBackOlder loses what was written since the copy was taken, and begins the next era: revisions go back, and
+// RollBack loses what was written since the copy was taken, and begins the next era: revisions go back, and
 // are given out again. Watches that wait are cut. It returns what was lost.
-func (s *Stub) ComeBackOlder(from Copy) Lost {
+func (s *Stub) RollBack(from Snapshot) RollbackLoss {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	lost := Lost{before: s.kinds, copied: cloneKinds(from.kinds)}
+	lost := RollbackLoss{before: s.kinds, copied: cloneKinds(from.kinds)}
 	s.era++
 	s.revision, s.floor, s.kinds, s.history = from.revision, from.floor, cloneKinds(from.kinds), slices.Clone(from.history)
 	close(s.changed)
@@ -147,14 +147,14 @@
 	return lost
 }
 
-// Lost is what a store had before it came back older, and what it came back with.
-type Lost struct {
+// RollbackLoss is what a store had before it came back older, and what it came back with.
+type RollbackLoss struct {
 	before, copied map[string]map[string]Object
 }
 
-// WriteAgain writes objects of a kind as they were before the store came back older, as those do who wrote them, unless they were
+// RewriteLost writes objects of a kind as they were before the store came back older, as those do who wrote them, unless they were
 // written since.
-func (s *Stub) WriteAgain(lost Lost, kind string) {
+func (s *Stub) RewriteLost(lost RollbackLoss, kind string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	names := maps.Clone(lost.before[kind])
@@ -221,7 +221,7 @@
 
 func (s *Stub) note(one event) {
 	s.history = append(s.history, one)
-	if !s.faults.Deaf {
+	if !s.faults.StallWatches {
 		close(s.changed)
 		s.changed = make(chan struct{})
 	}
@@ -350,12 +350,12 @@
 func (s *Stub) deaf() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.faults.Deaf
+	return s.faults.StallWatches
 }
 
 // since returns a kind's changes after a revision. The caller holds the mutex.
 func (s *Stub) since(kind string, after uint64) []event {
-	if s.faults.Deaf {
+	if s.faults.StallWatches {
 		return nil
 	}
 	return slices.DeleteFunc(slices.Clone(s.history), func(one event) bool { return one.kind != kind || one.at <= after })
@@ -394,8 +394,8 @@
 
 // acknowledge answers a write that was done, unless its answer is to be lost. The caller holds the mutex.
 func (s *Stub) acknowledge(w http.ResponseWriter, written Object) {
-	if s.faults.LoseAnswers > 0 {
-		s.faults.LoseAnswers--
+	if s.faults.DropResponses > 0 {
+		s.faults.DropResponses--
 		panic(http.ErrAbortHandler)
 	}
 	answer(w, http.StatusOK, written)
--- a/lab/objectstub/troubles_test.go
+++ b/lab/objectstub/troubles_test.go
@@ -48,9 +48,9 @@
 		})
 	}},
 	{name: "half of the daemons are cut off from the others", apart: true, choosers: 2, plays: func(f *fleet, _ *randomLoad) {
-		f.net.SetRule(func(a, b string) bool { return isLeft(a) && isRight(b) || isRight(a) && isLeft(b) })
+		f.net.SetPartitionRule(func(a, b string) bool { return isLeft(a) && isRight(b) || isRight(a) && isLeft(b) })
 		time.Sleep(8 * time.Second)
-		f.net.SetRule(nil)
+		f.net.SetPartitionRule(nil)
 	}},
 	{name: "the daemon that dispatches is frozen and wakes", apart: true, plays: func(f *fleet, _ *randomLoad) {
 		host := f.dispatcher()
--- a/lab/platformstub/stub.go
+++ b/lab/platformstub/stub.go
@@ -41,12 +41,12 @@
 type Faults struct {
 	// Down refuses every call.
 	Down bool
-	// Silent takes calls and never answers them.
-	Silent bool
+	// Unresponsive takes calls and never answers them.
+	Unresponsive bool
 	// Delay is added to every call.
 	Delay time.Duration
-	// LoseAnswers is how many coming writes take effect without an answer.
-	LoseAnswers int
+	// DropResponses is how many coming writes take effect without an answer.
+	DropResponses int
 	// BreakWatches ends waiting watches without an answer.
 	BreakWatches bool
 }
@@ -106,8 +106,8 @@
 	s.store.SetMachines(machines)
 }
 
-// SetLagging freezes the machine list as served, or lets it catch up.
-func (s *Stub) SetLagging(lagging bool) {
+// SetMachinesFrozen freezes the machine list as served, or lets it catch up.
+func (s *Stub) SetMachinesFrozen(lagging bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if lagging && !s.lagging {
@@ -128,8 +128,8 @@
 	return totals
 }
 
-// MostWatches returns the largest number of watches that waited at once.
-func (s *Stub) MostWatches() int {
+// PeakWatches returns the largest number of watches that waited at once.
+func (s *Stub) PeakWatches() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.mostWait
@@ -149,9 +149,9 @@
 	})
 }
 
-// ComeBackOlder lets the platform lose what was written since a copy of its store was taken. Watches that wait
+// RollBack lets the platform lose what was written since a copy of its store was taken. Watches that wait
 // are cut.
-func (s *Stub) ComeBackOlder(from objectstore.Snapshot) {
+func (s *Stub) RollBack(from objectstore.Snapshot) {
 	s.store.RollBack(from)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -170,7 +170,7 @@
 		http.Error(w, "down", http.StatusServiceUnavailable)
 		return false
 	}
-	if faults.Silent {
+	if faults.Unresponsive {
 		// The caller's leaving is noticed only once its body has been read.
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
@@ -197,9 +197,9 @@
 // script says so.
 func (s *Stub) loseAnswer() {
 	s.mutex.Lock()
-	lose := s.faults.LoseAnswers > 0
+	lose := s.faults.DropResponses > 0
 	if lose {
-		s.faults.LoseAnswers--
+		s.faults.DropResponses--
 	}
 	s.mutex.Unlock()
 	if lose {
--- a/lab/rolling/rolling.go
+++ b/lab/rolling/rolling.go
@@ -82,7 +82,7 @@
 func Run(ctx context.Context, options Options, progress io.Writer) (Result, error) {
 	running, err := site.Start(ctx, site.Options{
 		Zones:    []string{"zone-a", "zone-b", "zone-c"},
-		Services: []site.Service{{Declared: config.Service{Name: "work", Slots: 32}, Backends: 6, Backend: backendstub.Options{Slots: 32, Work: 5 * time.Millisecond}}},
+		Services: []site.Service{{Config: config.Service{Name: "work", Slots: 32}, Backends: 6, Backend: backendstub.Options{Slots: 32, MeanServiceTime: 5 * time.Millisecond}}},
 	})
 	if err != nil {
 		return Result{}, err
--- a/lab/site/faults_test.go
+++ b/lab/site/faults_test.go
@@ -20,7 +20,7 @@
 )
 
 func small() site.Options {
-	return site.Options{Zones: []string{"zone-a", "zone-b"}, Daemons: 3, Services: testServices(4), Notice: time.Second}
+	return site.Options{Zones: []string{"zone-a", "zone-b"}, Daemons: 3, Services: testServices(4), StopNotice: time.Second}
 }
 
 // loadFor returns the load of one fault test.
@@ -31,8 +31,8 @@
 // TestWholeAnswers lets one back end of four break its answers in each way.
 func TestWholeAnswers(t *testing.T) {
 	for _, fault := range []backendstub.Fault{
-		backendstub.FaultCloseEarly, backendstub.FaultCloseFirst, backendstub.FaultWrongLength,
-		backendstub.FaultExtraBytes, backendstub.FaultUnframed, backendstub.FaultError, backendstub.FaultFreeze,
+		backendstub.FaultCloseMidBody, backendstub.FaultCloseBeforeResponse, backendstub.FaultWrongLength,
+		backendstub.FaultExtraResponse, backendstub.FaultUnframed, backendstub.FaultError, backendstub.FaultFreeze,
 	} {
 		for _, http2 := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s/http2=%t", fault, http2), func(t *testing.T) { wholeAnswers(t, fault, http2) })
@@ -53,7 +53,7 @@
 		checkPromises(t, running, result)
 		checkOnce(t, running)
 		require.Positive(t, result.Answered)
-		if fault != backendstub.FaultExtraBytes {
+		if fault != backendstub.FaultExtraResponse {
 			// A fault in a repeatable request is made good by a second run.
 			require.Positive(t, result.Failed()+retried(running), "the fault was never met")
 		}
@@ -63,7 +63,7 @@
 // retried counts requests that ran more than once, as repeatable ones may.
 func retried(running *site.Site) int {
 	count := 0
-	for _, runs := range running.Runs() {
+	for _, runs := range running.RunsByRequest() {
 		if runs > 1 {
 			count++
 		}
@@ -102,10 +102,10 @@
 		checkPromises(t, running, result)
 		require.Less(t, float64(result.Failed()), 0.01*float64(result.Sent))
 		bad.Stub.SetFault(backendstub.FaultNone)
-		before := bad.Stub.Total()
+		before := bad.Stub.TotalRuns()
 		made.Seed, made.Duration = 6, 10*time.Second
 		load.Run(ctx, made)
-		require.Greater(t, bad.Stub.Total(), before+50, "the back end did not come back")
+		require.Greater(t, bad.Stub.TotalRuns(), before+50, "the back end did not come back")
 	})
 }
 
@@ -116,7 +116,7 @@
 		var done sync.WaitGroup
 		done.Go(func() {
 			time.Sleep(time.Second)
-			running.Platform.SetFaults(platformstub.Faults{LoseAnswers: 5})
+			running.Platform.SetFaults(platformstub.Faults{DropResponses: 5})
 			time.Sleep(time.Second)
 			running.KillDaemon(dispatcherOf(t, running, "corrections"))
 		})
@@ -174,11 +174,11 @@
 		leaving := running.Backend("reads-1")
 		leaving.Stub.SetDraining(true)
 		load.Run(ctx, loadFor(net, running, 3*time.Second))
-		before := leaving.Stub.Total()
+		before := leaving.Stub.TotalRuns()
 		made.Seed = 9
 		made.Targets = running.Targets()
 		load.Run(ctx, made)
-		require.Equal(t, before, leaving.Stub.Total(), "a leaving back end got requests")
+		require.Equal(t, before, leaving.Stub.TotalRuns(), "a leaving back end got requests")
 
 		// A daemon that starts only now hears of it from the others, even if it is
 		// the only one left, long after the news was passed on.
@@ -196,7 +196,7 @@
 		made.Targets = running.Targets()
 		last := load.Run(ctx, made)
 		require.Positive(t, last.Answered, last.FirstFailure())
-		require.Equal(t, before, leaving.Stub.Total(), "a leaving back end got requests from a new daemon")
+		require.Equal(t, before, leaving.Stub.TotalRuns(), "a leaving back end got requests from a new daemon")
 
 		running.Platform.SetFaults(platformstub.Faults{})
 		time.Sleep(time.Minute)
@@ -260,7 +260,7 @@
 // through different daemons, with answers lost.
 func TestRacingOperators(t *testing.T) {
 	virtual(t, small(), func(ctx context.Context, _ *fakenet.Net, running *site.Site) {
-		running.Platform.SetFaults(platformstub.Faults{LoseAnswers: 4, Delay: 5 * time.Millisecond})
+		running.Platform.SetFaults(platformstub.Faults{DropResponses: 4, Delay: 5 * time.Millisecond})
 		revisions := watchRevisions(t, running)
 		var done sync.WaitGroup
 		var mutex sync.Mutex
@@ -371,7 +371,7 @@
 				apply("lost-1")
 				apply("lost-2")
 				time.Sleep(2 * time.Second)
-				running.Platform.ComeBackOlder(copied)
+				running.Platform.RollBack(copied)
 				expected := []string{"early", "lost-1", "lost-2"}
 				if one.behind != "" {
 					_, err := config.NewEditor(running.Platform.Store(), time.Now, nil).Apply(ctx, change(one.behind))
@@ -409,7 +409,7 @@
 	virtual(t, small(), func(ctx context.Context, net *fakenet.Net, running *site.Site) {
 		made := loadFor(net, running, 10*time.Second)
 		made.Kinds = kinds()[:1]
-		running.Platform.SetFaults(platformstub.Faults{Silent: true})
+		running.Platform.SetFaults(platformstub.Faults{Unresponsive: true})
 		for _, name := range []string{"entry-4", "entry-5", "entry-6"} {
 			require.NoError(t, running.StartDaemon(name))
 		}
--- a/lab/site/quiet_test.go
+++ b/lab/site/quiet_test.go
@@ -20,7 +20,7 @@
 	virtual(t, options, func(_ context.Context, net *fakenet.Net, running *site.Site) {
 		sent := func() (total int64) {
 			for number := range daemons {
-				total += net.Host(site.DaemonName(number)).Sent()
+				total += net.Host(site.DaemonName(number)).BytesSent()
 			}
 			return total
 		}
@@ -30,7 +30,7 @@
 			time.Sleep(20 * time.Second)
 			rates = append(rates, (sent()-before)/20/daemons)
 		}
-		require.LessOrEqual(t, running.Platform.MostWatches(), 12, "daemons that had just started watched")
+		require.LessOrEqual(t, running.Platform.PeakWatches(), 12, "daemons that had just started watched")
 		t.Log("bytes a second and daemon, every 20 s:", rates)
 		require.Less(t, rates[len(rates)-1], int64(500))
 	})
--- a/lab/site/schedule_test.go
+++ b/lab/site/schedule_test.go
@@ -130,17 +130,17 @@
 	case "platform-down":
 		w.setPlatform(one.length, func(f *platformstub.Faults) { f.Down = true })
 	case "platform-silent":
-		w.setPlatform(one.length, func(f *platformstub.Faults) { f.Silent = true })
+		w.setPlatform(one.length, func(f *platformstub.Faults) { f.Unresponsive = true })
 	case "platform-slow":
 		w.setPlatform(one.length, func(f *platformstub.Faults) { f.Delay = 500 * time.Millisecond })
 	case "lost-answers":
-		w.setPlatform(one.length, func(f *platformstub.Faults) { f.LoseAnswers = one.count })
+		w.setPlatform(one.length, func(f *platformstub.Faults) { f.DropResponses = one.count })
 	case "broken-watches":
 		w.setPlatform(time.Second, func(f *platformstub.Faults) { f.BreakWatches = true })
 	case "stale-machines":
-		w.site.Platform.SetLagging(true)
+		w.site.Platform.SetMachinesFrozen(true)
 		time.Sleep(one.length)
-		w.site.Platform.SetLagging(false)
+		w.site.Platform.SetMachinesFrozen(false)
 	case "kill":
 		if w.take(daemon) {
 			w.site.KillDaemon(daemon)
@@ -150,13 +150,13 @@
 	case "planned-stop":
 		w.plannedStop(daemon, one.length)
 	case "cut-daemons":
-		w.net.SetCut(daemon, other, true)
+		w.net.SetPartitioned(daemon, other, true)
 		time.Sleep(one.length)
-		w.net.SetCut(daemon, other, false)
+		w.net.SetPartitioned(daemon, other, false)
 	case "cut-platform":
-		w.net.SetCut(daemon, "platform", true)
+		w.net.SetPartitioned(daemon, "platform", true)
 		time.Sleep(one.length)
-		w.net.SetCut(daemon, "platform", false)
+		w.net.SetPartitioned(daemon, "platform", false)
 	case "freeze":
 		w.net.SetFrozen(daemon, true)
 		time.Sleep(one.length)
@@ -248,8 +248,8 @@
 	options := small()
 	options.Network, options.Address = net.Network, net.Address
 	for index := range options.Services {
-		options.Services[index].Declared.ProbePath = backendstub.PathLoad
-		options.Services[index].Declared.ProbesPerSecond = probeRate
+		options.Services[index].Config.ProbePath = backendstub.PathLoad
+		options.Services[index].Config.ProbesPerSecond = probeRate
 	}
 	running, err := site.Start(ctx, options)
 	if err != nil {
@@ -278,7 +278,7 @@
 
 // checkResult compares what callers were told with what back ends saw.
 func (w *world) checkResult(result *load.Result) {
-	runs := w.site.Runs()
+	runs := w.site.RunsByRequest()
 	if result.WrongResponses > 0 {
 		w.problem("%d answers were wrong or partial", result.WrongResponses)
 	}
@@ -287,7 +287,7 @@
 			w.problem("%s was said not to have run, and ran", outcome.Name)
 		}
 	}
-	for key, count := range w.site.Keys() {
+	for key, count := range w.site.RunsByKey() {
 		if count > 1 {
 			w.problem("operation %s ran %d times", key, count)
 		}
@@ -304,7 +304,7 @@
 		var probes []time.Time
 		for _, backend := range w.site.Backends {
 			if backend.Service == name {
-				probes = append(probes, backend.Stub.Probes()...)
+				probes = append(probes, backend.Stub.ProbeTimes()...)
 			}
 		}
 		sort.Slice(probes, func(i, j int) bool { return probes[i].Before(probes[j]) })
@@ -322,7 +322,7 @@
 	if result.Answered < result.Sent {
 		w.problem("after the faults %d of %d failed: %s", result.Failed(), result.Sent, result.FirstFailure())
 	}
-	if !w.site.AllKnown() {
+	if !w.site.MembershipComplete() {
 		w.problem("after the faults not every daemon knows every other")
 	}
 	revisions := make(map[config.Revision]bool)
@@ -356,7 +356,7 @@
 	}{
 		{"wrong answer", func(_ *world, result *load.Result) { result.WrongResponses++ }},
 		{"false not run", func(w *world, result *load.Result) {
-			for name := range w.site.Runs() {
+			for name := range w.site.RunsByRequest() {
 				result.Outcomes = append(result.Outcomes, load.Outcome{Name: name, Run: resultcode.NotRun})
 				return
 			}
--- a/lab/site/site.go
+++ b/lab/site/site.go
@@ -28,7 +28,7 @@
 
 // Service declares one service of the site.
 type Service struct {
-	Declared config.Service
+	Config   config.Service
 	Policy   config.Policy
 	Backends int
 	Backend  backendstub.Options
@@ -36,15 +36,15 @@
 
 // Options declare a site.
 type Options struct {
-	Network  func(name string) network.Network // nil: TCP for all
-	Address  func(name string) string          // address to listen on; nil: loopback, port picked by the kernel
-	Regions  []string
-	Zones    []string // in order; zones are spread over the regions
-	Daemons  int
-	Services []Service
-	LogTo    io.Writer
-	LogLevel string
-	Notice   time.Duration // of a planned stop
+	Network    func(name string) network.Network // nil: TCP for all
+	Address    func(name string) string          // address to listen on; nil: loopback, port picked by the kernel
+	Regions    []string
+	Zones      []string // in order; zones are spread over the regions
+	Daemons    int
+	Services   []Service
+	LogOutput  io.Writer
+	LogLevel   string
+	StopNotice time.Duration // of a planned stop
 	// Decisions logs a line for each routing decision.
 	Decisions bool
 }
@@ -163,7 +163,7 @@
 		for number := range declared.Backends {
 			options := declared.Backend
 			options.Seed += uint64(number)
-			one := &Backend{ID: fmt.Sprintf("%s-%d", declared.Declared.Name, number+1), Service: declared.Declared.Name, Zone: s.zone(number), Stub: backendstub.New(options)}
+			one := &Backend{ID: fmt.Sprintf("%s-%d", declared.Config.Name, number+1), Service: declared.Config.Name, Zone: s.zone(number), Stub: backendstub.New(options)}
 			address, err := s.serve(one.ID, one.Stub.Handler())
 			if err != nil {
 				return err
@@ -187,7 +187,7 @@
 		Name: name, Region: s.region(number - 1), Zone: s.zone(number - 1), Peers: s.peerAddresses(),
 		Listen:   settings.Listen{Caller: address, Peer: address, Forward: address, Admin: address},
 		Platform: settings.Platform{Address: s.platform},
-		Stop:     settings.Stop{Notice: config.Duration(s.options.Notice)},
+		Stop:     settings.Stop{Notice: config.Duration(s.options.StopNotice)},
 		Log:      settings.Log{Level: s.options.LogLevel, Decisions: s.options.Decisions},
 	}
 	made.SetDefaults()
@@ -196,8 +196,8 @@
 	}
 	log := s.logOf(name)
 	target := io.Writer(log)
-	if s.options.LogTo != nil {
-		target = io.MultiWriter(log, s.options.LogTo)
+	if s.options.LogOutput != nil {
+		target = io.MultiWriter(log, s.options.LogOutput)
 	}
 	started, err := daemon.Start(daemon.Options{Settings: made, Network: s.options.Network(name), LogOutput: target})
 	if err != nil {
@@ -255,13 +255,13 @@
 func (s *Site) Content() config.Content {
 	var content config.Content
 	for _, declared := range s.options.Services {
-		content.Services = append(content.Services, declared.Declared)
+		content.Services = append(content.Services, declared.Config)
 		if declared.Policy.Name != "" {
 			content.Policies = append(content.Policies, declared.Policy)
 		}
-		placement := config.Placement{Service: declared.Declared.Name}
+		placement := config.Placement{Service: declared.Config.Name}
 		for _, one := range s.Backends {
-			if one.Service == declared.Declared.Name {
+			if one.Service == declared.Config.Name {
 				placement.Backends = append(placement.Backends, config.Backend{ID: one.ID, Address: one.Address, Zone: one.Zone, Connections: 64})
 			}
 		}
@@ -287,7 +287,7 @@
 // every daemon knows every other.
 func (s *Site) WaitInForce(ctx context.Context, revision config.Revision) error {
 	for {
-		if s.InForce(revision) && s.AllKnown() {
+		if s.InForce(revision) && s.MembershipComplete() {
 			return nil
 		}
 		select {
@@ -308,8 +308,8 @@
 	return true
 }
 
-// AllKnown says whether every running daemon knows every other.
-func (s *Site) AllKnown() bool {
+// MembershipComplete says whether every running daemon knows every other.
+func (s *Site) MembershipComplete() bool {
 	daemons := s.Daemons()
 	for _, running := range daemons {
 		if running.AliveCount() < len(daemons) {
@@ -391,14 +391,14 @@
 	return nil
 }
 
-// Runs returns how often each named request ran, over all back ends.
-func (s *Site) Runs() map[string]int {
-	return s.sum((*backendstub.Stub).Runs)
+// RunsByRequest returns how often each named request ran, over all back ends.
+func (s *Site) RunsByRequest() map[string]int {
+	return s.sum((*backendstub.Stub).RunsByRequest)
 }
 
-// Keys returns how often the operation of each key ran, over all back ends.
-func (s *Site) Keys() map[string]int {
-	return s.sum((*backendstub.Stub).Keys)
+// RunsByKey returns how often the operation of each key ran, over all back ends.
+func (s *Site) RunsByKey() map[string]int {
+	return s.sum((*backendstub.Stub).RunsByKey)
 }
 
 func (s *Site) sum(of func(*backendstub.Stub) map[string]int) map[string]int {
--- a/lab/site/site_test.go
+++ b/lab/site/site_test.go
@@ -22,8 +22,8 @@
 	running, err := site.Start(ctx, site.Options{
 		Zones: []string{"zone-a", "zone-b"}, Daemons: 3,
 		Services: []site.Service{{
-			Declared: config.Service{Name: "prices", PathPrefix: "/"},
-			Backends: 4, Backend: backendstub.Options{Work: time.Millisecond},
+			Config:   config.Service{Name: "prices", PathPrefix: "/"},
+			Backends: 4, Backend: backendstub.Options{MeanServiceTime: time.Millisecond},
 		}},
 	})
 	require.NoError(t, err)
--- a/lab/site/virtual_test.go
+++ b/lab/site/virtual_test.go
@@ -24,15 +24,15 @@
 
 // reads and corrections are the two services of the tests.
 func testServices(backends int) []site.Service {
-	work := backendstub.Options{Work: 5 * time.Millisecond, Seed: 3}
+	work := backendstub.Options{MeanServiceTime: 5 * time.Millisecond, Seed: 3}
 	return []site.Service{
 		{
-			Declared: config.Service{Name: "reads", PathPrefix: "/reads", Policy: "reads", RefusalStatus: http.StatusServiceUnavailable},
+			Config:   config.Service{Name: "reads", PathPrefix: "/reads", Policy: "reads", RefusalStatus: http.StatusServiceUnavailable},
 			Policy:   config.Policy{Name: "reads", Source: policy.Source{Retry: "true", Weight: "10", Deadline: `duration("2s")`}},
 			Backends: backends, Backend: work,
 		},
 		{
-			Declared: config.Service{Name: "corrections", PathPrefix: "/corrections", Policy: "corrections", RefusalStatus: http.StatusServiceUnavailable},
+			Config:   config.Service{Name: "corrections", PathPrefix: "/corrections", Policy: "corrections", RefusalStatus: http.StatusServiceUnavailable},
 			Policy:   config.Policy{Name: "corrections", Source: policy.Source{Once: "true", Weight: "20", Deadline: `duration("5s")`}},
 			Backends: backends, Backend: work,
 		},
@@ -91,7 +91,7 @@
 // check asserts what must hold in every run.
 func checkPromises(t *testing.T, running *site.Site, result *load.Result) {
 	t.Helper()
-	runs := running.Runs()
+	runs := running.RunsByRequest()
 	require.Zero(t, result.WrongResponses, "answers that were not the whole answer to their own request")
 	for _, outcome := range result.Outcomes {
 		if outcome.Run == resultcode.NotRun {
@@ -103,7 +103,7 @@
 // checkOnce asserts that no operation ran twice.
 func checkOnce(t *testing.T, running *site.Site) {
 	t.Helper()
-	for key, count := range running.Keys() {
+	for key, count := range running.RunsByKey() {
 		require.Equal(t, 1, count, "operation %s", key)
 	}
 }
@@ -111,7 +111,7 @@
 // TestForwardedService serves a service whose requests go through its dispatcher.
 func TestForwardedService(t *testing.T) {
 	services := testServices(4)
-	services[0].Declared.Forward = true
+	services[0].Config.Forward = true
 	virtual(t, site.Options{Zones: []string{"zone-a", "zone-b"}, Daemons: 3, Services: services}, func(ctx context.Context, net *fakenet.Net, running *site.Site) {
 		result := load.Run(ctx, load.Options{Network: net.Host("callers"), Targets: running.Targets(), Rate: 300, Duration: 5 * time.Second, Seed: 1, Kinds: kinds()})
 		require.Equal(t, result.Sent, result.Answered, result.FirstFailure())
--- a/lab/soak/older.go
+++ b/lab/soak/older.go
@@ -15,15 +15,15 @@
 
 // storeComesBackOlder lets the store be away and come back from a copy that is some seconds old.
 func (f *fleet) storeComesBackOlder(away time.Duration) {
-	copied := f.store.Copy()
+	copied := f.store.Snapshot()
 	time.Sleep(copyAge)
 	defer f.report.fault()()
 	f.store.SetFaults(objectstub.Faults{Down: true})
 	time.Sleep(away)
-	lost := f.store.ComeBackOlder(copied)
+	lost := f.store.RollBack(copied)
 	f.store.SetFaults(objectstub.Faults{})
 	time.Sleep(writtenAgain)
 	for _, kind := range []string{"config", "evacuations", "servers"} {
-		f.store.WriteAgain(lost, kind)
+		f.store.RewriteLost(lost, kind)
 	}
 }
--- a/lab/soak/play.go
+++ b/lab/soak/play.go
@@ -44,7 +44,7 @@
 		time.Sleep(fault.Duration)
 		f.store.SetFaults(objectstub.Faults{})
 	case StoreWatchLoss:
-		f.store.SetFaults(objectstub.Faults{Deaf: true})
+		f.store.SetFaults(objectstub.Faults{StallWatches: true})
 		f.configure()
 		time.Sleep(time.Second)
 		f.store.Compact()
--- a/lab/usage/usage.go
+++ b/lab/usage/usage.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Processor returns the processor time of this process, all threads together.
-func Processor() time.Duration {
+// CPUTime returns the processor time of this process, all threads together.
+func CPUTime() time.Duration {
 	var used syscall.Rusage
 	// Getrusage fails only for wrong arguments.
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &used)
