--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -80,7 +80,7 @@
 	onDisturbed func() // called when disturbed is set
 }
 
-// Decision is the outcome of an offered request: exactly one of Place, Ticket and Refused is
+// Decision is the outcome of an offered request: exactly one of Permit, Ticket and Refused is
 // set.
 type Decision struct {
 	Permit  *Permit
--- a/measure/measure.go
+++ b/measure/measure.go
@@ -66,7 +66,7 @@
 	Services *service.Registry
 	// Dispatches reports whether this daemon is the dispatcher of a service.
 	Dispatches func(service string) bool
-	// Now is the clock for leases; nil: clock.Steady.
+	// Now is the clock for leases; nil: clock.Monotonic.
 	Now clock.Clock
 	// Dialect defines the headers in which back ends report load.
 	Dialect backend.Dialect
--- a/operation/claimer.go
+++ b/operation/claimer.go
@@ -42,7 +42,7 @@
 	Store        objectstore.Store
 	WriteLimiter *rate.Limiter // limits this daemon's writes to the store
 	Retention    time.Duration // 0: DefaultRetention
-	// Now is the clock for claim lifetimes; nil: clock.Steady. It must count the time that the
+	// Now is the clock for claim lifetimes; nil: clock.Monotonic. It must count the time that the
 	// machine is suspended, as other daemons may claim the key meanwhile.
 	Now clock.Clock
 	Log *slog.Logger
--- a/ratelimit/fleetlimiter.go
+++ b/ratelimit/fleetlimiter.go
@@ -60,7 +60,7 @@
 	// It must not block.
 	Limits func(tenant string) (Limit, bool)
 	// Now is the clock by which reports expire. It must include the time that the machine is suspended, as
-	// others let requests through meanwhile. nil: clock.Steady.
+	// others let requests through meanwhile. nil: clock.Monotonic.
 	Now     clock.Clock
 	Random  *rand.Rand
 	Log     *slog.Logger
--- a/service/memory_test.go
+++ b/service/memory_test.go
@@ -102,10 +102,7 @@
 	require.NoError(t, err)
 	changes := []func(listed []config.DirectoryEntry) []config.DirectoryEntry{
 		func(listed []config.DirectoryEntry) []config.DirectoryEntry { listed[4].Drained = true; return listed },
-		func(listed []config.DirectoryEntry) []config.DirectoryEntry {
-			listed[2].Service = "work-0"
-			return listed
-		},
+		func(all []config.DirectoryEntry) []config.DirectoryEntry { all[2].Service = "work-0"; return all },
 		func(listed []config.DirectoryEntry) []config.DirectoryEntry { return listed[:len(listed)-1] },
 		func(listed []config.DirectoryEntry) []config.DirectoryEntry { return listed[1:] },
 		func(listed []config.DirectoryEntry) []config.DirectoryEntry {
