--- a/admission/admission.go
+++ b/admission/admission.go
@@ -5,7 +5,7 @@
 // first; within a weight, the request whose caller asked most recently. A full queue
 // refuses its lowest-priority request to make room for a more important one. A request
 // that is unlikely to get a permit while it is still useful is refused on arrival or, once
-// that becomes known, shed from the queue (chance.go). Under overload the back ends thus
+// that becomes known, shed from the queue (contention.go). Under overload the back ends thus
 // work on requests whose callers are still waiting, and the others get an early refusal. A
 // request refused here has never run.
 //
