--- a/internal/testseed/testseed.go
+++ b/internal/testseed/testseed.go
@@ -1,5 +1,5 @@
-// Package testseed lets random tests draw from a stated seed, so that a run of all tests ends the
-// same each time. Tests import it for that alone. Long runs by hand draw anew with
+// Package testseed fixes the default seed of randomized tests, so that every run of the test suite
+// has the same result. Tests import it for this side effect. Long manual runs use a new seed with
 // -rapid.seed=0 and -rapid.checks=N.
 package testseed
 
@@ -9,11 +9,11 @@
 	_ "pgregory.net/rapid" // registers the flag
 )
 
-// seed is the one that is stated; any would do.
+// seed is the default seed; its value is arbitrary.
 const seed = "1"
 
 func init() {
-	// The command line is read later, and goes first.
+	// The command line is parsed later and takes precedence.
 	if err := flag.Set("rapid.seed", seed); err != nil {
 		panic(err)
 	}
--- a/lab/backendstub/stub.go
+++ b/lab/backendstub/stub.go
@@ -1,6 +1,5 @@
-// Package backendstub stands in for a back end: a few slots with a queue before
-// them, a noisy neighbour, load reports that may lag or lie, and the ways in
-// which servers fail.
+// Package backendstub is a stub of a back end: a few slots with a queue, a noisy
+// neighbour, load reports that can be wrong, and injected faults.
 package backendstub
 
 import (
@@ -21,7 +20,7 @@
 	"github.com/tuliphall/tuliphall/wait"
 )
 
-// Paths of the stand-in besides its work.
+// Paths of the stub; all others take service time.
 const (
 	PathLoad    = "/load"
 	PathStream  = "/stream" // ?pieces=N&every=DURATION
@@ -29,157 +28,157 @@
 	PathUpgrade = "/upgrade"
 )
 
-// HeaderRequestName is the header by which a request names itself, so that the
-// back end can count how often it ran.
+// HeaderRequestName is the header with the name of a request, by which the stub
+// counts how often it ran.
 const HeaderRequestName = "Lab-Request"
 
-// Fault is a way to misbehave.
+// Fault is an injected fault.
 type Fault string
 
-// The faults.
+// Faults.
 const (
 	FaultNone                Fault = ""
-	FaultRejectAll           Fault = "reject-all"   // 503 at once
-	FaultError               Fault = "error"        // 500 at once
-	FaultCloseMidBody        Fault = "close-early"  // closes in the middle of the body
-	FaultCloseBeforeResponse Fault = "close-first"  // closes before any answer
-	FaultWrongLength         Fault = "wrong-length" // says more bytes than it sends
-	FaultExtraResponse       Fault = "extra-bytes"  // sends a second answer nobody asked for
-	FaultUnframed            Fault = "unframed"     // neither length nor chunks
-	FaultFreeze              Fault = "freeze"       // takes requests and never answers
+	FaultRejectAll           Fault = "reject-all"   // responds 503 immediately
+	FaultError               Fault = "error"        // responds 500 immediately
+	FaultCloseMidBody        Fault = "close-early"  // closes the connection within the body
+	FaultCloseBeforeResponse Fault = "close-first"  // closes the connection before any response
+	FaultWrongLength         Fault = "wrong-length" // sends fewer bytes than Content-Length
+	FaultExtraResponse       Fault = "extra-bytes"  // sends a second, unsolicited response
+	FaultUnframed            Fault = "unframed"     // sends neither Content-Length nor chunks
+	FaultFreeze              Fault = "freeze"       // accepts requests and never responds
 )
 
-// Options are a stand-in's settings.
+// Options are the options of a stub.
 type Options struct {
 	Slots            int
-	MeanServiceTime  time.Duration // mean time of one request
-	FixedServiceTime bool          // every request takes the mean; false: exponential
+	MeanServiceTime  time.Duration // mean service time of a request
+	FixedServiceTime bool          // every request takes the mean; false: exponentially distributed
 	Seed             uint64
-	ProbeTime        time.Duration // slot time of one look at PathLoad
-	Slowdown         float64       // factor while a neighbour is noisy; 0: none
-	MeanNoisyPeriod  time.Duration // mean length of a noisy spell
-	MeanQuietPeriod  time.Duration // mean time between spells
+	ProbeTime        time.Duration // slot time of a request to PathLoad
+	Slowdown         float64       // service time factor while the neighbour is noisy; 0: none
+	MeanNoisyPeriod  time.Duration // mean length of a noisy period
+	MeanQuietPeriod  time.Duration // mean length of a quiet period
 }
 
-// Stub is one back end. It is safe for concurrent use.
+// Stub is a stub of one back end. It is safe for concurrent use.
 type Stub struct {
 	options Options
 	slots   chan struct{}
 
-	mutex    sync.Mutex
-	random   *rand.Rand
-	fault    Fault
-	slow     float64
-	draining bool
-	lie      int    // added to the reported load
-	limit    string // what it says of how many requests a second it takes; empty: nothing
-	pushback pushback
-	inFlight int
-	runs     map[string]int
-	keys     map[string]int
-	total    int
-	probes   []time.Time
-	nextFlip time.Time
-	noisy    bool
+	mutex           sync.Mutex
+	random          *rand.Rand
+	fault           Fault
+	slowdown        float64
+	draining        bool
+	loadOffset      int    // added to the reported load
+	requestLimit    string // reported maximum of requests per second; empty: none reported
+	pushback        pushback
+	inFlight        int
+	runsByRequest   map[string]int
+	runsByKey       map[string]int
+	totalRuns       int
+	probeTimes      []time.Time
+	nextNoiseChange time.Time
+	noisy           bool
 }
 
-// New returns a back end that is well.
+// New returns a back end without faults.
 func New(options Options) *Stub {
 	if options.Slots == 0 {
 		options.Slots = 3
 	}
 	return &Stub{
-		options: options, slots: make(chan struct{}, options.Slots), slow: 1,
-		random: rand.New(rand.NewPCG(options.Seed, options.Seed)), runs: make(map[string]int), keys: make(map[string]int),
+		options: options, slots: make(chan struct{}, options.Slots), slowdown: 1,
+		random: rand.New(rand.NewPCG(options.Seed, options.Seed)), runsByRequest: make(map[string]int), runsByKey: make(map[string]int),
 	}
 }
 
-// SetFault changes how the back end misbehaves.
+// SetFault sets the injected fault.
 func (s *Stub) SetFault(fault Fault) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.fault = fault
 }
 
-// SetSlowdown makes every request take factor times as long.
+// SetSlowdown multiplies the service time of every request.
 func (s *Stub) SetSlowdown(factor float64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.slow = factor
+	s.slowdown = factor
 }
 
-// SetDraining makes the back end say that it is leaving.
+// SetDraining sets whether the back end reports that it is draining.
 func (s *Stub) SetDraining(draining bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.draining = draining
 }
 
-// SetLoadOffset adds to the load the back end reports.
+// SetLoadOffset sets what is added to the reported load.
 func (s *Stub) SetLoadOffset(added int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.lie = added
+	s.loadOffset = added
 }
 
-// SetRequestLimit makes the back end say how many requests a second it takes; empty: it says nothing.
+// SetRequestLimit sets the reported maximum of requests per second; empty reports none.
 func (s *Stub) SetRequestLimit(perSecond string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.limit = perSecond
+	s.requestLimit = perSecond
 }
 
-// pushback is how a back end turns requests away and asks for a pause.
+// pushback rejects some requests with Retry-After.
 type pushback struct {
 	retryAfter string
-	every      int // it turns away each of so many; 0: none
+	every      int // one of this many requests is rejected; 0: none
 	requests   int
 }
 
-// SetPushback makes the back end turn away each of so many requests and ask for a pause; 0: none.
+// SetPushback makes the back end reject one of every so many requests with Retry-After; 0 rejects none.
 func (s *Stub) SetPushback(retryAfter string, every int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.pushback = pushback{retryAfter: retryAfter, every: every}
 }
 
-// pushesBack returns the Retry-After with which a request is turned away, and false where it is not.
-func (s *Stub) pushesBack() (retryAfter string, pushes bool) {
+// nextPushback counts a request and reports whether to reject it, and with which Retry-After.
+func (s *Stub) nextPushback() (retryAfter string, reject bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.pushback.requests++
 	return s.pushback.retryAfter, s.pushback.every > 0 && s.pushback.requests%s.pushback.every == 0
 }
 
-// TotalRuns returns how many requests ran.
+// TotalRuns returns the number of requests that ran.
 func (s *Stub) TotalRuns() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.total
+	return s.totalRuns
 }
 
-// ProbeTimes returns when the load endpoint was asked.
+// ProbeTimes returns the times of requests to PathLoad.
 func (s *Stub) ProbeTimes() []time.Time {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return append([]time.Time(nil), s.probes...)
+	return append([]time.Time(nil), s.probeTimes...)
 }
 
-// RunsByRequest returns how often each named request ran.
+// RunsByRequest returns the number of runs of each named request.
 func (s *Stub) RunsByRequest() map[string]int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return maps.Clone(s.runs)
+	return maps.Clone(s.runsByRequest)
 }
 
-// RunsByKey returns how often the operation of each key ran.
+// RunsByKey returns the number of runs by idempotency key.
 func (s *Stub) RunsByKey() map[string]int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return maps.Clone(s.keys)
+	return maps.Clone(s.runsByKey)
 }
 
-// Handler serves the back end.
+// Handler returns the HTTP handler of the back end.
 func (s *Stub) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc(PathLoad, s.load)
@@ -190,8 +189,8 @@
 	return mux
 }
 
-// enter takes a slot, or gives up when the caller leaves.
-func (s *Stub) enter(ctx context.Context) bool {
+// acquireSlot waits for a slot. It returns false if the caller disconnects.
+func (s *Stub) acquireSlot(ctx context.Context) bool {
 	s.mutex.Lock()
 	s.inFlight++
 	s.mutex.Unlock()
@@ -206,71 +205,72 @@
 	}
 }
 
-func (s *Stub) leave() {
+func (s *Stub) releaseSlot() {
 	<-s.slots
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.inFlight--
 }
 
-// duration draws how long one request takes now.
-func (s *Stub) duration(now time.Time) time.Duration {
+// serviceTime draws the service time of a request that starts now.
+func (s *Stub) serviceTime(now time.Time) time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	scale := s.slow
+	factor := s.slowdown
 	if s.options.Slowdown > 0 {
-		s.flip(now)
+		s.advanceNoise(now)
 		if s.noisy {
-			scale *= s.options.Slowdown
+			factor *= s.options.Slowdown
 		}
 	}
 	length := float64(s.options.MeanServiceTime)
 	if !s.options.FixedServiceTime {
 		length *= s.random.ExpFloat64()
 	}
-	return time.Duration(length * scale)
+	return time.Duration(length * factor)
 }
 
-// flip moves the noisy neighbour on to the present.
-func (s *Stub) flip(now time.Time) {
-	if s.nextFlip.IsZero() {
-		s.nextFlip = now.Add(s.spell(s.options.MeanQuietPeriod))
+// advanceNoise advances the state of the noisy neighbour to now.
+func (s *Stub) advanceNoise(now time.Time) {
+	if s.nextNoiseChange.IsZero() {
+		s.nextNoiseChange = now.Add(s.noisePeriod(s.options.MeanQuietPeriod))
 	}
-	for !now.Before(s.nextFlip) {
+	for !now.Before(s.nextNoiseChange) {
 		s.noisy = !s.noisy
 		mean := s.options.MeanQuietPeriod
 		if s.noisy {
 			mean = s.options.MeanNoisyPeriod
 		}
-		s.nextFlip = s.nextFlip.Add(s.spell(mean))
+		s.nextNoiseChange = s.nextNoiseChange.Add(s.noisePeriod(mean))
 	}
 }
 
-func (s *Stub) spell(mean time.Duration) time.Duration {
+func (s *Stub) noisePeriod(mean time.Duration) time.Duration {
 	return time.Duration(float64(mean)*s.random.ExpFloat64()) + time.Microsecond
 }
 
-// report sets the headers by which a back end tells its load.
-func (s *Stub) report(header http.Header) Fault {
+// setLoadHeaders sets the headers that report load, limit and draining, and returns
+// the injected fault.
+func (s *Stub) setLoadHeaders(header http.Header) Fault {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	header.Set(backend.HeaderReport, fmt.Sprintf("TEXT named_metrics.in_flight=%d", max(s.inFlight+s.lie, 0)))
-	if s.limit != "" {
-		header.Set(backend.HeaderRequestLimit, s.limit)
+	header.Set(backend.HeaderReport, fmt.Sprintf("TEXT named_metrics.in_flight=%d", max(s.inFlight+s.loadOffset, 0)))
+	if s.requestLimit != "" {
+		header.Set(backend.HeaderRequestLimit, s.requestLimit)
 	}
 	header.Set(backend.HeaderDraining, strconv.FormatBool(s.draining))
 	return s.fault
 }
 
-func (s *Stub) ran(r *http.Request) {
+func (s *Stub) recordRun(r *http.Request) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.total++
+	s.totalRuns++
 	if name := r.Header.Get(HeaderRequestName); name != "" {
-		s.runs[name]++
+		s.runsByRequest[name]++
 	}
 	if key := r.Header.Get(policy.HeaderIdempotencyKey); key != "" {
-		s.keys[key]++
+		s.runsByKey[key]++
 	}
 }
 
@@ -279,7 +279,7 @@
 	if err != nil {
 		return
 	}
-	fault := s.report(w.Header())
+	fault := s.setLoadHeaders(w.Header())
 	switch fault {
 	case FaultRejectAll:
 		http.Error(w, "rejected", http.StatusServiceUnavailable)
@@ -291,17 +291,17 @@
 		http.Error(w, "failed", http.StatusInternalServerError)
 		return
 	}
-	if retryAfter, pushes := s.pushesBack(); pushes {
+	if retryAfter, reject := s.nextPushback(); reject {
 		w.Header().Set("Retry-After", retryAfter)
 		http.Error(w, "come back later", http.StatusServiceUnavailable)
 		return
 	}
-	if !s.enter(r.Context()) {
+	if !s.acquireSlot(r.Context()) {
 		return
 	}
-	defer s.leave()
-	s.ran(r)
-	if !wait.Sleep(r.Context(), s.duration(time.Now())) {
+	defer s.releaseSlot()
+	s.recordRun(r)
+	if !wait.Sleep(r.Context(), s.serviceTime(time.Now())) {
 		return
 	}
 	answer := fmt.Sprintf("%s %s %s %s\n", r.Method, r.URL.Path, r.Header.Get(HeaderRequestName), body)
@@ -310,25 +310,25 @@
 		_, _ = io.WriteString(w, answer)
 		return
 	}
-	s.misbehave(w, fault, answer)
+	s.sendMalformed(w, fault, answer)
 }
 
-// misbehave writes a broken answer on the bare connection.
-func (s *Stub) misbehave(w http.ResponseWriter, fault Fault, answer string) {
+// sendMalformed writes a malformed response to the hijacked connection.
+func (s *Stub) sendMalformed(w http.ResponseWriter, fault Fault, answer string) {
 	conn, buffered, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	defer conn.Close()
-	writeBroken(buffered.Writer, fault, answer)
+	writeMalformed(buffered.Writer, fault, answer)
 	_ = buffered.Flush()
 	if fault == FaultExtraResponse {
-		// The connection stays open, so that the extra answer can do harm.
-		waitForPeer(conn)
+		// The connection stays open so that a proxy could reuse it with the extra response.
+		drainUntilClosed(conn)
 	}
 }
 
-func writeBroken(w *bufio.Writer, fault Fault, answer string) {
+func writeMalformed(w *bufio.Writer, fault Fault, answer string) {
 	switch fault {
 	case FaultCloseMidBody:
 		fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(answer), answer)
@@ -336,34 +336,34 @@
 		fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(answer)+10, answer)
 	case FaultExtraResponse:
 		fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(answer), answer)
-		other := "the answer of somebody else\n"
-		fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(other), other)
+		extra := "the answer of somebody else\n"
+		fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(extra), extra)
 	case FaultUnframed:
 		fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n%s", answer)
 	}
 }
 
-// extraOpen is how long a connection with an extra answer stays open.
-const extraOpen = 2 * time.Second
+// extraResponseHold is how long a connection with an extra response stays open.
+const extraResponseHold = 2 * time.Second
 
-func waitForPeer(conn net.Conn) {
-	_ = conn.SetReadDeadline(time.Now().Add(extraOpen))
+func drainUntilClosed(conn net.Conn) {
+	_ = conn.SetReadDeadline(time.Now().Add(extraResponseHold))
 	_, _ = io.Copy(io.Discard, conn)
 }
 
 func (s *Stub) load(w http.ResponseWriter, r *http.Request) {
 	s.mutex.Lock()
-	s.probes = append(s.probes, time.Now())
+	s.probeTimes = append(s.probeTimes, time.Now())
 	s.mutex.Unlock()
-	fault := s.report(w.Header())
+	fault := s.setLoadHeaders(w.Header())
 	if fault == FaultRejectAll || fault == FaultError {
 		http.Error(w, "rejected", http.StatusServiceUnavailable)
 		return
 	}
-	if !s.enter(r.Context()) {
+	if !s.acquireSlot(r.Context()) {
 		return
 	}
-	defer s.leave()
+	defer s.releaseSlot()
 	wait.Sleep(r.Context(), s.options.ProbeTime)
 	w.WriteHeader(http.StatusOK)
 }
@@ -379,8 +379,8 @@
 		http.Error(w, "every: not a duration", http.StatusBadRequest)
 		return
 	}
-	s.report(w.Header())
-	s.ran(r)
+	s.setLoadHeaders(w.Header())
+	s.recordRun(r)
 	control := http.NewResponseController(w)
 	for piece := range pieces {
 		if _, err := fmt.Fprintf(w, "piece %d\n", piece); err != nil {
@@ -393,7 +393,7 @@
 	_, _ = io.WriteString(w, "end\n")
 }
 
-// upgrade answers with a 101 and echoes what it is sent.
+// upgrade responds 101 and echoes what it receives.
 func (s *Stub) upgrade(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Connection", "Upgrade")
 	w.Header().Set("Upgrade", "echo")
--- a/lab/fakenet/conn.go
+++ b/lab/fakenet/conn.go
@@ -11,58 +11,58 @@
 	"github.com/juju/errors"
 )
 
-// errReset is what both ends of a cut connection get.
+// errReset is the error at both ends of a reset connection.
 const errReset = errors.ConstError("connection reset")
 
-// chunk is a piece of data on its way.
+// chunk is data in transit.
 type chunk struct {
-	data []byte
-	at   time.Time // when it arrives
+	data    []byte
+	arrival time.Time // time of arrival
 }
 
-// stream is one direction of a connection. Writing never blocks, so that no lock
-// is held in virtual time while data is on its way.
+// stream is one direction of a connection. Writes never block, so no lock is held
+// in virtual time while data is in transit.
 type stream struct {
 	mutex    sync.Mutex
 	chunks   []chunk
-	ended    error // io.EOF or errReset; nil: open
+	endErr   error // io.EOF, net.ErrClosed or errReset; nil: open
 	deadline time.Time
-	changed  chan struct{} // room for one
+	notify   chan struct{} // has capacity 1
 }
 
 func newStream() *stream {
-	return &stream{changed: make(chan struct{}, 1)}
+	return &stream{notify: make(chan struct{}, 1)}
 }
 
-func (s *stream) signal() {
+func (s *stream) wake() {
 	select {
-	case s.changed <- struct{}{}:
+	case s.notify <- struct{}{}:
 	default:
 	}
 }
 
-// end ends the stream; data on its way is lost by a reset only.
+// end ends the stream. Only a reset discards data in transit.
 func (s *stream) end(err error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.ended != nil {
+	if s.endErr != nil {
 		return
 	}
-	s.ended = err
+	s.endErr = err
 	if err == errReset {
 		s.chunks = nil
 	}
-	s.signal()
+	s.wake()
 }
 
 func (s *stream) write(data []byte, at time.Time) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.ended != nil {
+	if s.endErr != nil {
 		return errReset
 	}
-	s.chunks = append(s.chunks, chunk{data: append([]byte(nil), data...), at: at})
-	s.signal()
+	s.chunks = append(s.chunks, chunk{data: append([]byte(nil), data...), arrival: at})
+	s.wake()
 	return nil
 }
 
@@ -70,11 +70,11 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.deadline = at
-	s.signal()
+	s.wake()
 }
 
-// tryRead reads what has arrived. When nothing has, it returns how long to wait at
-// most; 0 means until something changes.
+// tryRead reads data that has arrived. If there is none, it returns the maximum time to
+// wait; 0 means until the next change.
 func (s *stream) tryRead(data []byte) (n int, wait time.Duration, err error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -82,7 +82,7 @@
 	if !s.deadline.IsZero() && !now.Before(s.deadline) {
 		return 0, 0, os.ErrDeadlineExceeded
 	}
-	if len(s.chunks) > 0 && !now.Before(s.chunks[0].at) {
+	if len(s.chunks) > 0 && !now.Before(s.chunks[0].arrival) {
 		first := &s.chunks[0]
 		n = copy(data, first.data)
 		if first.data = first.data[n:]; len(first.data) == 0 {
@@ -90,11 +90,11 @@
 		}
 		return n, 0, nil
 	}
-	if len(s.chunks) == 0 && s.ended != nil {
-		return 0, 0, s.ended
+	if len(s.chunks) == 0 && s.endErr != nil {
+		return 0, 0, s.endErr
 	}
 	if len(s.chunks) > 0 {
-		wait = s.chunks[0].at.Sub(now)
+		wait = s.chunks[0].arrival.Sub(now)
 	}
 	if !s.deadline.IsZero() && (wait == 0 || s.deadline.Sub(now) < wait) {
 		wait = s.deadline.Sub(now)
@@ -111,27 +111,27 @@
 	out    *stream
 }
 
-// connect makes both ends of a connection.
-func (n *Net) connect(from, to *Host) (near, far *conn) {
-	there, back := newStream(), newStream()
-	near = &conn{net: n, local: from, remote: to, in: back, out: there}
-	far = &conn{net: n, local: to, remote: from, in: there, out: back}
+// connect returns both ends of a new connection.
+func (n *Net) connect(from, to *Host) (client, server *conn) {
+	forward, backward := newStream(), newStream()
+	client = &conn{net: n, local: from, remote: to, in: backward, out: forward}
+	server = &conn{net: n, local: to, remote: from, in: forward, out: backward}
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.conns[near] = true
-	return near, far
+	n.conns[client] = true
+	return client, server
 }
 
-// Read implements net.Conn. Nothing arrives while either host is frozen; a host that is
-// not can still give the connection up.
+// Read implements net.Conn. No data arrives while either host is frozen, but a local
+// host that is not frozen can still close the connection or reach its deadline.
 func (c *conn) Read(data []byte) (int, error) {
 	for {
-		if thaw := c.local.thaw(); thaw != nil {
+		if thaw := c.local.thawed(); thaw != nil {
 			<-thaw
 			continue
 		}
-		if thaw := c.remote.thaw(); thaw != nil {
-			wait, err := c.in.tryNothing()
+		if thaw := c.remote.thawed(); thaw != nil {
+			wait, err := c.in.tryReadWhilePeerFrozen()
 			if err != nil {
 				return 0, err
 			}
@@ -146,12 +146,12 @@
 	}
 }
 
-// tryNothing is tryRead while nothing can arrive: only the reader's own side can end it.
-func (s *stream) tryNothing() (wait time.Duration, err error) {
+// tryReadWhilePeerFrozen is tryRead while no data can arrive: only a local close or the deadline ends the read.
+func (s *stream) tryReadWhilePeerFrozen() (wait time.Duration, err error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.ended == net.ErrClosed {
-		return 0, s.ended
+	if s.endErr == net.ErrClosed {
+		return 0, s.endErr
 	}
 	if s.deadline.IsZero() {
 		return 0, nil
@@ -163,18 +163,18 @@
 	return wait, nil
 }
 
-// await waits for a change or a thaw, or at most for the given time if it is above 0.
+// await waits for a change, for the peer to be unfrozen, or for the given time if it is above 0.
 func (s *stream) await(wait time.Duration, thaw <-chan struct{}) {
-	var over <-chan time.Time
+	var timeout <-chan time.Time
 	if wait > 0 {
 		timer := time.NewTimer(wait)
 		defer timer.Stop()
-		over = timer.C
+		timeout = timer.C
 	}
 	select {
-	case <-s.changed:
+	case <-s.notify:
 	case <-thaw:
-	case <-over:
+	case <-timeout:
 	}
 }
 
@@ -183,7 +183,7 @@
 	if err := c.out.write(data, time.Now().Add(c.net.latency)); err != nil {
 		return 0, err
 	}
-	c.local.sent.Add(int64(len(data)))
+	c.local.bytesSent.Add(int64(len(data)))
 	return len(data), nil
 }
 
@@ -197,7 +197,7 @@
 	return nil
 }
 
-// SetDeadline implements net.Conn. Writing never blocks.
+// SetDeadline implements net.Conn. Writes never block, so only the read deadline matters.
 func (c *conn) SetDeadline(at time.Time) error {
 	return c.SetReadDeadline(at)
 }
--- a/lab/fakenet/fakenet.go
+++ b/lab/fakenet/fakenet.go
@@ -1,5 +1,5 @@
-// Package fakenet is a network in memory for tests in virtual time. Hosts can be
-// cut off from each other and frozen; every byte is counted by host.
+// Package fakenet is an in-memory network for tests in virtual time. Hosts can be
+// partitioned from each other and frozen; bytes are counted by host.
 package fakenet
 
 import (
@@ -17,42 +17,42 @@
 	"github.com/tuliphall/tuliphall/network"
 )
 
-// errUnreachable is what a dial over a cut gets.
+// errUnreachable is the error of a dial across a partition.
 const errUnreachable = errors.ConstError("host unreachable")
 
-// Net is one network. It is safe for concurrent use.
+// Net is an in-memory network. It is safe for concurrent use.
 type Net struct {
-	mutex     sync.Mutex
-	hosts     map[string]*Host
-	byAddress map[string]*listener
-	cut       map[[2]string]bool
-	conns     map[*conn]bool
-	latency   time.Duration
-	rule      func(a, b string) bool
-	refusals  func(a, b string) bool
+	mutex         sync.Mutex
+	hosts         map[string]*Host
+	byAddress     map[string]*listener
+	partitioned   map[[2]string]bool
+	conns         map[*conn]bool
+	latency       time.Duration
+	partitionRule func(a, b string) bool
+	refusalRule   func(a, b string) bool
 }
 
-// New returns a network on which a message takes latency.
+// New returns a network with this one-way latency.
 func New(latency time.Duration) *Net {
 	return &Net{
 		hosts: make(map[string]*Host), byAddress: make(map[string]*listener),
-		cut: make(map[[2]string]bool), conns: make(map[*conn]bool), latency: latency,
+		partitioned: make(map[[2]string]bool), conns: make(map[*conn]bool), latency: latency,
 	}
 }
 
-// Host is one machine on the network.
+// Host is a host on the network.
 type Host struct {
-	net     *Net
-	name    string
-	ip      netip.Addr
-	port    uint16
-	sent    atomic.Int64
-	dials   atomic.Int64
-	frozen  chan struct{} // closed when the host thaws; nil: not frozen
-	accepts atomic.Int64
+	net       *Net
+	name      string
+	ip        netip.Addr
+	port      uint16
+	bytesSent atomic.Int64
+	dials     atomic.Int64
+	frozen    chan struct{} // closed on unfreezing; nil: not frozen
+	accepts   atomic.Int64
 }
 
-// Host returns the host with a name, and makes it if need be.
+// Host returns the host with this name, and creates it if needed.
 func (n *Net) Host(name string) *Host {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -65,7 +65,7 @@
 	return host
 }
 
-// Network returns the host as a network.Network.
+// Network returns the host with this name as a network.Network.
 func (n *Net) Network(name string) network.Network {
 	return n.Host(name)
 }
@@ -75,52 +75,52 @@
 	return netip.AddrPortFrom(n.Host(name).ip, 0).String()
 }
 
-// BytesSent returns the bytes the host has written to connections.
-func (h *Host) BytesSent() int64 { return h.sent.Load() }
+// BytesSent returns the number of bytes that the host has written to connections.
+func (h *Host) BytesSent() int64 { return h.bytesSent.Load() }
 
-// Connections returns how many connections the host has opened and accepted.
+// Connections returns the number of connections that the host has opened and accepted.
 func (h *Host) Connections() int64 { return h.dials.Load() + h.accepts.Load() }
 
-// SetPartitioned cuts two hosts off from each other, or joins them. Connections between
-// them break when they are cut.
+// SetPartitioned partitions two hosts from each other, or reconnects them. A partition
+// resets the connections between them.
 func (n *Net) SetPartitioned(a, b string, cut bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.cut[[2]string{a, b}], n.cut[[2]string{b, a}] = cut, cut
+	n.partitioned[[2]string{a, b}], n.partitioned[[2]string{b, a}] = cut, cut
 	if !cut {
 		return
 	}
-	for one := range n.conns {
-		if (one.local.name == a && one.remote.name == b) || (one.local.name == b && one.remote.name == a) {
-			one.out.end(errReset)
-			one.in.end(errReset)
+	for connection := range n.conns {
+		if (connection.local.name == a && connection.remote.name == b) || (connection.local.name == b && connection.remote.name == a) {
+			connection.out.end(errReset)
+			connection.in.end(errReset)
 		}
 	}
 }
 
-// SetPartitionRule cuts off all pairs of hosts for which rule says so; nil lifts that.
-// Connections under way are not broken.
+// SetPartitionRule partitions all pairs of hosts for which rule returns true; nil removes the rule.
+// Open connections are not reset.
 func (n *Net) SetPartitionRule(rule func(a, b string) bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.rule = rule
+	n.partitionRule = rule
 }
 
-// SetRefusalRule lets connections from host a to host b be refused for which refusals says so, as a
-// firewall does; nil lifts that. Connections under way are not broken.
+// SetRefusalRule refuses new connections from host a to host b for which refusals returns true, as a
+// firewall does; nil removes the rule. Open connections are not reset.
 func (n *Net) SetRefusalRule(refusals func(a, b string) bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.refusals = refusals
+	n.refusalRule = refusals
 }
 
-// reaches says whether host a can open a connection to host b. The caller holds
+// canReach reports whether no partition separates host a from host b. The caller holds
 // the mutex.
-func (n *Net) reaches(a, b string) bool {
-	return !n.cut[[2]string{a, b}] && (n.rule == nil || !n.rule(a, b))
+func (n *Net) canReach(a, b string) bool {
+	return !n.partitioned[[2]string{a, b}] && (n.partitionRule == nil || !n.partitionRule(a, b))
 }
 
-// SetFrozen freezes a host's network, or thaws it.
+// SetFrozen freezes or unfreezes the network of a host.
 func (n *Net) SetFrozen(name string, frozen bool) {
 	host := n.Host(name)
 	n.mutex.Lock()
@@ -134,9 +134,9 @@
 	}
 }
 
-// thaw returns a channel that is closed when the host thaws, or nil when it is not
-// frozen.
-func (h *Host) thaw() chan struct{} {
+// thawed returns a channel that is closed when the host is unfrozen, or nil if it is
+// not frozen.
+func (h *Host) thawed() chan struct{} {
 	h.net.mutex.Lock()
 	defer h.net.mutex.Unlock()
 	return h.frozen
@@ -144,7 +144,7 @@
 
 // Dial implements network.Network.
 func (h *Host) Dial(ctx context.Context, address string) (net.Conn, error) {
-	if thaw := h.thaw(); thaw != nil {
+	if thaw := h.thawed(); thaw != nil {
 		select {
 		case <-thaw:
 		case <-ctx.Done():
@@ -153,11 +153,11 @@
 	}
 	h.net.mutex.Lock()
 	target := h.net.byAddress[address]
-	reachable := target != nil && h.net.reaches(h.name, target.host.name)
-	isRefused := target == nil || h.net.refusals != nil && h.net.refusals(h.name, target.host.name)
+	reachable := target != nil && h.net.canReach(h.name, target.host.name)
+	isRefused := target == nil || h.net.refusalRule != nil && h.net.refusalRule(h.name, target.host.name)
 	h.net.mutex.Unlock()
 	if isRefused {
-		return nil, refused(address)
+		return nil, connectionRefused(address)
 	}
 	if !reachable {
 		return nil, &net.OpError{Op: "dial", Net: "fake", Err: fmt.Errorf("%s: %w", address, errUnreachable)}
@@ -169,18 +169,18 @@
 		target.host.accepts.Add(1)
 		return client, nil
 	case <-target.closed:
-		return nil, refused(address)
+		return nil, connectionRefused(address)
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-// refused is what a dial gets where nothing listens.
-func refused(address string) error {
+// connectionRefused returns the error of a dial to an address without a listener.
+func connectionRefused(address string) error {
 	return &net.OpError{Op: "dial", Net: "fake", Err: fmt.Errorf("%s: %w", address, syscall.ECONNREFUSED)}
 }
 
-// Listen implements network.Network. Port 0 picks the next free one.
+// Listen implements network.Network. Port 0 selects the next free port.
 func (h *Host) Listen(address string) (net.Listener, error) {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -194,9 +194,9 @@
 		port = h.port
 	}
 	bound := netip.AddrPortFrom(h.ip, port)
-	one := &listener{host: h, address: bound, incoming: make(chan net.Conn), closed: make(chan struct{})}
-	h.net.byAddress[bound.String()] = one
-	return one, nil
+	created := &listener{host: h, address: bound, incoming: make(chan net.Conn), closed: make(chan struct{})}
+	h.net.byAddress[bound.String()] = created
+	return created, nil
 }
 
 // listener implements net.Listener.
--- a/lab/main.go
+++ b/lab/main.go
@@ -1,4 +1,4 @@
-// Command lab runs the project's stand-ins, load and experiments.
+// Command lab runs the stubs, load generators and experiments of the project.
 package main
 
 import (
--- a/lab/objectstub/stub.go
+++ b/lab/objectstub/stub.go
@@ -1,6 +1,6 @@
-// Package objectstub stands in for the users' platform store: objects by kind and
-// name over HTTP, with one revision counter, conditional updates, lists in pages,
-// watches whose history can be dropped, and faults by script.
+// Package objectstub is a stub of the users' platform store: objects by kind and
+// name over HTTP, with one revision counter, conditional updates, paged lists,
+// watches over a history that can be compacted, and scripted faults.
 package objectstub
 
 import (
@@ -14,60 +14,60 @@
 	"time"
 )
 
-// Metadata is what the store keeps of an object.
+// Metadata identifies an object and its revision.
 type Metadata struct {
 	Name     string `json:"name"`
 	Revision uint64 `json:"revision,omitempty"`
 }
 
-// Object is one object.
+// Object is a stored object.
 type Object struct {
 	Metadata Metadata        `json:"metadata"`
 	Spec     json.RawMessage `json:"spec"`
 	Status   json.RawMessage `json:"status"`
 }
 
-// Faults say how the store misbehaves. The zero value is a store that is well.
+// Faults are the injected faults. The zero value injects none.
 type Faults struct {
-	// Down refuses every call with 503.
+	// Down answers every call with 503.
 	Down bool
-	// StallWatches watches hear of no change, nor of the end of their wait.
+	// StallWatches keeps watches from reporting changes and from returning when their wait ends.
 	StallWatches bool
-	// DropResponses is how many coming writes take effect without an answer.
+	// DropResponses is the number of coming writes that take effect but get no response.
 	DropResponses int
 }
 
-// headerEra tells in each answer how often the store has come back older.
+// headerEra is the response header with the number of store rollbacks.
 const headerEra = "Store-Era"
 
-// pageLength is how many objects one answer to a list holds.
+// pageLength is the number of objects on one page of a list.
 const pageLength = 20
 
 type event struct {
-	kind   string
-	at     uint64
-	Object Object `json:"object"`
-	Gone   bool   `json:"gone"`
-}
-
-// Stub is the stand-in. It is safe for concurrent use.
-type Stub struct {
-	mutex    sync.Mutex
-	era      uint64
+	kind     string
 	revision uint64
-	kinds    map[string]map[string]Object
-	history  []event
-	floor    uint64 // changes up to here are forgotten
-	changed  chan struct{}
-	faults   Faults
-	calls    int
-	lists    map[string]int // by kind
-	watches  map[string]int // by kind
+	Object   Object `json:"object"`
+	Gone     bool   `json:"gone"`
 }
 
-// New returns a store that is well and empty.
+// Stub is the stub of the store. It is safe for concurrent use.
+type Stub struct {
+	mutex       sync.Mutex
+	era         uint64
+	revision    uint64
+	kinds       map[string]map[string]Object
+	history     []event
+	compactedTo uint64 // the history up to this revision is dropped
+	notify      chan struct{}
+	faults      Faults
+	callCount   int
+	listCalls   map[string]int // by kind
+	watchCalls  map[string]int // by kind
+}
+
+// New returns an empty store without faults.
 func New() *Stub {
-	return &Stub{kinds: make(map[string]map[string]Object), lists: make(map[string]int), watches: make(map[string]int), changed: make(chan struct{})}
+	return &Stub{kinds: make(map[string]map[string]Object), listCalls: make(map[string]int), watchCalls: make(map[string]int), notify: make(chan struct{})}
 }
 
 // SetFaults replaces the faults.
@@ -77,25 +77,25 @@
 	s.faults = faults
 }
 
-// Calls returns how many calls were made.
+// Calls returns the number of calls.
 func (s *Stub) Calls() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.calls
+	return s.callCount
 }
 
-// ListCalls returns how many calls listed a kind.
+// ListCalls returns the number of list calls for a kind.
 func (s *Stub) ListCalls(kind string) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.lists[kind]
+	return s.listCalls[kind]
 }
 
-// WatchCalls returns how many calls watched a kind.
+// WatchCalls returns the number of watch calls for a kind.
 func (s *Stub) WatchCalls(kind string) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.watches[kind]
+	return s.watchCalls[kind]
 }
 
 // Revision returns the revision of the last change.
@@ -105,25 +105,25 @@
 	return s.revision
 }
 
-// Compact forgets the history. Watches that wait are not told.
+// Compact drops the history. Waiting watches are not notified.
 func (s *Stub) Compact() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.history, s.floor = nil, s.revision
+	s.history, s.compactedTo = nil, s.revision
 }
 
-// Snapshot is what the store held at a moment.
+// Snapshot is the state of the store at one time.
 type Snapshot struct {
-	revision, floor uint64
-	kinds           map[string]map[string]Object
-	history         []event
+	revision, compactedTo uint64
+	kinds                 map[string]map[string]Object
+	history               []event
 }
 
-// Snapshot returns what the store holds now.
+// Snapshot returns the current state of the store.
 func (s *Stub) Snapshot() Snapshot {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return Snapshot{revision: s.revision, floor: s.floor, kinds: cloneKinds(s.kinds), history: slices.Clone(s.history)}
+	return Snapshot{revision: s.revision, compactedTo: s.compactedTo, kinds: cloneKinds(s.kinds), history: slices.Clone(s.history)}
 }
 
 func cloneKinds(kinds map[string]map[string]Object) map[string]map[string]Object {
@@ -134,59 +134,59 @@
 	return cloned
 }
 
-// RollBack loses what was written since the copy was taken, and begins the next era: revisions go back, and
-// are given out again. Watches that wait are cut. It returns what was lost.
+// RollBack restores the snapshot and begins the next era: writes since the snapshot are lost, and their revisions
+// are assigned again. Waiting watches are disconnected. It returns the states before and after.
 func (s *Stub) RollBack(from Snapshot) RollbackLoss {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	lost := RollbackLoss{before: s.kinds, copied: cloneKinds(from.kinds)}
+	lost := RollbackLoss{before: s.kinds, restored: cloneKinds(from.kinds)}
 	s.era++
-	s.revision, s.floor, s.kinds, s.history = from.revision, from.floor, cloneKinds(from.kinds), slices.Clone(from.history)
-	close(s.changed)
-	s.changed = make(chan struct{})
+	s.revision, s.compactedTo, s.kinds, s.history = from.revision, from.compactedTo, cloneKinds(from.kinds), slices.Clone(from.history)
+	close(s.notify)
+	s.notify = make(chan struct{})
 	return lost
 }
 
-// RollbackLoss is what a store had before it came back older, and what it came back with.
+// RollbackLoss is the state of a store before a rollback, and the state restored by it.
 type RollbackLoss struct {
-	before, copied map[string]map[string]Object
+	before, restored map[string]map[string]Object
 }
 
-// RewriteLost writes objects of a kind as they were before the store came back older, as those do who wrote them, unless they were
+// RewriteLost writes objects of a kind as they were before the rollback, as their writers do, except those
 // written since.
 func (s *Stub) RewriteLost(lost RollbackLoss, kind string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	names := maps.Clone(lost.before[kind])
-	maps.Copy(names, lost.copied[kind])
+	maps.Copy(names, lost.restored[kind])
 	for _, name := range slices.Sorted(maps.Keys(names)) {
-		before, had := lost.before[kind][name]
-		copied, has := lost.copied[kind][name]
-		present, there := s.kinds[kind][name]
+		before, wasPresent := lost.before[kind][name]
+		restored, inSnapshot := lost.restored[kind][name]
+		current, exists := s.kinds[kind][name]
 		switch {
-		case has != there || present.Metadata.Revision != copied.Metadata.Revision || has && had && before.Metadata.Revision == copied.Metadata.Revision:
-			// It was written since, or was not lost.
-		case had:
-			s.put(kind, Object{Metadata: Metadata{Name: name}, Spec: before.Spec, Status: present.Status})
+		case inSnapshot != exists || current.Metadata.Revision != restored.Metadata.Revision || inSnapshot && wasPresent && before.Metadata.Revision == restored.Metadata.Revision:
+			// The object was written since the rollback, or was not lost.
+		case wasPresent:
+			s.put(kind, Object{Metadata: Metadata{Name: name}, Spec: before.Spec, Status: current.Status})
 		default:
 			s.remove(kind, name)
 		}
 	}
 }
 
-// Era returns how often the store has come back older.
+// Era returns the number of rollbacks.
 func (s *Stub) Era() uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.era
 }
 
-// Set writes the spec of an object whatever its revision, as the operator and the workers do,
-// and returns the new revision.
+// Set writes the spec of an object unconditionally, as the operator and the workers do, and
+// returns the new revision.
 func (s *Stub) Set(kind, name string, spec any) uint64 {
 	encoded, err := json.Marshal(spec)
 	if err != nil {
-		panic(err) // the caller's own types
+		panic(err) // callers pass types that can be encoded
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -200,7 +200,7 @@
 	s.remove(kind, name)
 }
 
-// put stores the object at the next revision. The caller holds the mutex.
+// put stores an object at the next revision. The caller holds the mutex.
 func (s *Stub) put(kind string, object Object) Object {
 	s.revision++
 	object.Metadata.Revision = s.revision
@@ -208,7 +208,7 @@
 		s.kinds[kind] = make(map[string]Object)
 	}
 	s.kinds[kind][object.Metadata.Name] = object
-	s.note(event{kind: kind, at: s.revision, Object: object})
+	s.appendEvent(event{kind: kind, revision: s.revision, Object: object})
 	return object
 }
 
@@ -216,18 +216,18 @@
 	object := s.kinds[kind][name]
 	delete(s.kinds[kind], name)
 	s.revision++
-	s.note(event{kind: kind, at: s.revision, Object: object, Gone: true})
+	s.appendEvent(event{kind: kind, revision: s.revision, Object: object, Gone: true})
 }
 
-func (s *Stub) note(one event) {
-	s.history = append(s.history, one)
+func (s *Stub) appendEvent(change event) {
+	s.history = append(s.history, change)
 	if !s.faults.StallWatches {
-		close(s.changed)
-		s.changed = make(chan struct{})
+		close(s.notify)
+		s.notify = make(chan struct{})
 	}
 }
 
-// Handler returns the store's interface.
+// Handler returns the HTTP handler of the store.
 func (s *Stub) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /-/objects/{kind}", s.list)
@@ -238,7 +238,7 @@
 	mux.HandleFunc("DELETE /-/objects/{kind}/{name}", s.delete)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mutex.Lock()
-		s.calls++
+		s.callCount++
 		down := s.faults.Down
 		w.Header().Set(headerEra, strconv.FormatUint(s.era, 10))
 		s.mutex.Unlock()
@@ -250,10 +250,10 @@
 	})
 }
 
-func answer(w http.ResponseWriter, status int, body any) {
+func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// A client that has gone cannot be told.
+	// A write error means that the client has disconnected.
 	_ = json.NewEncoder(w).Encode(body)
 }
 
@@ -265,7 +265,7 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	answer(w, http.StatusOK, object)
+	writeJSON(w, http.StatusOK, object)
 }
 
 func (s *Stub) list(w http.ResponseWriter, r *http.Request) {
@@ -276,7 +276,7 @@
 	}
 	after := query.Get("after")
 	s.mutex.Lock()
-	s.lists[r.PathValue("kind")]++
+	s.listCalls[r.PathValue("kind")]++
 	var items []Object
 	for name, object := range s.kinds[r.PathValue("kind")] {
 		if name > after {
@@ -287,14 +287,14 @@
 	s.mutex.Unlock()
 	sort.Slice(items, func(i, j int) bool { return items[i].Metadata.Name < items[j].Metadata.Name })
 	more := len(items) > pageLength
-	answer(w, http.StatusOK, struct {
+	writeJSON(w, http.StatusOK, struct {
 		Items []Object `json:"items"`
 		More  bool     `json:"more"`
 		At    uint64   `json:"at"`
 	}{items[:min(len(items), pageLength)], more, at})
 }
 
-// watch answers once there are changes, or when the wait is over.
+// watch answers as soon as there are changes, or when the wait ends.
 func (s *Stub) watch(w http.ResponseWriter, r *http.Request) {
 	after, errAfter := strconv.ParseUint(r.URL.Query().Get("watch"), 10, 64)
 	wait, errWait := strconv.ParseUint(r.URL.Query().Get("waitMs"), 10, 32)
@@ -303,43 +303,43 @@
 		return
 	}
 	s.mutex.Lock()
-	s.watches[r.PathValue("kind")]++
+	s.watchCalls[r.PathValue("kind")]++
 	era := s.era
 	s.mutex.Unlock()
 	timer := time.NewTimer(time.Duration(wait) * time.Millisecond)
 	defer timer.Stop()
 	for {
 		s.mutex.Lock()
-		changed, at, forgotten := s.changed, s.revision, after < s.floor || after > s.revision
-		events := s.since(r.PathValue("kind"), after)
-		cut := s.era != era
+		notify, at, compacted := s.notify, s.revision, after < s.compactedTo || after > s.revision
+		events := s.eventsAfter(r.PathValue("kind"), after)
+		rolledBack := s.era != era
 		s.mutex.Unlock()
-		if cut {
+		if rolledBack {
 			panic(http.ErrAbortHandler)
 		}
-		if forgotten {
+		if compacted {
 			w.WriteHeader(http.StatusGone)
 			return
 		}
-		over := false
+		timedOut := false
 		if len(events) == 0 {
 			select {
-			case <-changed:
+			case <-notify:
 				continue
 			case <-timer.C:
-				if s.deaf() {
-					<-r.Context().Done() // cut without a word
+				if s.watchesStalled() {
+					<-r.Context().Done() // closes the connection without a response
 					return
 				}
-				over = true
+				timedOut = true
 			case <-r.Context().Done():
 				return
 			}
 		}
-		if over {
+		if timedOut {
 			at = after
 		}
-		answer(w, http.StatusOK, struct {
+		writeJSON(w, http.StatusOK, struct {
 			Events []event `json:"events"`
 			At     uint64  `json:"at"`
 		}{events, at})
@@ -347,21 +347,21 @@
 	}
 }
 
-func (s *Stub) deaf() bool {
+func (s *Stub) watchesStalled() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.faults.StallWatches
 }
 
-// since returns a kind's changes after a revision. The caller holds the mutex.
-func (s *Stub) since(kind string, after uint64) []event {
+// eventsAfter returns the changes of a kind after a revision. The caller holds the mutex.
+func (s *Stub) eventsAfter(kind string, after uint64) []event {
 	if s.faults.StallWatches {
 		return nil
 	}
-	return slices.DeleteFunc(slices.Clone(s.history), func(one event) bool { return one.kind != kind || one.at <= after })
+	return slices.DeleteFunc(slices.Clone(s.history), func(change event) bool { return change.kind != kind || change.revision <= after })
 }
 
-// write makes or replaces an object, if its revision is the one that is given.
+// write creates or replaces an object if its revision matches the given one.
 func (s *Stub) write(w http.ResponseWriter, r *http.Request) {
 	object, ok := readObject(w, r)
 	if !ok {
@@ -370,20 +370,20 @@
 	kind := r.PathValue("kind")
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	present, known := s.kinds[kind][object.Metadata.Name]
+	current, known := s.kinds[kind][object.Metadata.Name]
 	switch {
-	case r.Method == http.MethodPost && known, object.Metadata.Revision != 0 && object.Metadata.Revision != present.Metadata.Revision:
-		answer(w, http.StatusConflict, present)
+	case r.Method == http.MethodPost && known, object.Metadata.Revision != 0 && object.Metadata.Revision != current.Metadata.Revision:
+		writeJSON(w, http.StatusConflict, current)
 		return
 	case r.Method == http.MethodPut && !known:
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
 	written := s.put(kind, object)
-	s.acknowledge(w, written)
+	s.respondToWrite(w, written)
 }
 
-// readObject reads the object that a call writes, and answers the call where it has none.
+// readObject decodes the object in the body of a write, and answers 400 if there is none.
 func readObject(w http.ResponseWriter, r *http.Request) (object Object, ok bool) {
 	if err := json.NewDecoder(r.Body).Decode(&object); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
@@ -392,16 +392,16 @@
 	return object, true
 }
 
-// acknowledge answers a write that was done, unless its answer is to be lost. The caller holds the mutex.
-func (s *Stub) acknowledge(w http.ResponseWriter, written Object) {
+// respondToWrite answers a completed write, unless its response is to be dropped. The caller holds the mutex.
+func (s *Stub) respondToWrite(w http.ResponseWriter, written Object) {
 	if s.faults.DropResponses > 0 {
 		s.faults.DropResponses--
 		panic(http.ErrAbortHandler)
 	}
-	answer(w, http.StatusOK, written)
+	writeJSON(w, http.StatusOK, written)
 }
 
-// writeStatus replaces an object's status, if its revision is the one that is given.
+// writeStatus replaces an object's status if its revision matches the given one.
 func (s *Stub) writeStatus(w http.ResponseWriter, r *http.Request) {
 	object, ok := readObject(w, r)
 	if !ok {
@@ -410,21 +410,21 @@
 	kind := r.PathValue("kind")
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	present, known := s.kinds[kind][r.PathValue("name")]
+	current, known := s.kinds[kind][r.PathValue("name")]
 	switch {
 	case !known:
 		w.WriteHeader(http.StatusNotFound)
 		return
-	case object.Metadata.Revision != 0 && object.Metadata.Revision != present.Metadata.Revision:
-		answer(w, http.StatusConflict, present)
+	case object.Metadata.Revision != 0 && object.Metadata.Revision != current.Metadata.Revision:
+		writeJSON(w, http.StatusConflict, current)
 		return
 	}
-	present.Status = object.Status
-	written := s.put(kind, present)
-	s.acknowledge(w, written)
+	current.Status = object.Status
+	written := s.put(kind, current)
+	s.respondToWrite(w, written)
 }
 
-// Status returns an object's status; nil where there is none.
+// Status returns an object's status, or nil if there is none.
 func (s *Stub) Status(kind, name string) json.RawMessage {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -436,12 +436,12 @@
 	revision := r.URL.Query().Get("revision")
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	present, known := s.kinds[kind][name]
+	current, known := s.kinds[kind][name]
 	switch {
 	case !known:
 		w.WriteHeader(http.StatusNotFound)
-	case revision != "" && revision != strconv.FormatUint(present.Metadata.Revision, 10):
-		answer(w, http.StatusConflict, present)
+	case revision != "" && revision != strconv.FormatUint(current.Metadata.Revision, 10):
+		writeJSON(w, http.StatusConflict, current)
 	default:
 		s.remove(kind, name)
 		w.WriteHeader(http.StatusOK)
--- a/lab/platformstub/stub.go
+++ b/lab/platformstub/stub.go
@@ -1,6 +1,6 @@
-// Package platformstub stands in for the platform: the object API over HTTP and
-// the machine list, with the platform's rates, a count of every call, and faults
-// by script.
+// Package platformstub is a stub of the platform: the object API over HTTP and
+// the machine list, with the platform's rate limits, a count of all calls, and
+// scripted faults.
 package platformstub
 
 import (
@@ -18,73 +18,72 @@
 	"github.com/tuliphall/tuliphall/objectstore"
 )
 
-// The platform's rates, in calls a second, for all callers together.
+// Rate limits of the platform, in calls per second of all callers together.
 const (
 	WritesPerSecond = 100
 	ReadsPerSecond  = 2000
 )
 
-// CallKind tells calls apart in the counts.
+// CallKind is the kind of a call, by which calls are counted.
 type CallKind string
 
-// The kinds of call.
+// Kinds of call.
 const (
 	CallRead     CallKind = "read"
 	CallWrite    CallKind = "write"
 	CallWatch    CallKind = "watch"
 	CallMachines CallKind = "machines"
-	CallRefused  CallKind = "refused" // over the platform's rate
+	CallRefused  CallKind = "refused" // over the rate limit
 )
 
-// Faults say how the platform misbehaves. The zero value is a platform that is
-// well.
+// Faults are the injected faults. The zero value injects none.
 type Faults struct {
-	// Down refuses every call.
+	// Down answers every call with 503.
 	Down bool
-	// Unresponsive takes calls and never answers them.
+	// Unresponsive accepts calls and never answers them.
 	Unresponsive bool
-	// Delay is added to every call.
+	// Delay is the added latency of every call.
 	Delay time.Duration
-	// DropResponses is how many coming writes take effect without an answer.
+	// DropResponses is the number of coming writes that take effect but get no response.
 	DropResponses int
-	// BreakWatches ends waiting watches without an answer.
+	// BreakWatches disconnects waiting watches without a response.
 	BreakWatches bool
 }
 
-// callKey names one count.
+// callKey identifies one call counter.
 type callKey struct {
 	caller string
 	kind   CallKind
 }
 
-// Stub is the stand-in. It is safe for concurrent use.
+// Stub is the stub of the platform. It is safe for concurrent use.
 type Stub struct {
 	store  *objectstore.Memory
 	writes *rate.Limiter
 	reads  *rate.Limiter
 
-	mutex    sync.Mutex
-	faults   Faults
-	counts   map[callKey]int
-	watching int
-	mostWait int
-	stale    []objectstore.Machine // served instead of the list while lagging
-	lagging  bool
-	broken   chan struct{} // closed to end waiting watches
+	mutex          sync.Mutex
+	faults         Faults
+	counts         map[callKey]int
+	waiting        int
+	peakWatches    int
+	frozenMachines []objectstore.Machine // served while machinesFrozen
+	machinesFrozen bool
+	abortWatches   chan struct{} // closed to disconnect waiting watches
 }
 
-// New returns a platform that is well and empty.
+// New returns an empty platform without faults.
 func New() *Stub {
 	return &Stub{
-		store:  objectstore.NewMemory(),
-		writes: rate.NewLimiter(WritesPerSecond, WritesPerSecond),
-		reads:  rate.NewLimiter(ReadsPerSecond, ReadsPerSecond),
-		counts: make(map[callKey]int),
-		broken: make(chan struct{}),
+		store:        objectstore.NewMemory(),
+		writes:       rate.NewLimiter(WritesPerSecond, WritesPerSecond),
+		reads:        rate.NewLimiter(ReadsPerSecond, ReadsPerSecond),
+		counts:       make(map[callKey]int),
+		abortWatches: make(chan struct{}),
 	}
 }
 
-// Store returns the store behind the stand-in, for checks.
+// Store returns the underlying store, for checks.
 func (s *Stub) Store() *objectstore.Memory {
 	return s.store
 }
@@ -95,29 +94,29 @@
 	defer s.mutex.Unlock()
 	s.faults = faults
 	if faults.BreakWatches || faults.Down {
-		close(s.broken)
-		s.broken = make(chan struct{})
+		close(s.abortWatches)
+		s.abortWatches = make(chan struct{})
 	}
 }
 
-// SetMachines replaces the machine list. While the list lags, the old one is
-// still served.
+// SetMachines replaces the machine list. While the served list is frozen, the old
+// one is still served.
 func (s *Stub) SetMachines(machines []objectstore.Machine) {
 	s.store.SetMachines(machines)
 }
 
-// SetMachinesFrozen freezes the machine list as served, or lets it catch up.
+// SetMachinesFrozen freezes the served machine list, or serves the current one again.
 func (s *Stub) SetMachinesFrozen(lagging bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if lagging && !s.lagging {
-		// Memory answers at once and never fails.
-		s.stale, _ = s.store.Machines(context.Background())
+	if lagging && !s.machinesFrozen {
+		// Memory never blocks or fails.
+		s.frozenMachines, _ = s.store.Machines(context.Background())
 	}
-	s.lagging = lagging
+	s.machinesFrozen = lagging
 }
 
-// Counts returns the calls by kind, of all callers together.
+// Counts returns the number of calls of all callers by kind.
 func (s *Stub) Counts() map[CallKind]int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -128,14 +127,14 @@
 	return totals
 }
 
-// PeakWatches returns the largest number of watches that waited at once.
+// PeakWatches returns the maximum number of concurrent watches.
 func (s *Stub) PeakWatches() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.mostWait
+	return s.peakWatches
 }
 
-// Handler serves the object API and the machine list.
+// Handler returns the HTTP handler of the object API and the machine list.
 func (s *Stub) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+objectstore.ObjectsPath+"{kind}/{name}", s.get)
@@ -149,19 +148,19 @@
 	})
 }
 
-// RollBack lets the platform lose what was written since a copy of its store was taken. Watches that wait
-// are cut.
+// RollBack restores the store from a snapshot, so that later writes are lost. Waiting watches are
+// disconnected.
 func (s *Stub) RollBack(from objectstore.Snapshot) {
 	s.store.RollBack(from)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	close(s.broken)
-	s.broken = make(chan struct{})
+	close(s.abortWatches)
+	s.abortWatches = make(chan struct{})
 }
 
-// begin counts a call and applies the faults to it. It says whether the call
-// goes on.
-func (s *Stub) begin(w http.ResponseWriter, r *http.Request, kind CallKind) bool {
+// admit counts a call and applies the faults and rate limits to it. It reports
+// whether the call is to be processed.
+func (s *Stub) admit(w http.ResponseWriter, r *http.Request, kind CallKind) bool {
 	s.mutex.Lock()
 	faults := s.faults
 	s.counts[callKey{caller: r.Header.Get(objectstore.HeaderCaller), kind: kind}]++
@@ -171,7 +170,7 @@
 		return false
 	}
 	if faults.Unresponsive {
-		// The caller's leaving is noticed only once its body has been read.
+		// net/http detects that the caller disconnects only once the body has been read.
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
 		return false
@@ -193,21 +192,21 @@
 	return true
 }
 
-// loseAnswer breaks off the connection of a write that took effect, if the
-// script says so.
-func (s *Stub) loseAnswer() {
+// dropResponse aborts the connection of a completed write if its response is to be
+// dropped.
+func (s *Stub) dropResponse() {
 	s.mutex.Lock()
-	lose := s.faults.DropResponses > 0
-	if lose {
+	drop := s.faults.DropResponses > 0
+	if drop {
 		s.faults.DropResponses--
 	}
 	s.mutex.Unlock()
-	if lose {
+	if drop {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func keyOf(r *http.Request) objectstore.Key {
+func objectKey(r *http.Request) objectstore.Key {
 	return objectstore.Key{Kind: r.PathValue("kind"), Name: r.PathValue("name")}
 }
 
@@ -216,14 +215,14 @@
 		s.watch(w, r)
 		return
 	}
-	if !s.begin(w, r, CallRead) {
+	if !s.admit(w, r, CallRead) {
 		return
 	}
-	object, err := s.store.Get(r.Context(), keyOf(r))
-	answer(w, object, err)
+	object, err := s.store.Get(r.Context(), objectKey(r))
+	writeResult(w, object, err)
 }
 
-// maxWait bounds a waiting watch.
+// maxWait is the maximum wait of a watch.
 const maxWait = time.Minute
 
 func (s *Stub) watch(w http.ResponseWriter, r *http.Request) {
@@ -237,33 +236,33 @@
 		http.Error(w, "wait: not a duration up to 1m", http.StatusBadRequest)
 		return
 	}
-	if !s.begin(w, r, CallWatch) {
+	if !s.admit(w, r, CallWatch) {
 		return
 	}
-	object, err := s.wait(r.Context(), keyOf(r), objectstore.Version(after), wait)
+	object, err := s.awaitChange(r.Context(), objectKey(r), objectstore.Version(after), wait)
 	if errors.Is(err, context.Canceled) {
 		panic(http.ErrAbortHandler)
 	}
-	answer(w, object, err)
+	writeResult(w, object, err)
 }
 
-// wait waits for a change; a broken watch ends as canceled.
-func (s *Stub) wait(ctx context.Context, key objectstore.Key, after objectstore.Version, wait time.Duration) (objectstore.Object, error) {
+// awaitChange waits for a change. A watch that is disconnected ends with context.Canceled.
+func (s *Stub) awaitChange(ctx context.Context, key objectstore.Key, after objectstore.Version, wait time.Duration) (objectstore.Object, error) {
 	s.mutex.Lock()
-	s.watching++
-	s.mostWait = max(s.mostWait, s.watching)
-	broken := s.broken
+	s.waiting++
+	s.peakWatches = max(s.peakWatches, s.waiting)
+	aborted := s.abortWatches
 	s.mutex.Unlock()
 	defer func() {
 		s.mutex.Lock()
-		s.watching--
+		s.waiting--
 		s.mutex.Unlock()
 	}()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
 		select {
-		case <-broken:
+		case <-aborted:
 			cancel()
 		case <-ctx.Done():
 		}
@@ -272,8 +271,8 @@
 }
 
 func (s *Stub) put(w http.ResponseWriter, r *http.Request) {
-	expected, ok := expectedOf(w, r)
-	if !ok || !s.begin(w, r, CallWrite) {
+	expected, ok := expectedVersion(w, r)
+	if !ok || !s.admit(w, r, CallWrite) {
 		return
 	}
 	value, err := io.ReadAll(http.MaxBytesReader(w, r.Body, objectstore.MaxValueBytes+1))
@@ -281,22 +280,22 @@
 		http.Error(w, "value too large", http.StatusRequestEntityTooLarge)
 		return
 	}
-	version, err := s.store.Put(r.Context(), keyOf(r), value, expected)
-	s.loseAnswer()
-	answer(w, objectstore.Object{Version: version}, err)
+	version, err := s.store.Put(r.Context(), objectKey(r), value, expected)
+	s.dropResponse()
+	writeResult(w, objectstore.Object{Version: version}, err)
 }
 
 func (s *Stub) delete(w http.ResponseWriter, r *http.Request) {
-	expected, ok := expectedOf(w, r)
-	if !ok || !s.begin(w, r, CallWrite) {
+	expected, ok := expectedVersion(w, r)
+	if !ok || !s.admit(w, r, CallWrite) {
 		return
 	}
-	err := s.store.Delete(r.Context(), keyOf(r), expected)
-	s.loseAnswer()
-	answer(w, objectstore.Object{Version: expected}, err)
+	err := s.store.Delete(r.Context(), objectKey(r), expected)
+	s.dropResponse()
+	writeResult(w, objectstore.Object{Version: expected}, err)
 }
 
-func expectedOf(w http.ResponseWriter, r *http.Request) (objectstore.Version, bool) {
+func expectedVersion(w http.ResponseWriter, r *http.Request) (objectstore.Version, bool) {
 	expected, err := strconv.ParseUint(r.Header.Get(objectstore.HeaderExpect), 10, 64)
 	if err != nil {
 		http.Error(w, objectstore.HeaderExpect+": not a version", http.StatusBadRequest)
@@ -306,35 +305,35 @@
 }
 
 func (s *Stub) list(w http.ResponseWriter, r *http.Request) {
-	if !s.begin(w, r, CallRead) {
+	if !s.admit(w, r, CallRead) {
 		return
 	}
 	objects, err := s.store.List(r.Context(), r.PathValue("kind"))
 	if err != nil {
-		answer(w, objectstore.Object{}, err)
+		writeResult(w, objectstore.Object{}, err)
 		return
 	}
-	// A caller that has gone cannot be told.
+	// A write error means that the caller has disconnected.
 	_ = objectstore.EncodeList(w, objects)
 }
 
 func (s *Stub) machines(w http.ResponseWriter, r *http.Request) {
-	if !s.begin(w, r, CallMachines) {
+	if !s.admit(w, r, CallMachines) {
 		return
 	}
 	s.mutex.Lock()
-	lagging, stale := s.lagging, s.stale
+	lagging, stale := s.machinesFrozen, s.frozenMachines
 	s.mutex.Unlock()
 	machines := stale
 	if !lagging {
-		// Memory answers at once and never fails.
+		// Memory never blocks or fails.
 		machines, _ = s.store.Machines(r.Context())
 	}
 	_ = json.NewEncoder(w).Encode(machines)
 }
 
-// answer writes an object or the status of an error.
-func answer(w http.ResponseWriter, object objectstore.Object, err error) {
+// writeResult writes an object or the status of an error.
+func writeResult(w http.ResponseWriter, object objectstore.Object, err error) {
 	switch {
 	case errors.Is(err, objectstore.ErrNotFound):
 		http.Error(w, err.Error(), http.StatusNotFound)
--- a/lab/site/site.go
+++ b/lab/site/site.go
@@ -1,6 +1,6 @@
-// Package site brings up a whole site in one process: the platform's stand-in,
-// back ends and real daemons, joined by the machine's loopback or by a network in
-// memory.
+// Package site runs a whole site in one process: the platform stub, back-end stubs
+// and real daemons, connected by the loopback interface or by an in-memory
+// network.
 package site
 
 import (
@@ -26,7 +26,7 @@
 	"github.com/tuliphall/tuliphall/settings"
 )
 
-// Service declares one service of the site.
+// Service is one service of the site.
 type Service struct {
 	Config   config.Service
 	Policy   config.Policy
@@ -34,22 +34,22 @@
 	Backend  backendstub.Options
 }
 
-// Options declare a site.
+// Options are the options of a site.
 type Options struct {
 	Network    func(name string) network.Network // nil: TCP for all
-	Address    func(name string) string          // address to listen on; nil: loopback, port picked by the kernel
+	Address    func(name string) string          // listen address; nil: loopback with a port chosen by the kernel
 	Regions    []string
-	Zones      []string // in order; zones are spread over the regions
+	Zones      []string // assigned to the regions round-robin
 	Daemons    int
 	Services   []Service
 	LogOutput  io.Writer
 	LogLevel   string
-	StopNotice time.Duration // of a planned stop
-	// Decisions logs a line for each routing decision.
+	StopNotice time.Duration // notice of a planned stop
+	// Decisions enables the log line of each routing decision.
 	Decisions bool
 }
 
-// Backend is one running back end.
+// Backend is a running back end.
 type Backend struct {
 	ID      string
 	Service string
@@ -61,19 +61,19 @@
 
 // Site is a running site.
 type Site struct {
-	options  Options
-	Platform *platformstub.Stub
-	platform string // URL
-	Backends []*Backend
+	options     Options
+	Platform    *platformstub.Stub
+	platformURL string // URL
+	Backends    []*Backend
 
 	mutex   sync.Mutex
 	daemons map[string]*daemon.Daemon
 	logs    map[string]*SyncBuffer
 	servers []*http.Server
-	ended   sync.WaitGroup
+	serving sync.WaitGroup
 }
 
-// SyncBuffer is a buffer that a daemon writes and a test reads.
+// SyncBuffer is a buffer that is safe for concurrent use by daemons and tests.
 type SyncBuffer struct {
 	mutex  sync.Mutex
 	buffer bytes.Buffer
@@ -86,15 +86,15 @@
 	return b.buffer.Write(data)
 }
 
-// String returns what was written.
+// String returns the content of the buffer.
 func (b *SyncBuffer) String() string {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.buffer.String()
 }
 
-// Start brings up the platform, the back ends and the daemons, and declares the
-// services.
+// Start starts the platform, the back ends and the daemons, and applies the
+// configuration of the services.
 func Start(ctx context.Context, options Options) (*Site, error) {
 	if options.Network == nil {
 		options.Network = func(string) network.Network { return network.TCP{} }
@@ -113,7 +113,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s.platform = "http://" + address
+	s.platformURL = "http://" + address
 	if err := s.startBackends(); err != nil {
 		return nil, err
 	}
@@ -125,26 +125,26 @@
 	if options.Daemons == 0 || len(options.Services) == 0 {
 		return s, nil
 	}
-	if err := s.declare(ctx); err != nil {
+	if err := s.applyServices(ctx); err != nil {
 		return nil, err
 	}
 	return s, nil
 }
 
-// DaemonName returns the name of the daemon with a number, from 0.
+// DaemonName returns the name of the daemon with this number, counted from 0.
 func DaemonName(number int) string {
 	return fmt.Sprintf("entry-%d", number+1)
 }
 
-func (s *Site) zone(number int) string {
+func (s *Site) zoneOf(number int) string {
 	return s.options.Zones[number%len(s.options.Zones)]
 }
 
-func (s *Site) region(number int) string {
+func (s *Site) regionOf(number int) string {
 	return s.options.Regions[number%len(s.options.Zones)%len(s.options.Regions)]
 }
 
-// maxSeeds bounds the peers that a starting daemon is told of.
+// maxSeeds is the maximum number of peer addresses given to a starting daemon.
 const maxSeeds = 20
 
 func (s *Site) serve(name string, handler http.Handler) (string, error) {
@@ -154,7 +154,7 @@
 	}
 	server := &http.Server{Handler: handler, ErrorLog: nil}
 	s.servers = append(s.servers, server)
-	s.ended.Go(func() { _ = server.Serve(listener) })
+	s.serving.Go(func() { _ = server.Serve(listener) })
 	return listener.Addr().String(), nil
 }
 
@@ -163,43 +163,43 @@
 		for number := range declared.Backends {
 			options := declared.Backend
 			options.Seed += uint64(number)
-			one := &Backend{ID: fmt.Sprintf("%s-%d", declared.Config.Name, number+1), Service: declared.Config.Name, Zone: s.zone(number), Stub: backendstub.New(options)}
-			address, err := s.serve(one.ID, one.Stub.Handler())
+			started := &Backend{ID: fmt.Sprintf("%s-%d", declared.Config.Name, number+1), Service: declared.Config.Name, Zone: s.zoneOf(number), Stub: backendstub.New(options)}
+			address, err := s.serve(started.ID, started.Stub.Handler())
 			if err != nil {
 				return err
 			}
-			one.Address, one.server = address, s.servers[len(s.servers)-1]
-			s.Backends = append(s.Backends, one)
+			started.Address, started.server = address, s.servers[len(s.servers)-1]
+			s.Backends = append(s.Backends, started)
 		}
 	}
 	return nil
 }
 
-// StartDaemon starts the daemon with this name, or starts it again after Kill or
-// Stop.
+// StartDaemon starts the daemon with this name, also after KillDaemon or
+// StopDaemon.
 func (s *Site) StartDaemon(name string) error {
 	var number int
 	if _, err := fmt.Sscanf(name, "entry-%d", &number); err != nil {
 		return errors.NotValidf("daemon name %q", name)
 	}
 	address := s.options.Address(name)
-	made := settings.Settings{
-		Name: name, Region: s.region(number - 1), Zone: s.zone(number - 1), Peers: s.peerAddresses(),
+	daemonSettings := settings.Settings{
+		Name: name, Region: s.regionOf(number - 1), Zone: s.zoneOf(number - 1), Peers: s.peerAddresses(),
 		Listen:   settings.Listen{Caller: address, Peer: address, Forward: address, Admin: address},
-		Platform: settings.Platform{Address: s.platform},
+		Platform: settings.Platform{Address: s.platformURL},
 		Stop:     settings.Stop{Notice: config.Duration(s.options.StopNotice)},
 		Log:      settings.Log{Level: s.options.LogLevel, Decisions: s.options.Decisions},
 	}
-	made.SetDefaults()
-	if err := made.Validate(); err != nil {
+	daemonSettings.SetDefaults()
+	if err := daemonSettings.Validate(); err != nil {
 		return err
 	}
-	log := s.logOf(name)
-	target := io.Writer(log)
+	buffer := s.logBuffer(name)
+	output := io.Writer(buffer)
 	if s.options.LogOutput != nil {
-		target = io.MultiWriter(log, s.options.LogOutput)
+		output = io.MultiWriter(buffer, s.options.LogOutput)
 	}
-	started, err := daemon.Start(daemon.Options{Settings: made, Network: s.options.Network(name), LogOutput: target})
+	started, err := daemon.Start(daemon.Options{Settings: daemonSettings, Network: s.options.Network(name), LogOutput: output})
 	if err != nil {
 		return err
 	}
@@ -210,7 +210,7 @@
 	return nil
 }
 
-func (s *Site) logOf(name string) *SyncBuffer {
+func (s *Site) logBuffer(name string) *SyncBuffer {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.logs[name] == nil {
@@ -219,9 +219,9 @@
 	return s.logs[name]
 }
 
-// Log returns what a daemon has logged, over all its lives.
+// Log returns the log of all runs of a daemon.
 func (s *Site) Log(name string) string {
-	return s.logOf(name).String()
+	return s.logBuffer(name).String()
 }
 
 func (s *Site) peerAddresses() []string {
@@ -237,7 +237,7 @@
 	return addresses
 }
 
-// updateMachines puts the running machines on the platform's list.
+// updateMachines sets the platform's machine list to the running machines.
 func (s *Site) updateMachines() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -245,13 +245,13 @@
 	for name, running := range s.daemons {
 		machines = append(machines, objectstore.Machine{ID: name, Role: objectstore.RoleEntry, Address: running.Addresses().Peer, State: objectstore.MachineLive})
 	}
-	for _, one := range s.Backends {
-		machines = append(machines, objectstore.Machine{ID: one.ID, Role: objectstore.RoleBackend, Address: one.Address, Zone: one.Zone, State: objectstore.MachineLive})
+	for _, backend := range s.Backends {
+		machines = append(machines, objectstore.Machine{ID: backend.ID, Role: objectstore.RoleBackend, Address: backend.Address, Zone: backend.Zone, State: objectstore.MachineLive})
 	}
 	s.Platform.SetMachines(machines)
 }
 
-// Content returns the objects that declare the site's services.
+// Content returns the configuration of the site's services.
 func (s *Site) Content() config.Content {
 	var content config.Content
 	for _, declared := range s.options.Services {
@@ -260,9 +260,9 @@
 			content.Policies = append(content.Policies, declared.Policy)
 		}
 		placement := config.Placement{Service: declared.Config.Name}
-		for _, one := range s.Backends {
-			if one.Service == declared.Config.Name {
-				placement.Backends = append(placement.Backends, config.Backend{ID: one.ID, Address: one.Address, Zone: one.Zone, Connections: 64})
+		for _, backend := range s.Backends {
+			if backend.Service == declared.Config.Name {
+				placement.Backends = append(placement.Backends, config.Backend{ID: backend.ID, Address: backend.Address, Zone: backend.Zone, Connections: 64})
 			}
 		}
 		content.Placements = append(content.Placements, placement)
@@ -270,35 +270,35 @@
 	return content
 }
 
-func (s *Site) declare(ctx context.Context) error {
+func (s *Site) applyServices(ctx context.Context) error {
 	edit := config.Edit{ID: "site", Author: "lab", Summary: "the site's services", Set: s.Content()}
 	running := s.Daemon(DaemonName(0))
 	document, err := running.Apply(ctx, edit)
 	if err != nil {
-		return errors.Annotate(err, "declaring the services")
+		return errors.Annotate(err, "applying the configuration of the services")
 	}
 	return s.WaitInForce(ctx, document.Revision)
 }
 
-// settlePoll is the pause between two looks.
-const settlePoll = 20 * time.Millisecond
+// pollInterval is the interval between two checks.
+const pollInterval = 20 * time.Millisecond
 
-// WaitInForce waits until a revision is in force at every running daemon, and
-// every daemon knows every other.
+// WaitInForce waits until a revision is in force at every running daemon and the
+// daemons know each other.
 func (s *Site) WaitInForce(ctx context.Context, revision config.Revision) error {
 	for {
 		if s.InForce(revision) && s.MembershipComplete() {
 			return nil
 		}
 		select {
-		case <-time.After(settlePoll):
+		case <-time.After(pollInterval):
 		case <-ctx.Done():
-			return errors.Annotatef(ctx.Err(), "revision %d not in force everywhere: %s", revision, s.lagging(revision))
+			return errors.Annotatef(ctx.Err(), "revision %d not in force everywhere: %s", revision, s.describeLagging(revision))
 		}
 	}
 }
 
-// InForce says whether a revision is in force at every running daemon.
+// InForce reports whether a revision is in force at every running daemon.
 func (s *Site) InForce(revision config.Revision) bool {
 	for _, running := range s.Daemons() {
 		if running.Document().Revision < revision {
@@ -308,7 +308,7 @@
 	return true
 }
 
-// MembershipComplete says whether every running daemon knows every other.
+// MembershipComplete reports whether every running daemon knows all others.
 func (s *Site) MembershipComplete() bool {
 	daemons := s.Daemons()
 	for _, running := range daemons {
@@ -319,19 +319,19 @@
 	return true
 }
 
-// PlatformURL returns where the platform's stand-in serves.
+// PlatformURL returns the URL of the platform stub.
 func (s *Site) PlatformURL() string {
-	return s.platform
+	return s.platformURL
 }
 
-// Daemon returns a running daemon by name, or nil.
+// Daemon returns the running daemon with this name, or nil.
 func (s *Site) Daemon(name string) *daemon.Daemon {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.daemons[name]
 }
 
-// Daemons returns the running daemons by name.
+// Daemons returns the running daemons, keyed by name.
 func (s *Site) Daemons() map[string]*daemon.Daemon {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -351,12 +351,12 @@
 	return targets
 }
 
-// Admin returns a client of a daemon's operators' interface.
+// Admin returns a client of a daemon's admin API.
 func (s *Site) Admin(name string) *admin.Client {
 	return admin.NewClient("http://" + s.Daemon(name).Addresses().Admin)
 }
 
-func (s *Site) take(name string) *daemon.Daemon {
+func (s *Site) removeDaemon(name string) *daemon.Daemon {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	running := s.daemons[name]
@@ -364,16 +364,16 @@
 	return running
 }
 
-// KillDaemon ends a daemon as a crash would.
+// KillDaemon ends a daemon without notice, as a crash does.
 func (s *Site) KillDaemon(name string) {
-	if running := s.take(name); running != nil {
+	if running := s.removeDaemon(name); running != nil {
 		running.Kill()
 	}
 }
 
-// StopDaemon stops a daemon as planned.
+// StopDaemon performs a planned stop of a daemon.
 func (s *Site) StopDaemon(ctx context.Context, name string) error {
-	running := s.take(name)
+	running := s.removeDaemon(name)
 	if running == nil {
 		return errors.NotFoundf("daemon %s", name)
 	}
@@ -381,37 +381,37 @@
 	return running.Stop(ctx)
 }
 
-// Backend returns a back end by id, or nil.
+// Backend returns the back end with this id, or nil.
 func (s *Site) Backend(id string) *Backend {
-	for _, one := range s.Backends {
-		if one.ID == id {
-			return one
+	for _, backend := range s.Backends {
+		if backend.ID == id {
+			return backend
 		}
 	}
 	return nil
 }
 
-// RunsByRequest returns how often each named request ran, over all back ends.
+// RunsByRequest returns the number of runs of each named request at all back ends.
 func (s *Site) RunsByRequest() map[string]int {
-	return s.sum((*backendstub.Stub).RunsByRequest)
+	return s.sumRuns((*backendstub.Stub).RunsByRequest)
 }
 
-// RunsByKey returns how often the operation of each key ran, over all back ends.
+// RunsByKey returns the number of runs by idempotency key at all back ends.
 func (s *Site) RunsByKey() map[string]int {
-	return s.sum((*backendstub.Stub).RunsByKey)
+	return s.sumRuns((*backendstub.Stub).RunsByKey)
 }
 
-func (s *Site) sum(of func(*backendstub.Stub) map[string]int) map[string]int {
+func (s *Site) sumRuns(counts func(*backendstub.Stub) map[string]int) map[string]int {
 	totals := make(map[string]int)
-	for _, one := range s.Backends {
-		for name, count := range of(one.Stub) {
+	for _, backend := range s.Backends {
+		for name, count := range counts(backend.Stub) {
 			totals[name] += count
 		}
 	}
 	return totals
 }
 
-// Close ends everything at once.
+// Close kills the daemons and closes all servers.
 func (s *Site) Close() {
 	for name := range s.Daemons() {
 		s.KillDaemon(name)
@@ -419,11 +419,11 @@
 	for _, server := range s.servers {
 		server.Close()
 	}
-	s.ended.Wait()
+	s.serving.Wait()
 }
 
-// lagging describes the daemons that lack a revision or do not know every other.
-func (s *Site) lagging(revision config.Revision) string {
+// describeLagging lists the daemons that lack a revision or do not know all others.
+func (s *Site) describeLagging(revision config.Revision) string {
 	var rows []string
 	daemons := s.Daemons()
 	for name, running := range daemons {
--- a/lab/usage/usage.go
+++ b/lab/usage/usage.go
@@ -1,4 +1,4 @@
-// Package usage reads what this process has used.
+// Package usage reads the resource usage of this process.
 package usage
 
 import (
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// CPUTime returns the processor time of this process, all threads together.
+// CPUTime returns the user and system CPU time of this process.
 func CPUTime() time.Duration {
 	var used syscall.Rusage
-	// Getrusage fails only for wrong arguments.
+	// Getrusage fails only for invalid arguments.
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &used)
 	return time.Duration(used.Utime.Nano() + used.Stime.Nano())
 }
