--- a/lab/fakenet/conn.go
+++ b/lab/fakenet/conn.go
@@ -55,13 +55,13 @@
 	s.wake()
 }
 
-func (s *stream) write(data []byte, at time.Time) error {
+func (s *stream) write(data []byte, arrival time.Time) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.endErr != nil {
 		return errReset
 	}
-	s.chunks = append(s.chunks, chunk{data: append([]byte(nil), data...), arrival: at})
+	s.chunks = append(s.chunks, chunk{data: append([]byte(nil), data...), arrival: arrival})
 	s.wake()
 	return nil
 }
--- a/lab/scenarios/scenarios_test.go
+++ b/lab/scenarios/scenarios_test.go
@@ -1,5 +1,5 @@
-// Package scenarios runs the scripted scenarios: the product's commands and the
-// stand-ins as separate processes, driven by testscript.
+// Package scenarios runs scripted scenarios with testscript: the commands of the
+// product and the stubs as separate processes.
 package scenarios
 
 import (
@@ -63,40 +63,40 @@
 	})
 }
 
-// lastHost numbers the loopback addresses given to scripts.
+// lastHost is the number of loopback addresses given to scripts so far.
 var lastHost atomic.Uint32
 
-// loopback returns a loopback address that nothing else on the machine uses: a
-// port that was asked of the kernel and released is free until a process of the
-// script takes it. On 127.0.0.1 another test's outgoing connection may take it.
+// loopback returns a loopback address that nothing else on the machine uses, so that
+// a port allocated by the kernel and released stays free until a process of the
+// script binds it. On 127.0.0.1 an outgoing connection of another test may use it.
 func loopback() string {
 	process := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 1+(process>>8)%254, process%256, 1+lastHost.Add(1)%254)
 }
 
-// ports NAME... asks the kernel for free ports and sets $NAME to IP:port. No process is
-// started meanwhile: one that another script starts would hold the listeners, and so the
-// ports, for a moment after they are closed here.
+// ports NAME... allocates free ports from the kernel and sets $NAME to IP:port. It locks
+// out process starts meanwhile: a process forked by another script would inherit the
+// listeners and hold the ports for a moment after they are closed here.
 func ports(ts *testscript.TestScript, _ bool, names []string) {
 	syscall.ForkLock.RLock()
 	defer syscall.ForkLock.RUnlock()
-	var held []net.Listener
+	var listeners []net.Listener
 	host := loopback()
 	for _, name := range names {
 		listener, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 		ts.Check(err)
-		held = append(held, listener)
+		listeners = append(listeners, listener)
 		ts.Setenv(name, listener.Addr().String())
 	}
-	for _, listener := range held {
+	for _, listener := range listeners {
 		ts.Check(listener.Close())
 	}
 }
 
-// readyTimeout is how long a process may take until it serves.
+// readyTimeout is the maximum time until a process is ready.
 const readyTimeout = 20 * time.Second
 
-// ready URL waits until the URL answers 200.
+// ready URL waits until a GET of the URL returns 200.
 func ready(ts *testscript.TestScript, _ bool, args []string) {
 	deadline := time.Now().Add(readyTimeout)
 	for {
@@ -114,8 +114,8 @@
 	}
 }
 
-// fetch URL [KEY] prints the answer's status line, headers of the project, and body. The key
-// is that of a tenant.
+// fetch URL [KEY] prints the status, result code and run state of the response, and its body.
+// KEY is the key of a tenant.
 func fetch(ts *testscript.TestScript, neg bool, args []string) {
 	request, err := http.NewRequest(http.MethodGet, args[0], nil)
 	ts.Check(err)
@@ -148,8 +148,8 @@
 	}
 }
 
-// pipelined URL COUNT sends so many requests for URL/0, URL/1 and so on at once on one
-// connection, and fails unless they are answered in this order.
+// pipelined URL COUNT pipelines COUNT requests for URL/0, URL/1 and so on on one
+// connection, and fails unless the responses arrive in this order.
 func pipelined(ts *testscript.TestScript, neg bool, args []string) {
 	if neg {
 		ts.Fatalf("unsupported: ! pipelined")
@@ -158,49 +158,49 @@
 	ts.Check(err)
 	count, err := strconv.Atoi(args[1])
 	ts.Check(err)
-	caller, err := net.Dial("tcp", target.Host)
+	connection, err := net.Dial("tcp", target.Host)
 	ts.Check(err)
-	defer caller.Close()
-	var sent strings.Builder
+	defer connection.Close()
+	var requests strings.Builder
 	for number := range count {
-		fmt.Fprintf(&sent, "GET %s/%d HTTP/1.1\r\nHost: %s\r\n\r\n", target.Path, number, target.Host)
+		fmt.Fprintf(&requests, "GET %s/%d HTTP/1.1\r\nHost: %s\r\n\r\n", target.Path, number, target.Host)
 	}
-	_, err = io.WriteString(caller, sent.String())
+	_, err = io.WriteString(connection, requests.String())
 	ts.Check(err)
-	answers := bufio.NewReader(caller)
+	responses := bufio.NewReader(connection)
 	for number := range count {
-		response, err := http.ReadResponse(answers, nil)
+		response, err := http.ReadResponse(responses, nil)
 		ts.Check(err)
 		body, err := io.ReadAll(response.Body)
 		ts.Check(err)
 		if want := fmt.Sprintf("GET %s/%d", target.Path, number); response.StatusCode != http.StatusOK || !strings.Contains(string(body), want) {
-			ts.Fatalf("answer %d: status %d, %q; want %q", number, response.StatusCode, body, want)
+			ts.Fatalf("response %d: status %d, %q; want %q", number, response.StatusCode, body, want)
 		}
 	}
 }
 
-// rawTimeout is how long raw waits for the other side to close the connection.
+// rawTimeout is the maximum time that raw waits for the peer to close the connection.
 const rawTimeout = 5 * time.Second
 
-// raw ADDRESS FILE sends the file's bytes, in which \r stands for a carriage return, and
-// prints what comes back until the connection is closed.
+// raw ADDRESS FILE sends the content of the file, in which \r stands for a carriage return,
+// and prints the response until the connection is closed.
 func raw(ts *testscript.TestScript, neg bool, args []string) {
 	if neg {
 		ts.Fatalf("unsupported: ! raw")
 	}
-	caller, err := net.Dial("tcp", args[0])
+	connection, err := net.Dial("tcp", args[0])
 	ts.Check(err)
-	defer caller.Close()
-	ts.Check(caller.SetDeadline(time.Now().Add(rawTimeout)))
-	_, err = io.WriteString(caller, strings.ReplaceAll(ts.ReadFile(args[1]), `\r`, "\r"))
+	defer connection.Close()
+	ts.Check(connection.SetDeadline(time.Now().Add(rawTimeout)))
+	_, err = io.WriteString(connection, strings.ReplaceAll(ts.ReadFile(args[1]), `\r`, "\r"))
 	ts.Check(err)
-	// A connection that is closed over unread bytes is reset.
-	if _, err := io.Copy(ts.Stdout(), caller); err != nil && !errors.Is(err, syscall.ECONNRESET) {
+	// Closing a connection with unread data resets it.
+	if _, err := io.Copy(ts.Stdout(), connection); err != nil && !errors.Is(err, syscall.ECONNRESET) {
 		ts.Fatalf("%v", err)
 	}
 }
 
-// hangup COMMAND sends SIGHUP, which kill does not know, to the script's background
+// hangup COMMAND sends SIGHUP, which testscript's kill does not support, to the background
 // processes of a command.
 func hangup(ts *testscript.TestScript, _ bool, args []string) {
 	for _, process := range ts.BackgroundCmds() {
@@ -210,7 +210,7 @@
 	}
 }
 
-// capture NAME PATTERN sets $NAME to what the pattern's group matches in the last output.
+// capture NAME PATTERN sets $NAME to the match of the pattern's first group in the last output.
 func capture(ts *testscript.TestScript, _ bool, args []string) {
 	matched := regexp.MustCompile(args[1]).FindStringSubmatch(ts.ReadFile("stdout"))
 	if len(matched) < 2 {
@@ -219,7 +219,7 @@
 	ts.Setenv(args[0], matched[1])
 }
 
-// subst FILE... replaces $NAME in files by the environment's values.
+// subst FILE... expands environment variables in files.
 func substitute(ts *testscript.TestScript, _ bool, files []string) {
 	for _, file := range files {
 		text := os.Expand(ts.ReadFile(file), ts.Getenv)
@@ -227,14 +227,14 @@
 	}
 }
 
-// atMost COUNT REGEXP FILE fails if more lines of a file match.
+// atmost COUNT REGEXP FILE fails if the file has more than COUNT matches.
 func atMost(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 3 {
 		ts.Fatalf("usage: atmost COUNT REGEXP FILE")
 	}
-	most, err := strconv.Atoi(args[0])
+	limit, err := strconv.Atoi(args[0])
 	ts.Check(err)
-	if found := len(regexp.MustCompile(args[1]).FindAllString(ts.ReadFile(args[2]), -1)); found > most {
-		ts.Fatalf("%d lines match %s, %d may", found, args[1], most)
+	if matches := len(regexp.MustCompile(args[1]).FindAllString(ts.ReadFile(args[2]), -1)); matches > limit {
+		ts.Fatalf("%d matches of %s, at most %d allowed", matches, args[1], limit)
 	}
 }
--- a/lab/site/faults_test.go
+++ b/lab/site/faults_test.go
@@ -19,49 +19,49 @@
 	"github.com/tuliphall/tuliphall/resultcode"
 )
 
-func small() site.Options {
+func smallSite() site.Options {
 	return site.Options{Zones: []string{"zone-a", "zone-b"}, Daemons: 3, Services: testServices(4), StopNotice: time.Second}
 }
 
-// loadFor returns the load of one fault test.
-func loadFor(net *fakenet.Net, running *site.Site, duration time.Duration) load.Options {
-	return load.Options{Network: net.Host("callers"), Targets: running.Targets(), Rate: 200, Duration: duration, Seed: 5, Kinds: kinds()}
+// loadOptions returns the load of a fault test.
+func loadOptions(net *fakenet.Net, running *site.Site, duration time.Duration) load.Options {
+	return load.Options{Network: net.Host("callers"), Targets: running.Targets(), Rate: 200, Duration: duration, Seed: 5, Kinds: requestKinds()}
 }
 
-// TestWholeAnswers lets one back end of four break its answers in each way.
+// TestWholeAnswers injects each response fault at one of four back ends.
 func TestWholeAnswers(t *testing.T) {
 	for _, fault := range []backendstub.Fault{
 		backendstub.FaultCloseMidBody, backendstub.FaultCloseBeforeResponse, backendstub.FaultWrongLength,
 		backendstub.FaultExtraResponse, backendstub.FaultUnframed, backendstub.FaultError, backendstub.FaultFreeze,
 	} {
 		for _, http2 := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%s/http2=%t", fault, http2), func(t *testing.T) { wholeAnswers(t, fault, http2) })
+			t.Run(fmt.Sprintf("%s/http2=%t", fault, http2), func(t *testing.T) { testWholeAnswers(t, fault, http2) })
 		}
 	}
 }
 
-func wholeAnswers(t *testing.T, fault backendstub.Fault, http2 bool) {
-	virtual(t, small(), func(ctx context.Context, net *fakenet.Net, running *site.Site) {
-		for _, one := range running.Backends {
-			if one.ID == "reads-1" || one.ID == "corrections-1" {
-				one.Stub.SetFault(fault)
+func testWholeAnswers(t *testing.T, fault backendstub.Fault, http2 bool) {
+	runVirtual(t, smallSite(), func(ctx context.Context, net *fakenet.Net, running *site.Site) {
+		for _, backend := range running.Backends {
+			if backend.ID == "reads-1" || backend.ID == "corrections-1" {
+				backend.Stub.SetFault(fault)
 			}
 		}
-		made := loadFor(net, running, 3*time.Second)
-		made.HTTP2 = http2
-		result := load.Run(ctx, made)
-		checkPromises(t, running, result)
+		options := loadOptions(net, running, 3*time.Second)
+		options.HTTP2 = http2
+		result := load.Run(ctx, options)
+		checkGuarantees(t, running, result)
 		checkOnce(t, running)
 		require.Positive(t, result.Answered)
 		if fault != backendstub.FaultExtraResponse {
-			// A fault in a repeatable request is made good by a second run.
-			require.Positive(t, result.Failed()+retried(running), "the fault was never met")
+			// A repeatable request is retried after a fault.
+			require.Positive(t, result.Failed()+countRerun(running), "no request met the fault")
 		}
 	})
 }
 
-// retried counts requests that ran more than once, as repeatable ones may.
-func retried(running *site.Site) int {
+// countRerun returns the number of requests that ran more than once, as repeatable ones may.
+func countRerun(running *site.Site) int {
 	count := 0
 	for _, runs := range running.RunsByRequest() {
 		if runs > 1 {
@@ -71,48 +71,48 @@
 	return count
 }
 
-// TestNotRunUnderOverload offers five times what the back ends can do.
+// TestNotRunUnderOverload sends ten times as many requests as the back end can serve.
 func TestNotRunUnderOverload(t *testing.T) {
-	options := small()
-	options.Services = testServices(1)
-	virtual(t, options, func(ctx context.Context, net *fakenet.Net, running *site.Site) {
-		made := loadFor(net, running, 4*time.Second)
-		made.Rate = 6000
-		made.Kinds = kinds()[:1]
-		result := load.Run(ctx, made)
-		checkPromises(t, running, result)
+	siteOptions := smallSite()
+	siteOptions.Services = testServices(1)
+	runVirtual(t, siteOptions, func(ctx context.Context, net *fakenet.Net, running *site.Site) {
+		options := loadOptions(net, running, 4*time.Second)
+		options.Rate = 6000
+		options.Kinds = requestKinds()[:1]
+		result := load.Run(ctx, options)
+		checkGuarantees(t, running, result)
 		refused := result.RunStates[resultcode.NotRun]
-		require.Greater(t, refused, result.Sent/2, "overload was not met")
-		// One back end with 3 slots and 5 ms of work serves 600 a second.
+		require.Greater(t, refused, result.Sent/2, "the back end was not overloaded")
+		// A back end with 3 slots and a service time of 5 ms serves 600 requests per second.
 		capacity := 600.0 * 4
 		require.Greater(t, float64(result.Answered), 0.9*capacity)
 	})
 }
 
-// TestRejectAll lets one of eight back ends refuse everything at once.
+// TestRejectAll makes one of eight back ends reject all requests immediately.
 func TestRejectAll(t *testing.T) {
-	options := small()
-	options.Services = testServices(8)
-	virtual(t, options, func(ctx context.Context, net *fakenet.Net, running *site.Site) {
+	siteOptions := smallSite()
+	siteOptions.Services = testServices(8)
+	runVirtual(t, siteOptions, func(ctx context.Context, net *fakenet.Net, running *site.Site) {
 		bad := running.Backend("reads-1")
 		bad.Stub.SetFault(backendstub.FaultRejectAll)
-		made := loadFor(net, running, 5*time.Second)
-		made.Kinds = kinds()[:1]
-		result := load.Run(ctx, made)
-		checkPromises(t, running, result)
+		options := loadOptions(net, running, 5*time.Second)
+		options.Kinds = requestKinds()[:1]
+		result := load.Run(ctx, options)
+		checkGuarantees(t, running, result)
 		require.Less(t, float64(result.Failed()), 0.01*float64(result.Sent))
 		bad.Stub.SetFault(backendstub.FaultNone)
 		before := bad.Stub.TotalRuns()
-		made.Seed, made.Duration = 6, 10*time.Second
-		load.Run(ctx, made)
-		require.Greater(t, bad.Stub.TotalRuns(), before+50, "the back end did not come back")
+		options.Seed, options.Duration = 6, 10*time.Second
+		load.Run(ctx, options)
+		require.Greater(t, bad.Stub.TotalRuns(), before+50, "the back end gets no requests after it recovered")
 	})
 }
 
-// TestOperationsWhenDispatcherDies kills the daemon that claims the operations,
-// in the middle of load and with answers of the store being lost.
+// TestOperationsWhenDispatcherDies kills the daemon that claims the operations
+// under load, while responses of the store are dropped.
 func TestOperationsWhenDispatcherDies(t *testing.T) {
-	virtual(t, small(), func(ctx context.Context, net *fakenet.Net, running *site.Site) {
+	runVirtual(t, smallSite(), func(ctx context.Context, net *fakenet.Net, running *site.Site) {
 		var done sync.WaitGroup
 		done.Go(func() {
 			time.Sleep(time.Second)
@@ -120,19 +120,19 @@
 			time.Sleep(time.Second)
 			running.KillDaemon(dispatcherOf(t, running, "corrections"))
 		})
-		made := loadFor(net, running, 6*time.Second)
-		made.Kinds = kinds()[1:]
-		result := load.Run(ctx, made)
+		options := loadOptions(net, running, 6*time.Second)
+		options.Kinds = requestKinds()[1:]
+		result := load.Run(ctx, options)
 		done.Wait()
-		checkPromises(t, running, result)
+		checkGuarantees(t, running, result)
 		checkOnce(t, running)
 		require.Greater(t, result.Answered, result.Sent/2)
 
-		// Every caller comes back with its key, through the daemons that are left.
-		made.Targets = running.Targets()
-		again := load.Run(ctx, made)
+		// Every caller retries with its key through the remaining daemons.
+		options.Targets = running.Targets()
+		retry := load.Run(ctx, options)
 		checkOnce(t, running)
-		require.Positive(t, again.Codes[resultcode.Replayed], "no answer was replayed")
+		require.Positive(t, retry.Codes[resultcode.Replayed], "no response was replayed")
 	})
 }
 
@@ -149,39 +149,39 @@
 	return ""
 }
 
-// TestStoreDown keeps the platform away for half an hour.
+// TestStoreDown makes the platform unavailable for half an hour.
 func TestStoreDown(t *testing.T) {
-	virtual(t, small(), func(ctx context.Context, net *fakenet.Net, running *site.Site) {
-		well := load.Run(ctx, loadFor(net, running, 5*time.Second))
+	runVirtual(t, smallSite(), func(ctx context.Context, net *fakenet.Net, running *site.Site) {
+		baseline := load.Run(ctx, loadOptions(net, running, 5*time.Second))
 		running.Platform.SetFaults(platformstub.Faults{Down: true})
 		time.Sleep(28 * time.Minute)
-		made := loadFor(net, running, 5*time.Second)
-		made.Seed++
-		result := load.Run(ctx, made)
-		ratio := float64(result.KindQuantile("reads", 99)) / float64(well.KindQuantile("reads", 99))
+		options := loadOptions(net, running, 5*time.Second)
+		options.Seed++
+		result := load.Run(ctx, options)
+		ratio := float64(result.KindQuantile("reads", 99)) / float64(baseline.KindQuantile("reads", 99))
 		t.Logf("p99 of reads without the platform: %.2f x that with it", ratio)
 		require.InDelta(t, 1, ratio, 0.3)
-		checkPromises(t, running, result)
+		checkGuarantees(t, running, result)
 		require.Positive(t, result.Codes[resultcode.StoreUnavailable], "operations must be refused")
 		require.Equal(t, result.Sent, result.Answered+result.Codes[resultcode.StoreUnavailable], result.FirstFailure())
 
-		// A daemon that joins learns the configuration from its peers.
+		// A daemon that joins gets the configuration from its peers.
 		require.NoError(t, running.StartDaemon("entry-4"))
 		time.Sleep(5 * time.Second)
 		require.Equal(t, config.Revision(1), running.Daemon("entry-4").Document().Revision)
 
-		// A drain is heard from the back end and reaches every daemon.
+		// Draining is learned from the back end and reaches every daemon.
 		leaving := running.Backend("reads-1")
 		leaving.Stub.SetDraining(true)
-		load.Run(ctx, loadFor(net, running, 3*time.Second))
+		load.Run(ctx, loadOptions(net, running, 3*time.Second))
 		before := leaving.Stub.TotalRuns()
-		made.Seed = 9
-		made.Targets = running.Targets()
-		load.Run(ctx, made)
-		require.Equal(t, before, leaving.Stub.TotalRuns(), "a leaving back end got requests")
+		options.Seed = 9
+		options.Targets = running.Targets()
+		load.Run(ctx, options)
+		require.Equal(t, before, leaving.Stub.TotalRuns(), "a draining back end got requests")
 
-		// A daemon that starts only now hears of it from the others, even if it is
-		// the only one left, long after the news was passed on.
+		// A daemon that starts long after the broadcast learns it from its peers, also
+		// when it is the only one that remains.
 		require.NoError(t, running.StartDaemon("entry-5"))
 		time.Sleep(2 * time.Minute)
 		running.KillDaemon("entry-5")
@@ -192,37 +192,37 @@
 			running.KillDaemon(site.DaemonName(number))
 		}
 		time.Sleep(10 * time.Second)
-		made.Seed = 11
-		made.Targets = running.Targets()
-		last := load.Run(ctx, made)
+		options.Seed = 11
+		options.Targets = running.Targets()
+		last := load.Run(ctx, options)
 		require.Positive(t, last.Answered, last.FirstFailure())
-		require.Equal(t, before, leaving.Stub.TotalRuns(), "a leaving back end got requests from a new daemon")
+		require.Equal(t, before, leaving.Stub.TotalRuns(), "a draining back end got requests from a new daemon")
 
 		running.Platform.SetFaults(platformstub.Faults{})
 		time.Sleep(time.Minute)
-		made.Seed = 10
-		healed := load.Run(ctx, made)
+		options.Seed = 10
+		healed := load.Run(ctx, options)
 		require.Equal(t, healed.Sent, healed.Answered, healed.FirstFailure())
 	})
 }
 
-// TestPlannedStops restarts every daemon in turn under load with long streams.
+// TestPlannedStops restarts the daemons one by one under load with long streams.
 func TestPlannedStops(t *testing.T) {
-	virtual(t, small(), func(ctx context.Context, net *fakenet.Net, running *site.Site) {
+	runVirtual(t, smallSite(), func(ctx context.Context, net *fakenet.Net, running *site.Site) {
 		var done sync.WaitGroup
 		for number := range 3 {
 			name := site.DaemonName(number)
 			target := running.Daemon(name).Addresses().Caller
 			done.Go(func() { stream(ctx, t, net, target) })
 			done.Go(func() {
-				made := loadFor(net, running, 2*time.Second)
-				made.Targets = []string{target}
-				result := load.Run(ctx, made)
+				options := loadOptions(net, running, 2*time.Second)
+				options.Targets = []string{target}
+				result := load.Run(ctx, options)
 				require.Equal(t, result.Sent, result.Answered, result.FirstFailure())
 			})
 			time.Sleep(1500 * time.Millisecond)
-			// The platform's balancer takes the daemon off its list within the
-			// notice; the load ends before.
+			// The platform's load balancer removes the daemon within the notice; the
+			// load ends before.
 			require.NoError(t, running.StopDaemon(ctx, name))
 			require.NoError(t, running.StartDaemon(name))
 			require.NoError(t, running.WaitInForce(ctx, 1))
@@ -231,7 +231,7 @@
 	})
 }
 
-// stream reads an answer of ten seconds and expects its end.
+// stream reads a response that takes ten seconds and checks that it is complete.
 func stream(ctx context.Context, t *testing.T, net *fakenet.Net, target string) {
 	transport := &http.Transport{DialContext: func(ctx context.Context, _, address string) (conn netConn, err error) {
 		return net.Host("callers").Dial(ctx, address)
@@ -253,15 +253,15 @@
 			break
 		}
 	}
-	require.Contains(t, string(text), "end\n", "the stream was cut")
+	require.Contains(t, string(text), "end\n", "the stream was truncated")
 }
 
-// TestRacingOperators lets several operators change the same and other objects
-// through different daemons, with answers lost.
+// TestRacingOperators makes several operators change the same and different objects
+// concurrently through different daemons, while responses of the store are dropped.
 func TestRacingOperators(t *testing.T) {
-	virtual(t, small(), func(ctx context.Context, _ *fakenet.Net, running *site.Site) {
+	runVirtual(t, smallSite(), func(ctx context.Context, _ *fakenet.Net, running *site.Site) {
 		running.Platform.SetFaults(platformstub.Faults{DropResponses: 4, Delay: 5 * time.Millisecond})
-		revisions := watchRevisions(t, running)
+		revisions := assertMonotonicRevisions(t, running)
 		var done sync.WaitGroup
 		var mutex sync.Mutex
 		accepted := make(map[string]config.Revision)
@@ -286,8 +286,8 @@
 		require.NotEmpty(t, accepted)
 		time.Sleep(5 * time.Second)
 		revisions.stop()
-		// Every accepted change is in the history of every daemon, at the revision
-		// its operator was told.
+		// Every accepted change is in the history of every daemon at the revision that
+		// its operator got.
 		for _, one := range running.Daemons() {
 			for id, revision := range accepted {
 				change, found := one.Document().FindChange(id)
@@ -298,10 +298,10 @@
 	})
 }
 
-// TestPolicyChangeUnderLoad changes a policy while requests flow: it is in force at
-// every daemon within two seconds, and no request is lost.
+// TestPolicyChangeUnderLoad changes a policy under load: it is in force at every
+// daemon within two seconds, and no request fails.
 func TestPolicyChangeUnderLoad(t *testing.T) {
-	virtual(t, small(), func(ctx context.Context, net *fakenet.Net, running *site.Site) {
+	runVirtual(t, smallSite(), func(ctx context.Context, net *fakenet.Net, running *site.Site) {
 		var done sync.WaitGroup
 		done.Go(func() {
 			time.Sleep(2 * time.Second)
@@ -313,19 +313,19 @@
 			require.NoError(t, running.WaitInForce(ctx, document.Revision))
 			require.Less(t, time.Since(begun), 2*time.Second)
 		})
-		result := load.Run(ctx, loadFor(net, running, 5*time.Second))
+		result := load.Run(ctx, loadOptions(net, running, 5*time.Second))
 		done.Wait()
 		require.Equal(t, result.Sent, result.Answered, result.FirstFailure())
 	})
 }
 
-// TestHalfTheWatchersDie kills daemons that watch the store: a change made in the
-// store behind the daemons' backs is still in force within three seconds.
+// TestHalfTheWatchersDie kills daemons that watch the store: a change written directly
+// to the store is still in force within three seconds.
 func TestHalfTheWatchersDie(t *testing.T) {
-	options := small()
+	options := smallSite()
 	options.Daemons = 18
 	options.Services = testServices(2)
-	virtual(t, options, func(ctx context.Context, _ *fakenet.Net, running *site.Site) {
+	runVirtual(t, options, func(ctx context.Context, _ *fakenet.Net, running *site.Site) {
 		time.Sleep(5 * time.Second)
 		killed := 0
 		for name, one := range running.Daemons() {
@@ -346,16 +346,17 @@
 	})
 }
 
-// TestDeclaredChangesHoldWhenPlatformComesBackOlder lets the platform lose changes that operators made: they stay in force at every daemon and
-// are written again, also where another change was made on the older copy, and changes that come after are in force in time.
+// TestDeclaredChangesHoldWhenPlatformComesBackOlder rolls the platform's store back behind changes of operators: they
+// stay in force at every daemon and are written again, also if another change was made to the restored
+// configuration, and later changes are in force in time.
 func TestDeclaredChangesHoldWhenPlatformComesBackOlder(t *testing.T) {
 	for _, one := range []struct {
 		name string
-		// behind is a change that is made in the store right after the return, behind the daemons' backs.
+		// behind is a change written directly to the store right after the rollback.
 		behind string
 	}{{name: "nothing comes in between"}, {name: "a change is made on the older copy", behind: "behind"}} {
 		t.Run(one.name, func(t *testing.T) {
-			virtual(t, small(), func(ctx context.Context, _ *fakenet.Net, running *site.Site) {
+			runVirtual(t, smallSite(), func(ctx context.Context, _ *fakenet.Net, running *site.Site) {
 				change := func(id string) config.Edit {
 					return config.Edit{ID: id, Set: config.Content{Policies: []config.Policy{{Name: id}}}}
 				}
@@ -402,13 +403,13 @@
 	}
 }
 
-// TestUnconfiguredDaemonDispatchesNothing starts daemons while the platform takes
-// calls and does not answer: until they have read a configuration from their peers
-// nobody forwards to them.
+// TestUnconfiguredDaemonDispatchesNothing starts daemons while the platform accepts
+// calls and does not answer: no daemon forwards to them until they have read the
+// configuration from their peers.
 func TestUnconfiguredDaemonDispatchesNothing(t *testing.T) {
-	virtual(t, small(), func(ctx context.Context, net *fakenet.Net, running *site.Site) {
-		made := loadFor(net, running, 10*time.Second)
-		made.Kinds = kinds()[:1]
+	runVirtual(t, smallSite(), func(ctx context.Context, net *fakenet.Net, running *site.Site) {
+		made := loadOptions(net, running, 10*time.Second)
+		made.Kinds = requestKinds()[:1]
 		running.Platform.SetFaults(platformstub.Faults{Unresponsive: true})
 		for _, name := range []string{"entry-4", "entry-5", "entry-6"} {
 			require.NoError(t, running.StartDaemon(name))
--- a/lab/site/quiet_test.go
+++ b/lab/site/quiet_test.go
@@ -11,13 +11,13 @@
 	"github.com/tuliphall/tuliphall/lab/site"
 )
 
-// TestControlIsQuiet expects that daemons in a fleet to which nothing happens tell
-// each other nothing but heartbeats, some time after all have started at once.
+// TestControlIsQuiet checks that the daemons of an idle fleet exchange only heartbeats
+// some time after a simultaneous start.
 func TestControlIsQuiet(t *testing.T) {
 	const daemons = 40
-	options := small()
+	options := smallSite()
 	options.Daemons = daemons
-	virtual(t, options, func(_ context.Context, net *fakenet.Net, running *site.Site) {
+	runVirtual(t, options, func(_ context.Context, net *fakenet.Net, running *site.Site) {
 		sent := func() (total int64) {
 			for number := range daemons {
 				total += net.Host(site.DaemonName(number)).BytesSent()
@@ -30,8 +30,8 @@
 			time.Sleep(20 * time.Second)
 			rates = append(rates, (sent()-before)/20/daemons)
 		}
-		require.LessOrEqual(t, running.Platform.PeakWatches(), 12, "daemons that had just started watched")
-		t.Log("bytes a second and daemon, every 20 s:", rates)
+		require.LessOrEqual(t, running.Platform.PeakWatches(), 12, "watches right after the start")
+		t.Log("bytes per second and daemon, every 20 s:", rates)
 		require.Less(t, rates[len(rates)-1], int64(500))
 	})
 }
--- a/lab/site/schedule_test.go
+++ b/lab/site/schedule_test.go
@@ -24,14 +24,14 @@
 	"github.com/tuliphall/tuliphall/resultcode"
 )
 
-// Length and load of one random schedule.
+// Length, requests per second and probes per second of a random schedule.
 const (
-	scheduleLength = 10 * time.Minute
-	scheduleRate   = 4
-	probeRate      = 2.0
+	scheduleLength    = 10 * time.Minute
+	requestsPerSecond = 4
+	probesPerSecond   = 2.0
 )
 
-// fault is one entry of a schedule.
+// fault is an entry of a schedule.
 type fault struct {
 	kind   string
 	at     time.Duration
@@ -41,18 +41,18 @@
 	count  int
 }
 
-// faultKinds names the faults; each is one case of world.make.
+// faultKinds are the kinds of fault; faultRun.inject has a case for each.
 var faultKinds = []string{
 	"platform-down", "platform-silent", "platform-slow", "lost-answers", "broken-watches", "stale-machines",
 	"kill", "planned-stop", "cut-daemons", "cut-platform", "freeze",
 	"reject-all", "close-first", "close-early", "wrong-length", "extra-bytes", "frozen-backend", "drain", "race",
 }
 
-// drawSchedule draws faults singly, in pairs and repeated.
+// drawSchedule draws one to four faults, some of them repeated.
 func drawSchedule(t *rapid.T) []fault {
 	var faults []fault
 	for range rapid.IntRange(1, 4).Draw(t, "faults") {
-		one := fault{
+		drawn := fault{
 			kind:   rapid.SampledFrom(faultKinds).Draw(t, "kind"),
 			at:     time.Duration(rapid.IntRange(5, 500).Draw(t, "at")) * time.Second,
 			length: time.Duration(rapid.IntRange(1, 90).Draw(t, "length")) * time.Second,
@@ -60,37 +60,38 @@
 			other:  rapid.IntRange(0, 2).Draw(t, "other"),
 			count:  rapid.IntRange(1, 5).Draw(t, "count"),
 		}
-		faults = append(faults, one)
+		faults = append(faults, drawn)
 		if rapid.Bool().Draw(t, "again") {
-			one.at += time.Duration(rapid.IntRange(0, 60).Draw(t, "later")) * time.Second
-			faults = append(faults, one)
+			drawn.at += time.Duration(rapid.IntRange(0, 60).Draw(t, "later")) * time.Second
+			faults = append(faults, drawn)
 		}
 	}
 	sort.SliceStable(faults, func(i, j int) bool { return faults[i].at < faults[j].at })
 	return faults
 }
 
-// world is a running site with the faults that befall it.
-type world struct {
-	ctx      context.Context
-	net      *fakenet.Net
-	site     *site.Site
-	waiting  sync.WaitGroup
-	mutex    sync.Mutex
-	platform platformstub.Faults
-	stopped  map[string]bool // daemons that are away, or about to be
-	problems []string
-	changes  int
+// faultRun is a running site into which faults are injected.
+type faultRun struct {
+	ctx            context.Context
+	net            *fakenet.Net
+	site           *site.Site
+	injections     sync.WaitGroup
+	mutex          sync.Mutex
+	platformFaults platformstub.Faults
+	stopped        map[string]bool // daemons that are stopped, or about to be
+	problems       []string
+	changes        int
 }
 
-func (w *world) problem(format string, arguments ...any) {
+func (w *faultRun) addProblem(format string, arguments ...any) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.problems = append(w.problems, fmt.Sprintf(format, arguments...))
 }
 
-// take marks a daemon as away, and says whether it was not yet and another stays.
-func (w *world) take(name string) bool {
+// markStopped marks a daemon as stopped. It returns false if the daemon is marked already or no other
+// would remain.
+func (w *faultRun) markStopped(name string) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.stopped[name] || len(w.stopped) >= 2 {
@@ -100,30 +101,30 @@
 	return true
 }
 
-func (w *world) bringBack(name string) {
+func (w *faultRun) restartDaemon(name string) {
 	if err := w.site.StartDaemon(name); err != nil {
-		w.problem("daemon %s does not start: %v", name, err)
+		w.addProblem("daemon %s does not start: %v", name, err)
 	}
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	delete(w.stopped, name)
 }
 
-// setPlatform changes the platform's faults for a time.
-func (w *world) setPlatform(length time.Duration, change func(*platformstub.Faults)) {
+// setPlatform injects platform faults for a time.
+func (w *faultRun) setPlatform(length time.Duration, change func(*platformstub.Faults)) {
 	w.mutex.Lock()
-	change(&w.platform)
-	w.site.Platform.SetFaults(w.platform)
+	change(&w.platformFaults)
+	w.site.Platform.SetFaults(w.platformFaults)
 	w.mutex.Unlock()
 	time.Sleep(length)
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.platform = platformstub.Faults{}
-	w.site.Platform.SetFaults(w.platform)
+	w.platformFaults = platformstub.Faults{}
+	w.site.Platform.SetFaults(w.platformFaults)
 }
 
-// make brings a fault about and ends it again.
-func (w *world) make(one fault) {
+// inject injects a fault and ends it.
+func (w *faultRun) inject(one fault) {
 	daemon, other := site.DaemonName(one.target), site.DaemonName(one.other)
 	backends := []*site.Backend{w.site.Backend(fmt.Sprintf("reads-%d", one.target+1)), w.site.Backend(fmt.Sprintf("corrections-%d", one.target+1))}
 	switch one.kind {
@@ -142,10 +143,10 @@
 		time.Sleep(one.length)
 		w.site.Platform.SetMachinesFrozen(false)
 	case "kill":
-		if w.take(daemon) {
+		if w.markStopped(daemon) {
 			w.site.KillDaemon(daemon)
 			time.Sleep(one.length)
-			w.bringBack(daemon)
+			w.restartDaemon(daemon)
 		}
 	case "planned-stop":
 		w.plannedStop(daemon, one.length)
@@ -170,7 +171,7 @@
 			backend.Stub.SetDraining(false)
 		}
 	case "race":
-		w.race(one.count)
+		w.raceOperators(one.count)
 	case "frozen-backend":
 		w.breakBackends(backends, backendstub.FaultFreeze, one.length)
 	default:
@@ -178,7 +179,7 @@
 	}
 }
 
-func (w *world) breakBackends(backends []*site.Backend, kind backendstub.Fault, length time.Duration) {
+func (w *faultRun) breakBackends(backends []*site.Backend, kind backendstub.Fault, length time.Duration) {
 	for _, backend := range backends {
 		backend.Stub.SetFault(kind)
 	}
@@ -188,22 +189,22 @@
 	}
 }
 
-// plannedStop stops a daemon and expects that no request is cut.
-func (w *world) plannedStop(name string, length time.Duration) {
-	if !w.take(name) {
+// plannedStop performs a planned stop of a daemon and starts it again.
+func (w *faultRun) plannedStop(name string, length time.Duration) {
+	if !w.markStopped(name) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(w.ctx, 5*time.Minute)
 	defer cancel()
 	if err := w.site.StopDaemon(ctx, name); err != nil {
-		w.problem("planned stop of %s: %v", name, err)
+		w.addProblem("planned stop of %s: %v", name, err)
 	}
 	time.Sleep(length)
-	w.bringBack(name)
+	w.restartDaemon(name)
 }
 
-// race lets operators change the same object through different daemons.
-func (w *world) race(operators int) {
+// raceOperators makes operators change the same object concurrently through different daemons.
+func (w *faultRun) raceOperators(operators int) {
 	var done sync.WaitGroup
 	for operator := range operators {
 		w.mutex.Lock()
@@ -223,83 +224,83 @@
 				return
 			}
 			if _, found := document.FindChange(id); !found {
-				w.problem("accepted change %s is not in the history", id)
+				w.addProblem("accepted change %s is not in the history", id)
 			}
 		})
 	}
 	done.Wait()
 }
 
-// callers sends requests to daemons that are not away, one after another, and
-// comes back with the same key through another daemon when an operation fails.
-func (w *world) callers(seed uint64, length time.Duration) *load.Result {
+// sendLoad sends requests to the running daemons, and retries a failed operation
+// with the same key through another daemon.
+func (w *faultRun) sendLoad(seed uint64, length time.Duration) *load.Result {
 	return load.Run(w.ctx, load.Options{
-		Network: w.net.Host("callers"), Rate: scheduleRate, Duration: length, Seed: seed, Kinds: kinds(), RetryUnanswered: true,
+		Network: w.net.Host("callers"), Rate: requestsPerSecond, Duration: length, Seed: seed, Kinds: requestKinds(), RetryUnanswered: true,
 		Targets: w.site.Targets(), Timeout: time.Minute,
 	})
 }
 
-// runSchedule lets the faults befall a site under load, and returns what went
-// against the promises.
+// runSchedule injects the faults into a site under load, and returns the violated
+// guarantees.
 func runSchedule(faults []fault) []string {
 	net := fakenet.New(100 * time.Microsecond)
 	ctx, cancel := context.WithTimeout(context.Background(), 24*time.Hour)
 	defer cancel()
-	options := small()
+	options := smallSite()
 	options.Network, options.Address = net.Network, net.Address
 	for index := range options.Services {
 		options.Services[index].Config.ProbePath = backendstub.PathLoad
-		options.Services[index].Config.ProbesPerSecond = probeRate
+		options.Services[index].Config.ProbesPerSecond = probesPerSecond
 	}
 	running, err := site.Start(ctx, options)
 	if err != nil {
 		return []string{err.Error()}
 	}
-	w := &world{ctx: ctx, net: net, site: running, stopped: make(map[string]bool)}
-	watch := watchProblems(w)
+	w := &faultRun{ctx: ctx, net: net, site: running, stopped: make(map[string]bool)}
+	watch := recordRevisionRegressions(w)
 	begun := time.Now()
 	for _, one := range faults {
-		w.waiting.Go(func() {
+		w.injections.Go(func() {
 			time.Sleep(one.at)
-			w.make(one)
+			w.inject(one)
 		})
 	}
-	result := w.callers(1, scheduleLength)
-	w.waiting.Wait()
+	result := w.sendLoad(1, scheduleLength)
+	w.injections.Wait()
 	time.Sleep(max(scheduleLength-time.Since(begun), 0) + 30*time.Second)
 	watch.stop()
 	w.checkResult(result)
 	w.checkProbes()
 	w.checkHealed()
 	running.Close()
-	time.Sleep(settle)
+	time.Sleep(shutdownTime)
 	return w.problems
 }
 
-// checkResult compares what callers were told with what back ends saw.
-func (w *world) checkResult(result *load.Result) {
+// checkResult compares the responses to callers with the runs at the back ends.
+func (w *faultRun) checkResult(result *load.Result) {
 	runs := w.site.RunsByRequest()
 	if result.WrongResponses > 0 {
-		w.problem("%d answers were wrong or partial", result.WrongResponses)
+		w.addProblem("%d responses were wrong or incomplete", result.WrongResponses)
 	}
 	for _, outcome := range result.Outcomes {
 		if outcome.Run == resultcode.NotRun && runs[outcome.Name] > 0 {
-			w.problem("%s was said not to have run, and ran", outcome.Name)
+			w.addProblem("%s was reported as not run, and ran", outcome.Name)
 		}
 	}
 	for key, count := range w.site.RunsByKey() {
 		if count > 1 {
-			w.problem("operation %s ran %d times", key, count)
+			w.addProblem("operation %s ran %d times", key, count)
 		}
 	}
 }
 
-// probeSlack is how much later one probe may arrive than another by the network.
-const probeSlack = 2 * time.Millisecond
+// probeJitter is the jitter of probe arrivals caused by the network.
+const probeJitter = 2 * time.Millisecond
 
-// checkProbes looks for more probes than the budget allows. One probe may be held
-// up by the network and arrive together with the next one; a third may not.
-func (w *world) checkProbes() {
+// checkProbes checks that probes stay within the budget. The network may delay one
+// probe so that it arrives together with the next one; a third is a violation.
+func (w *faultRun) checkProbes() {
 	for _, name := range []string{"reads", "corrections"} {
 		var probes []time.Time
 		for _, backend := range w.site.Backends {
@@ -309,33 +310,33 @@
 		}
 		sort.Slice(probes, func(i, j int) bool { return probes[i].Before(probes[j]) })
 		for index := 2; index < len(probes); index++ {
-			if gap := probes[index].Sub(probes[index-2]); gap < time.Second/probeRate-probeSlack {
-				w.problem("three probes of %s within %s", name, gap)
+			if gap := probes[index].Sub(probes[index-2]); gap < time.Second/probesPerSecond-probeJitter {
+				w.addProblem("three probes of %s within %s", name, gap)
 			}
 		}
 	}
 }
 
-// checkHealed expects that all is well once every fault is over.
-func (w *world) checkHealed() {
-	result := w.callers(2, 20*time.Second)
+// checkHealed checks that the site has recovered after all faults.
+func (w *faultRun) checkHealed() {
+	result := w.sendLoad(2, 20*time.Second)
 	if result.Answered < result.Sent {
-		w.problem("after the faults %d of %d failed: %s", result.Failed(), result.Sent, result.FirstFailure())
+		w.addProblem("after the faults %d of %d failed: %s", result.Failed(), result.Sent, result.FirstFailure())
 	}
 	if !w.site.MembershipComplete() {
-		w.problem("after the faults not every daemon knows every other")
+		w.addProblem("after the faults not every daemon knows every other")
 	}
 	revisions := make(map[config.Revision]bool)
 	for _, running := range w.site.Daemons() {
 		revisions[running.Document().Revision] = true
 	}
 	if len(revisions) != 1 {
-		w.problem("after the faults the revisions in force are %v", revisions)
+		w.addProblem("after the faults the revisions in force are %v", revisions)
 	}
 }
 
-// TestRandomFaults runs random schedules of ten minutes in virtual time. More of
-// them: go test ./lab/site -run TestRandomFaults -rapid.checks=1000.
+// TestRandomFaults runs random schedules of ten minutes in virtual time. To run more:
+// go test ./lab/site -run TestRandomFaults -rapid.checks=1000.
 func TestRandomFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		faults := drawSchedule(rt)
@@ -347,21 +348,21 @@
 	})
 }
 
-// TestCheckersCanFail breaks each promise on purpose and expects its checker to
-// say so.
+// TestCheckersCanFail violates each guarantee on purpose and checks that its checker
+// reports it.
 func TestCheckersCanFail(t *testing.T) {
 	for _, one := range []struct {
-		name  string
-		spoil func(w *world, result *load.Result)
+		name    string
+		violate func(w *faultRun, result *load.Result)
 	}{
-		{"wrong answer", func(_ *world, result *load.Result) { result.WrongResponses++ }},
-		{"false not run", func(w *world, result *load.Result) {
+		{"wrong answer", func(_ *faultRun, result *load.Result) { result.WrongResponses++ }},
+		{"false not run", func(w *faultRun, result *load.Result) {
 			for name := range w.site.RunsByRequest() {
 				result.Outcomes = append(result.Outcomes, load.Outcome{Name: name, Run: resultcode.NotRun})
 				return
 			}
 		}},
-		{"second run", func(w *world, _ *load.Result) {
+		{"second run", func(w *faultRun, _ *load.Result) {
 			for _, backend := range w.site.Backends {
 				if backend.Service == "corrections" {
 					request, _ := http.NewRequest(http.MethodPost, "http://"+backend.Address+"/corrections", nil)
@@ -376,7 +377,7 @@
 				}
 			}
 		}},
-		{"probes over budget", func(w *world, _ *load.Result) {
+		{"probes over budget", func(w *faultRun, _ *load.Result) {
 			for range 3 {
 				client := http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, address string) (netConn, error) {
 					return w.net.Host("callers").Dial(ctx, address)
@@ -388,13 +389,13 @@
 		}},
 	} {
 		t.Run(one.name, func(t *testing.T) {
-			virtual(t, small(), func(ctx context.Context, net *fakenet.Net, running *site.Site) {
-				w := &world{ctx: ctx, net: net, site: running, stopped: make(map[string]bool)}
-				result := w.callers(1, 5*time.Second)
+			runVirtual(t, smallSite(), func(ctx context.Context, net *fakenet.Net, running *site.Site) {
+				w := &faultRun{ctx: ctx, net: net, site: running, stopped: make(map[string]bool)}
+				result := w.sendLoad(1, 5*time.Second)
 				w.checkResult(result)
 				w.checkProbes()
 				require.Empty(t, w.problems)
-				one.spoil(w, result)
+				one.violate(w, result)
 				w.checkResult(result)
 				w.checkProbes()
 				require.NotEmpty(t, w.problems)
--- a/lab/site/site_test.go
+++ b/lab/site/site_test.go
@@ -14,8 +14,8 @@
 	"github.com/tuliphall/tuliphall/lab/site"
 )
 
-// TestWholePath sends requests through real daemons over TCP to back ends, with
-// configuration that came from the platform.
+// TestWholePath sends requests over TCP through real daemons to back ends, with the
+// configuration read from the platform.
 func TestWholePath(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
--- a/lab/site/virtual_test.go
+++ b/lab/site/virtual_test.go
@@ -22,7 +22,8 @@
 	"github.com/tuliphall/tuliphall/resultcode"
 )
 
-// reads and corrections are the two services of the tests.
+// testServices returns the services reads, which is retried, and corrections, whose requests
+// have idempotency keys.
 func testServices(backends int) []site.Service {
 	work := backendstub.Options{MeanServiceTime: 5 * time.Millisecond, Seed: 3}
 	return []site.Service{
@@ -39,19 +40,19 @@
 	}
 }
 
-// kinds is the mix of the tests.
-func kinds() []load.RequestKind {
+// requestKinds is the request mix of the tests.
+func requestKinds() []load.RequestKind {
 	return []load.RequestKind{
 		{Name: "reads", Method: http.MethodGet, Path: "/reads", Share: 0.8},
 		{Name: "corrections", Method: http.MethodPost, Path: "/corrections", Share: 0.2, WithIdempotencyKey: true},
 	}
 }
 
-// settle is how long a closed site may take to end, in virtual time.
-const settle = time.Minute
+// shutdownTime is the time that a closed site may take to end, in virtual time.
+const shutdownTime = time.Minute
 
 func TestMain(m *testing.M) {
-	// net/http logs the unsolicited answers that the tests provoke.
+	// net/http logs the unsolicited responses that the tests cause.
 	log.SetOutput(io.Discard)
 	flag.Parse()
 	setDefault("rapid.checks", "6")
@@ -59,8 +60,8 @@
 	os.Exit(m.Run())
 }
 
-// setDefault sets a flag that was not given, so that CI makes the same few
-// schedules each time and a longer run is asked for on the command line.
+// setDefault sets a flag unless it was given, so that CI runs the same few
+// schedules each time and longer runs are requested on the command line.
 func setDefault(name, value string) {
 	given := false
 	flag.Visit(func(one *flag.Flag) { given = given || one.Name == name })
@@ -72,8 +73,8 @@
 	}
 }
 
-// virtual runs a site in virtual time on a network in memory.
-func virtual(t *testing.T, options site.Options, check func(ctx context.Context, net *fakenet.Net, running *site.Site)) {
+// runVirtual runs a site in virtual time on an in-memory network.
+func runVirtual(t *testing.T, options site.Options, check func(ctx context.Context, net *fakenet.Net, running *site.Site)) {
 	synctest.Test(t, func(t *testing.T) {
 		net := fakenet.New(100 * time.Microsecond)
 		options.Network, options.Address = net.Network, net.Address
@@ -81,26 +82,27 @@
 		defer cancel()
 		running, err := site.Start(ctx, options)
 		require.NoError(t, err)
-		// Handlers that still write when the site is closed end a moment later.
-		defer time.Sleep(settle)
+		// Handlers that still write when the site closes end during this time.
+		defer time.Sleep(shutdownTime)
 		defer running.Close()
 		check(ctx, net, running)
 	})
 }
 
-// check asserts what must hold in every run.
-func checkPromises(t *testing.T, running *site.Site, result *load.Result) {
+// checkGuarantees checks the guarantees of every run: no wrong responses, and no request ran that
+// was reported as not run.
+func checkGuarantees(t *testing.T, running *site.Site, result *load.Result) {
 	t.Helper()
 	runs := running.RunsByRequest()
-	require.Zero(t, result.WrongResponses, "answers that were not the whole answer to their own request")
+	require.Zero(t, result.WrongResponses, "responses that are incomplete or belong to another request")
 	for _, outcome := range result.Outcomes {
 		if outcome.Run == resultcode.NotRun {
-			require.Zero(t, runs[outcome.Name], "request %s was said not to have run", outcome.Name)
+			require.Zero(t, runs[outcome.Name], "request %s was reported as not run", outcome.Name)
 		}
 	}
 }
 
-// checkOnce asserts that no operation ran twice.
+// checkOnce checks that no operation ran twice.
 func checkOnce(t *testing.T, running *site.Site) {
 	t.Helper()
 	for key, count := range running.RunsByKey() {
@@ -108,22 +110,22 @@
 	}
 }
 
-// TestForwardedService serves a service whose requests go through its dispatcher.
+// TestForwardedService sends requests for a service that is forwarded to its dispatcher.
 func TestForwardedService(t *testing.T) {
 	services := testServices(4)
 	services[0].Config.Forward = true
-	virtual(t, site.Options{Zones: []string{"zone-a", "zone-b"}, Daemons: 3, Services: services}, func(ctx context.Context, net *fakenet.Net, running *site.Site) {
-		result := load.Run(ctx, load.Options{Network: net.Host("callers"), Targets: running.Targets(), Rate: 300, Duration: 5 * time.Second, Seed: 1, Kinds: kinds()})
+	runVirtual(t, site.Options{Zones: []string{"zone-a", "zone-b"}, Daemons: 3, Services: services}, func(ctx context.Context, net *fakenet.Net, running *site.Site) {
+		result := load.Run(ctx, load.Options{Network: net.Host("callers"), Targets: running.Targets(), Rate: 300, Duration: 5 * time.Second, Seed: 1, Kinds: requestKinds()})
 		require.Equal(t, result.Sent, result.Answered, result.FirstFailure())
-		checkPromises(t, running, result)
+		checkGuarantees(t, running, result)
 	})
 }
 
 func TestVirtualSite(t *testing.T) {
-	virtual(t, site.Options{Zones: []string{"zone-a", "zone-b"}, Daemons: 3, Services: testServices(4)}, func(ctx context.Context, net *fakenet.Net, running *site.Site) {
-		result := load.Run(ctx, load.Options{Network: net.Host("callers"), Targets: running.Targets(), Rate: 300, Duration: 5 * time.Second, Seed: 1, Kinds: kinds()})
+	runVirtual(t, site.Options{Zones: []string{"zone-a", "zone-b"}, Daemons: 3, Services: testServices(4)}, func(ctx context.Context, net *fakenet.Net, running *site.Site) {
+		result := load.Run(ctx, load.Options{Network: net.Host("callers"), Targets: running.Targets(), Rate: 300, Duration: 5 * time.Second, Seed: 1, Kinds: requestKinds()})
 		require.Equal(t, result.Sent, result.Answered, result.FirstFailure())
-		checkPromises(t, running, result)
+		checkGuarantees(t, running, result)
 		checkOnce(t, running)
 	})
 }
--- a/lab/site/watch_test.go
+++ b/lab/site/watch_test.go
@@ -15,34 +15,33 @@
 
 type netConn = net.Conn
 
-// revisionWatch follows the revisions in force while a test runs.
+// revisionWatch polls the revisions in force while a test runs.
 type revisionWatch struct {
-	done chan struct{}
-	end  sync.WaitGroup
+	done    chan struct{}
+	running sync.WaitGroup
 }
 
-// watchRevisions looks at every daemon all the time: none may go back to an older
-// revision.
-func watchRevisions(t *testing.T, running *site.Site) *revisionWatch {
-	return watchSite(running, func(name string, was, is config.Revision) {
-		assert.Fail(t, "a daemon went back", "%s from revision %d to %d", name, was, is)
+// assertMonotonicRevisions fails the test if a daemon returns to an older revision.
+func assertMonotonicRevisions(t *testing.T, running *site.Site) *revisionWatch {
+	return watchRevisionChanges(running, func(name string, was, is config.Revision) {
+		assert.Fail(t, "revision went backwards", "%s from revision %d to %d", name, was, is)
 	})
 }
 
-// watchProblems does the same for a random schedule.
-func watchProblems(w *world) *revisionWatch {
-	return watchSite(w.site, func(name string, was, is config.Revision) {
-		w.problem("%s went back from revision %d to %d", name, was, is)
+// recordRevisionRegressions adds a problem to a random schedule if a daemon returns to an older revision.
+func recordRevisionRegressions(w *faultRun) *revisionWatch {
+	return watchRevisionChanges(w.site, func(name string, was, is config.Revision) {
+		w.addProblem("%s returned from revision %d to %d", name, was, is)
 	})
 }
 
-const watchInterval = 50 * time.Millisecond
+const revisionPollInterval = 50 * time.Millisecond
 
-func watchSite(running *site.Site, report func(name string, was, is config.Revision)) *revisionWatch {
+func watchRevisionChanges(running *site.Site, report func(name string, was, is config.Revision)) *revisionWatch {
 	watch := &revisionWatch{done: make(chan struct{})}
-	watch.end.Go(func() {
+	watch.running.Go(func() {
 		seen := make(map[*daemon.Daemon]config.Revision)
-		ticker := time.NewTicker(watchInterval)
+		ticker := time.NewTicker(revisionPollInterval)
 		defer ticker.Stop()
 		for {
 			select {
@@ -64,5 +63,5 @@
 
 func (w *revisionWatch) stop() {
 	close(w.done)
-	w.end.Wait()
+	w.running.Wait()
 }
