--- a/lab/objectstub/evacuation_test.go
+++ b/lab/objectstub/evacuation_test.go
@@ -13,39 +13,39 @@
 	"github.com/tuliphall/tuliphall/lab/objectstub"
 )
 
-// How soon an evacuated zone gets nothing new.
+// Bounds of the time until an evacuated zone gets no new requests.
 const (
-	// evacuationBound is what the users' platform allows.
+	// evacuationBound is the maximum allowed by the users' platform.
 	evacuationBound = 5 * time.Second
-	// calmEvacuation is how long it may take while nothing is wrong. Daemons that watch hear
-	// at once unless they have just had news, and tell the others.
-	calmEvacuation = time.Second
-	// contact is how long after the end of a fault daemons count as in touch again.
-	contact = 3 * time.Second
-	// requestGap is the time between two requests.
+	// usualEvacuationTime is the maximum without other faults. Daemons that watch the store get
+	// the change immediately unless they pause after a recent one, and broadcast it.
+	usualEvacuationTime = time.Second
+	// reconnectTime is the time after a fault until daemons count as connected again.
+	reconnectTime = 3 * time.Second
+	// requestGap is the interval between two requests.
 	requestGap = 4 * time.Millisecond
 )
 
-// zoned puts the first workers into a zone and the others into another one, which is as far
-// from the daemons, and returns the first.
-func (f *fleet) zoned(count int, zone string) []*worker {
+// assignZones assigns the first workers to a zone and the others to another one that is equally
+// far from the daemons, and returns the first.
+func (f *fleet) assignZones(count int, zone string) []*worker {
 	for _, one := range f.workers[:count] {
 		one.zone = zone
-		f.announce(one, "ready")
+		f.writeEntry(one, "ready")
 	}
 	for _, one := range f.workers[count:] {
 		one.zone = "north"
-		f.announce(one, "ready")
+		f.writeEntry(one, "ready")
 	}
 	time.Sleep(2 * time.Second)
 	return f.workers[:count]
 }
 
-// lastArrival returns when a request last reached any of the workers.
+// lastArrival returns the time of the last request at any of the workers.
 func lastArrival(workers []*worker) time.Time {
 	var last time.Time
 	for _, one := range workers {
-		one.change(func() {
+		one.update(func() {
 			if len(one.arrivals) > 0 && one.arrivals[len(one.arrivals)-1].After(last) {
 				last = one.arrivals[len(one.arrivals)-1]
 			}
@@ -54,35 +54,35 @@
 	return last
 }
 
-// evacuationTrouble is what goes wrong while a zone is evacuated.
-type evacuationTrouble struct {
+// evacuationDisruption is a disruption during an evacuation.
+type evacuationDisruption struct {
 	name string
-	// before happens right before the evacuation is acknowledged, after right after it.
+	// before runs right before the evacuation is written, after right after its acknowledgement.
 	before, after func(f *fleet)
-	// paused: no requests come while after runs, as daemons are killed.
-	paused bool
-	// excused is how long after the acknowledgement requests may reach the zone.
-	excused time.Duration
+	// pauseLoad: no requests are sent while after runs, because it kills daemons.
+	pauseLoad bool
+	// maxDelay is the maximum time after the acknowledgement at which requests reach the zone.
+	maxDelay time.Duration
 }
 
-var evacuationTroubles = []evacuationTrouble{
-	{name: "calm", excused: calmEvacuation},
-	{name: "watches are deaf and history is dropped", excused: evacuationBound,
+var evacuationDisruptions = []evacuationDisruption{
+	{name: "calm", maxDelay: usualEvacuationTime},
+	{name: "watches are deaf and history is dropped", maxDelay: evacuationBound,
 		before: func(f *fleet) { f.store.SetFaults(objectstub.Faults{StallWatches: true}) },
 		after: func(f *fleet) {
 			time.Sleep(time.Second)
 			f.store.Compact()
 			f.store.SetFaults(objectstub.Faults{})
 		}},
-	{name: "the store is down from then on", excused: 4*time.Second + contact,
+	{name: "the store is down from then on", maxDelay: 4*time.Second + reconnectTime,
 		before: func(f *fleet) { f.store.SetFaults(objectstub.Faults{StallWatches: true}) },
 		after: func(f *fleet) {
 			f.store.SetFaults(objectstub.Faults{Down: true})
 			time.Sleep(4 * time.Second)
 			f.store.SetFaults(objectstub.Faults{})
 		}},
-	{name: "all daemons start anew", excused: contact, paused: true, after: (*fleet).startAnew},
-	{name: "daemons that watch lose their power", excused: evacuationBound,
+	{name: "all daemons start anew", maxDelay: reconnectTime, pauseLoad: true, after: (*fleet).replaceAllDaemons},
+	{name: "daemons that watch lose their power", maxDelay: evacuationBound,
 		after: func(f *fleet) {
 			watching := 0
 			f.powerOff(func(one *daemon.Daemon, _ int) bool {
@@ -90,71 +90,71 @@
 				return one.Status(f.t.Context()).Watching && watching <= 2
 			})
 		}},
-	{name: "a daemon joins", excused: calmEvacuation,
+	{name: "a daemon joins", maxDelay: usualEvacuationTime,
 		after: func(f *fleet) { f.start(100, f.storeAddress) }},
-	{name: "configurations come in quick succession", excused: evacuationBound,
+	{name: "configurations come in quick succession", maxDelay: evacuationBound,
 		before: func(f *fleet) {
 			for range 5 {
 				f.configure("/one/")
 				time.Sleep(100 * time.Millisecond)
 			}
 		}},
-	{name: "another zone is evacuated and taken back", excused: calmEvacuation,
+	{name: "another zone is evacuated and taken back", maxDelay: usualEvacuationTime,
 		before: func(f *fleet) { f.store.Set("evacuations", "east", struct{}{}) },
 		after:  func(f *fleet) { f.store.Remove("evacuations", "east") }},
 }
 
-// TestEvacuatedZoneGetsNothing evacuates a zone while requests come through every daemon
-// and things go wrong: none reaches its workers after the bound, every request is served
-// by the others, and the zone is used again once it is taken back.
+// TestEvacuatedZoneGetsNothing evacuates a zone under load through every daemon and during
+// disruptions: no request reaches its workers after the bound, the other workers serve all
+// requests, and the zone is used again once it is restored.
 func TestEvacuatedZoneGetsNothing(t *testing.T) {
-	for _, trouble := range evacuationTroubles {
-		t.Run(trouble.name, func(t *testing.T) {
-			runFleet(t, 12, 6, func(f *fleet) { trouble.play(f) })
+	for _, disruption := range evacuationDisruptions {
+		t.Run(disruption.name, func(t *testing.T) {
+			runFleet(t, 12, 6, func(f *fleet) { disruption.run(f) })
 		})
 	}
 }
 
-func (e evacuationTrouble) play(f *fleet) {
-	emptied := f.zoned(3, "west")
+func (e evacuationDisruption) run(f *fleet) {
+	evacuated := f.assignZones(3, "west")
 	for _, one := range f.workers {
-		one.change(func() { one.work = 30 * time.Millisecond })
+		one.update(func() { one.serviceTime = 30 * time.Millisecond })
 	}
-	dark := f.light(requestGap)
-	defer func() { dark() }()
+	stopLoad := f.sendPeriodically(requestGap)
+	defer func() { stopLoad() }()
 	time.Sleep(time.Second)
 	if e.before != nil {
 		e.before(f)
 	}
-	require.Less(f.t, time.Since(lastArrival(emptied)), time.Second, "the zone is in use")
+	require.Less(f.t, time.Since(lastArrival(evacuated)), time.Second, "the zone is in use")
 	f.store.Set("evacuations", "west", struct{}{})
 	acknowledged := time.Now()
-	if e.paused {
-		dark()
-		time.Sleep(time.Second) // until the daemons have logged how the requests ended
+	if e.pauseLoad {
+		stopLoad()
+		time.Sleep(time.Second) // until the daemons have logged the outcomes
 		acknowledged = time.Now()
 	}
 	if e.after != nil {
 		e.after(f)
 	}
-	if e.paused {
-		dark = f.light(requestGap)
+	if e.pauseLoad {
+		stopLoad = f.sendPeriodically(requestGap)
 	}
 	time.Sleep(2 * evacuationBound)
-	took := lastArrival(emptied).Sub(acknowledged)
+	took := lastArrival(evacuated).Sub(acknowledged)
 	f.t.Log("last request after", took)
-	require.Less(f.t, took, e.excused)
+	require.Less(f.t, took, e.maxDelay)
 	f.store.Remove("evacuations", "west")
 	time.Sleep(evacuationBound)
-	require.Less(f.t, time.Since(lastArrival(emptied)), time.Second, "the zone is in use again")
+	require.Less(f.t, time.Since(lastArrival(evacuated)), time.Second, "the zone is in use again")
 }
 
-// TestAllZonesEvacuated refuses at once, with a time to come back, what no back end may
-// have, and serves again as soon as a zone is taken back.
+// TestAllZonesEvacuated checks that requests are refused immediately with Retry-After while all
+// zones are evacuated, and served as soon as a zone is restored.
 func TestAllZonesEvacuated(t *testing.T) {
 	run(t, 3, func(f *fleet) {
 		f.store.Set("evacuations", "zone", struct{}{})
-		time.Sleep(calmEvacuation)
+		time.Sleep(usualEvacuationTime)
 		ran := f.workers[0].total() + f.workers[1].total() + f.workers[2].total()
 		begun := time.Now()
 		got := f.send(1, "/one/unsafe/")
@@ -163,15 +163,15 @@
 		require.Less(t, time.Since(begun), 50*time.Millisecond)
 		require.Equal(t, ran, f.workers[0].total()+f.workers[1].total()+f.workers[2].total())
 		f.store.Remove("evacuations", "zone")
-		time.Sleep(calmEvacuation)
+		time.Sleep(usualEvacuationTime)
 		require.Equal(t, http.StatusOK, f.send(1, "/one/unsafe/").status)
 	})
 }
 
-// TestEvacuationLetsRequestsEnd does not disturb what a worker of the zone works on.
+// TestEvacuationLetsRequestsEnd checks that an evacuation does not interrupt a running request.
 func TestEvacuationLetsRequestsEnd(t *testing.T) {
 	run(t, 1, func(f *fleet) {
-		f.workers[0].change(func() { f.workers[0].work = 800 * time.Millisecond })
+		f.workers[0].update(func() { f.workers[0].serviceTime = 800 * time.Millisecond })
 		got := make(chan answer)
 		go func() { got <- f.send(2, "/one/unsafe/") }()
 		time.Sleep(100 * time.Millisecond)
@@ -180,13 +180,13 @@
 	})
 }
 
-// TestEvacuationCosts counts the calls to the store that knowing of evacuations costs:
-// those who watch renew their watch of them half as often as that of the configuration.
+// TestEvacuationCosts counts the calls to the store for evacuations: watching daemons renew
+// this watch half as often as the watch of the configuration.
 func TestEvacuationCosts(t *testing.T) {
 	runFleet(t, 12, 1, func(f *fleet) {
 		const span = 30 * time.Second
 		time.Sleep(10 * time.Second)
-		require.Equal(t, watchers, f.store.ListCalls("evacuations"), "only those who watch list them, once")
+		require.Equal(t, watchers, f.store.ListCalls("evacuations"), "only watching daemons list them, once")
 		before, calls := f.store.WatchCalls("evacuations"), f.store.WatchCalls("config")
 		time.Sleep(span)
 		watches, configuration := f.store.WatchCalls("evacuations")-before, f.store.WatchCalls("config")-calls
@@ -195,33 +195,33 @@
 	})
 }
 
-// busiestSecond returns the most requests that reached a worker within a second, from a
-// moment on.
+// busiestSecond returns the maximum number of requests that reached a worker within a second
+// from a time on.
 func (w *worker) busiestSecond(from time.Time) int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	first, most := 0, 0
+	first, peak := 0, 0
 	for last, at := range w.arrivals {
 		for w.arrivals[first].Before(from) && first < last || at.Sub(w.arrivals[first]) >= time.Second {
 			first++
 		}
 		if !at.Before(from) {
-			most = max(most, last-first+1)
+			peak = max(peak, last-first+1)
 		}
 	}
-	return most
+	return peak
 }
 
-// What a cold worker of these tests bears, and how long it is cold.
+// Rate that a cold worker of these tests can serve, and how long it is cold.
 const (
-	coldFor   = 3 * time.Second
-	coldBears = 2.5 // requests a second
-	// coldBound is what may reach it within a second, as the users' platform counts.
-	coldBound = 1.5*coldBears + 8
+	coldPeriod = 3 * time.Second
+	coldRate   = 2.5 // requests per second
+	// maxColdArrivals is the maximum number of requests within a second, as the users' platform counts.
+	maxColdArrivals = 1.5*coldRate + 8
 )
 
-// flood sends requests through all daemons, so many a second, for a while.
-func (f *fleet) flood(perSecond int, lasts time.Duration) {
+// sendAtRate sends requests through all daemons at a constant rate for a time.
+func (f *fleet) sendAtRate(perSecond int, lasts time.Duration) {
 	var sending sync.WaitGroup
 	for number := range int(lasts.Seconds() * float64(perSecond)) {
 		sending.Go(func() { f.send(number%len(f.daemons), "/one/safe/") })
@@ -230,44 +230,44 @@
 	sending.Wait()
 }
 
-// TestColdZoneIsSpared takes a zone back, whose workers may have turned cold, at the peak:
-// each gets no more than it bears, and all it can take once it is warm.
+// TestColdZoneIsSpared restores a zone whose workers may be cold under peak load: each worker gets
+// no more than its cold rate, and its full share once it is warm.
 func TestColdZoneIsSpared(t *testing.T) {
 	run(t, 6, func(f *fleet) {
 		f.declareCold()
-		cold := f.zoned(3, "west")
-		f.flood(200, 2*time.Second)
+		cold := f.assignZones(3, "west")
+		f.sendAtRate(200, 2*time.Second)
 		f.store.Set("evacuations", "west", struct{}{})
-		f.flood(200, 2*time.Second)
+		f.sendAtRate(200, 2*time.Second)
 		f.store.Remove("evacuations", "west")
 		back := time.Now()
-		f.flood(200, coldFor-500*time.Millisecond)
-		f.requireSpared(cold, back)
-		f.flood(400, 3*time.Second) // more at once than the others are
+		f.sendAtRate(200, coldPeriod-500*time.Millisecond)
+		f.requireColdRate(cold, back)
+		f.sendAtRate(400, 3*time.Second) // more than the other workers can run
 		for _, one := range cold {
-			require.Greater(t, float64(one.busiestSecond(time.Now().Add(-time.Second))), coldBears+1, "warm again")
+			require.Greater(t, float64(one.busiestSecond(time.Now().Add(-time.Second))), coldRate+1, "warm again")
 		}
 	})
 }
 
-// declareCold declares what cold workers bear.
+// declareCold configures the rate that cold workers can serve.
 func (f *fleet) declareCold() {
-	f.service["warmupS"], f.service["warmupPerS"] = coldFor.Seconds(), coldBears
+	f.service["warmupS"], f.service["warmupPerS"] = coldPeriod.Seconds(), coldRate
 	f.configure("/one/")
 	time.Sleep(time.Second)
 }
 
-// requireSpared checks that no worker got more than it bears, with one dispatcher.
-func (f *fleet) requireSpared(cold []*worker, from time.Time) {
-	most := 0
+// requireColdRate checks that no worker got more than the cold rate, with one dispatcher.
+func (f *fleet) requireColdRate(cold []*worker, from time.Time) {
+	peak := 0
 	for _, one := range cold {
-		most = max(most, one.busiestSecond(from))
+		peak = max(peak, one.busiestSecond(from))
 	}
-	f.t.Logf("busiest second of a cold worker: %d of %.1f borne", most, coldBears)
-	require.LessOrEqual(f.t, float64(most), coldBears+1, "no more than what comes evenly spaced")
+	f.t.Logf("busiest second of a cold worker: %d requests, cold rate %.1f", peak, coldRate)
+	require.LessOrEqual(f.t, float64(peak), coldRate+1, "requests are evenly spaced at the cold rate")
 }
 
-// TestNewWorkersAreSpared lets as many cold workers join as there were during a burst.
+// TestNewWorkersAreSpared doubles the workers with cold ones during a burst.
 func TestNewWorkersAreSpared(t *testing.T) {
 	run(t, 6, func(f *fleet) {
 		f.declareCold()
@@ -276,23 +276,23 @@
 		}
 		time.Sleep(time.Second)
 		for _, one := range f.workers[:3] {
-			one.warmUpLeft = coldFor
-			f.announce(one, "ready")
+			one.warmUpLeft = coldPeriod
+			f.writeEntry(one, "ready")
 		}
 		joined := time.Now()
-		f.flood(300, coldFor-500*time.Millisecond)
-		f.requireSpared(f.workers[:3], joined)
+		f.sendAtRate(300, coldPeriod-500*time.Millisecond)
+		f.requireColdRate(f.workers[:3], joined)
 	})
 }
 
-// TestColdWorkersWithoutDispatcher loses the daemon that dispatches while every worker is
-// cold: all daemons that choose by themselves meanwhile stay within the bound together.
+// TestColdWorkersWithoutDispatcher powers the dispatcher off while every worker is cold: the
+// daemons, which choose independently meanwhile, stay within the bound together.
 func TestColdWorkersWithoutDispatcher(t *testing.T) {
 	runFleet(t, 20, 4, func(f *fleet) {
 		f.declareCold()
 		for _, one := range f.workers {
-			one.warmUpLeft = coldFor
-			f.announce(one, "ready")
+			one.warmUpLeft = coldPeriod
+			f.writeEntry(one, "ready")
 		}
 		time.Sleep(300 * time.Millisecond)
 		turned := time.Now()
@@ -300,21 +300,21 @@
 		f.powerOff(func(one *daemon.Daemon, number int) bool {
 			return other && hostOf(number) == member.Name || !other && number == 0
 		})
-		f.flood(400, coldFor-500*time.Millisecond)
+		f.sendAtRate(400, coldPeriod-500*time.Millisecond)
 		for _, one := range f.workers {
-			require.LessOrEqual(t, float64(one.busiestSecond(turned)), coldBound)
+			require.LessOrEqual(t, float64(one.busiestSecond(turned)), maxColdArrivals)
 		}
 	})
 }
 
-// TestSharesWhileOneIsShort keeps the shares of a split route while the workers of one
-// part refuse all: what does not fit is refused, and not moved to the other part.
+// TestSharesWhileOneIsShort checks that a split route keeps its shares while the workers of one
+// service reject all requests: these requests are refused, and not moved to the other service.
 func TestSharesWhileOneIsShort(t *testing.T) {
 	run(t, 4, func(f *fleet) {
 		for _, one := range f.workers[2:] {
 			one.service = "second"
-			f.announce(one, "ready")
-			one.change(func() { one.refuse = true })
+			f.writeEntry(one, "ready")
+			one.update(func() { one.rejects = true })
 		}
 		f.split = map[string]int{"board": 50, "second": 50}
 		f.configure("/split/")
@@ -330,7 +330,7 @@
 	})
 }
 
-// TestBusiestSecond checks the counting that the tests of cold workers rely on.
+// TestBusiestSecond checks the counting in the tests of cold workers.
 func TestBusiestSecond(t *testing.T) {
 	one := &worker{}
 	begun := time.Now()
--- a/lab/objectstub/fleet_test.go
+++ b/lab/objectstub/fleet_test.go
@@ -28,79 +28,79 @@
 )
 
 func TestMain(m *testing.M) {
-	// net/http logs the unsolicited answers that the tests provoke.
+	// net/http logs the unsolicited responses that the tests cause.
 	log.SetOutput(io.Discard)
 	os.Exit(m.Run())
 }
 
-// fleet is a few daemons on the users' platform, in virtual time.
+// fleet is a set of daemons on the users' platform, in virtual time.
 type fleet struct {
 	t     *testing.T
 	net   *fakenet.Net
 	store *objectstub.Stub
-	// storeAddress is where the daemons find the store.
+	// storeAddress is the address of the store.
 	storeAddress string
 	daemons      []*daemon.Daemon
-	dark         []darkened
+	poweredOff   []poweredOffDaemon
 	workers      []*worker
 	servers      []*http.Server
 	client       *http.Client
-	last         atomic.Int64 // number of the last request
+	lastRequest  atomic.Int64 // number of the last request sent
 	logs         logs
-	over         atomic.Bool // nothing is to start any more
-	direct       bool        // daemons that start choose back ends by themselves
-	regions      int         // daemons that start are in one of so many by turns; 0: in one
-	// service is the declaration of the workers' services, and split the weights of those
-	// that every route leads to; none: all requests go to one.
-	service map[string]any
-	caller  atomic.Int64 // number of the host from which callers open connections
-	split   map[string]int
-	// tenants are declared with each configuration; public: routes need no key.
+	closed       atomic.Bool // back ends no longer restart
+	direct       bool        // daemons that start choose back ends independently
+	regionCount  int         // daemons that start are assigned round-robin to this many regions; 0: one region
+	// service is the configuration of the workers' services, and split the weights of the
+	// services of every route; empty: all requests go to one service.
+	service    map[string]any
+	callerHost atomic.Int64 // number of the host that opens the callers' connections
+	split      map[string]int
+	// tenants are part of each configuration; public: routes need no key.
 	tenants []resource
 	public  bool
-	// rollouts: daemons that start follow them.
+	// rollouts: daemons that start control rollouts.
 	rollouts bool
-	// version is that of the configuration that was written last.
+	// version is the version of the last configuration written.
 	version uint64
 
 	mutex   sync.Mutex
-	answers map[string]answer // by the request's id
+	answers map[string]answer // by request id
 }
 
 const daemons = 4
 
-// run brings up a store, workers and a few daemons, and checks something of them.
+// run starts a store, workers and a few daemons, and runs check.
 func run(t *testing.T, workers int, check func(f *fleet)) {
 	runFleet(t, daemons, workers, check)
 }
 
-// runFleet is run with so many daemons.
+// runFleet is run with this number of daemons.
 func runFleet(t *testing.T, daemons, workers int, check func(f *fleet)) {
 	runFleetWith(t, daemons, workers, func(*fleet) {}, check)
 }
 
-// runFleetWith is runFleet of a fleet that prepare has changed before anything is started.
+// runFleetWith is runFleet with a fleet that prepare changes before anything is started.
 func runFleetWith(t *testing.T, daemons, workers int, prepare, check func(f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fleet{t: t, net: fakenet.New(100 * time.Microsecond), store: objectstub.New(), service: map[string]any{"healthPath": "/health"}, answers: make(map[string]answer)}
 		prepare(f)
-		defer time.Sleep(time.Minute) // what still writes ends
+		defer time.Sleep(time.Minute) // for goroutines that still write to end
 		defer f.checkOutcomes()
 		defer f.close()
 		f.storeAddress = f.serve("store", f.store.Handler())
 		for number := range workers {
-			one := &worker{id: fmt.Sprintf("i-%d", number), zone: "zone", service: "board", runs: make(map[string]int), work: 20 * time.Millisecond}
+			one := &worker{id: fmt.Sprintf("i-%d", number), zone: "zone", service: "board", runs: make(map[string]int), serviceTime: 20 * time.Millisecond}
 			one.instance = one.id
 			one.address = f.serve(one.id, one)
 			f.workers = append(f.workers, one)
-			f.announce(one, "ready")
+			f.writeEntry(one, "ready")
 		}
 		f.configure("/one/")
 		for number := range daemons {
 			f.start(number, f.storeAddress)
 		}
 		transport := &http.Transport{DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
-			return f.net.Host(fmt.Sprintf("callers-%d", f.caller.Load())).Dial(ctx, address)
+			return f.net.Host(fmt.Sprintf("callers-%d", f.callerHost.Load())).Dial(ctx, address)
 		}}
 		f.client = &http.Client{Transport: transport}
 		time.Sleep(10 * time.Second)
@@ -117,28 +117,28 @@
 	return listener.Addr().String()
 }
 
-// What is as on the users' platform.
+// Values of the users' platform.
 const (
 	probesPerBackend = 60
 	watchers         = 8
-	seedsTold        = 3
+	maxSeeds         = 3
 )
 
-// start starts a daemon that is told the first others as seeds.
+// start starts a daemon with the first daemons as seeds.
 func (f *fleet) start(number int, store string) {
 	var seeds []string
-	for _, other := range f.daemons[:min(len(f.daemons), seedsTold)] {
+	for _, other := range f.daemons[:min(len(f.daemons), maxSeeds)] {
 		seeds = append(seeds, other.Addresses().Peer)
 	}
 	f.startAt(number, store, f.net.Address(hostOf(number)), seeds)
 }
 
-// hostOf is the name of a daemon and its host.
+// hostOf returns the name of a daemon, which is also the name of its host.
 func hostOf(number int) string {
 	return fmt.Sprintf("edge-%d", number)
 }
 
-// startAt starts a daemon with an address for its peers, and seeds.
+// startAt starts a daemon with this peer address and these seeds.
 func (f *fleet) startAt(number int, store, peer string, seeds []string) {
 	name := hostOf(number)
 	address := f.net.Address(name)
@@ -166,19 +166,19 @@
 
 // regionOf returns the region of a daemon that starts.
 func (f *fleet) regionOf(number int) string {
-	if f.regions == 0 {
+	if f.regionCount == 0 {
 		return "region"
 	}
-	return fmt.Sprintf("region-%d", number%f.regions)
+	return fmt.Sprintf("region-%d", number%f.regionCount)
 }
 
 func (f *fleet) close() {
-	f.over.Store(true)
+	f.closed.Store(true)
 	f.client.CloseIdleConnections()
-	for _, one := range f.dark {
+	for _, one := range f.poweredOff {
 		f.net.SetFrozen(one.host, false)
 	}
-	for _, one := range f.dark {
+	for _, one := range f.poweredOff {
 		one.Kill()
 	}
 	for _, one := range f.daemons {
@@ -196,10 +196,10 @@
 	Born    int64          `json:"born,omitempty"`
 }
 
-func (f *fleet) announce(one *worker, state string) {
+func (f *fleet) writeEntry(one *worker, state string) {
 	f.store.Set("servers", one.id, serverSpec{
 		Address: one.address, Info: map[string]any{"service": one.service, "version": one.versionOr("v1"), "zone": one.zone, "slots": 3},
-		Status: map[string]any{"state": state, "seq": 1, "warmupLeftS": one.warmUpLeft.Seconds()}, Born: one.born,
+		Status: map[string]any{"state": state, "seq": 1, "warmupLeftS": one.warmUpLeft.Seconds()}, Born: one.startedAt,
 	})
 }
 
@@ -209,18 +209,18 @@
 	Spec     map[string]any `json:"spec"`
 }
 
-// versionStep is by how much versions of the configuration rise.
+// versionStep is the difference between consecutive versions of the configuration.
 const versionStep = 3
 
-// configure writes the next configuration, with a safe and an unsafe route under prefix, and returns its
-// version.
+// configure writes the next version of the configuration, with a safe and an unsafe route under prefix, and
+// returns the version.
 func (f *fleet) configure(prefix string) uint64 {
 	f.version += versionStep
 	f.configureVersion(f.version, prefix)
 	return f.version
 }
 
-// configureVersion is configure of a given version.
+// configureVersion is configure with a given version.
 func (f *fleet) configureVersion(version uint64, prefix string) {
 	route := func(kind string) resource {
 		spec := map[string]any{
@@ -243,7 +243,7 @@
 	f.store.Set("config", "main", map[string]any{"version": version, "resources": resources})
 }
 
-// shares returns the split as routes declare it.
+// shares returns the split in the form that routes use.
 func (f *fleet) shares() []map[string]any {
 	var shares []map[string]any
 	for name, weight := range f.split {
@@ -252,7 +252,7 @@
 	return shares
 }
 
-// answer is what a caller got.
+// answer is the response that a caller got.
 type answer struct {
 	status int
 	body   string
@@ -265,17 +265,17 @@
 	return f.sendWith(number, path, func(*http.Request) {})
 }
 
-// sendWith is send of a request that change has changed.
+// sendWith is send of a request modified by change.
 func (f *fleet) sendWith(number int, path string, change func(*http.Request)) answer {
-	id := "request-" + strconv.FormatInt(f.last.Add(1), 10)
-	got := f.exchange(id, number, path, change)
+	id := "request-" + strconv.FormatInt(f.lastRequest.Add(1), 10)
+	got := f.roundTrip(id, number, path, change)
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.answers[id] = got
 	return got
 }
 
-func (f *fleet) exchange(id string, number int, path string, change func(*http.Request)) answer {
+func (f *fleet) roundTrip(id string, number int, path string, change func(*http.Request)) answer {
 	address := f.daemons[number].Addresses().Caller
 	request, err := http.NewRequestWithContext(f.t.Context(), methodOf(path), "http://"+address+path, nil)
 	require.NoError(f.t, err)
@@ -292,7 +292,7 @@
 	return answer{status: response.StatusCode, body: string(body), header: response.Header, err: err}
 }
 
-// TestServes passes requests on as they came, escapes included.
+// TestServes checks that requests are forwarded unchanged, including escapes in the path.
 func TestServes(t *testing.T) {
 	run(t, 3, func(f *fleet) {
 		for number := range daemons {
@@ -301,7 +301,7 @@
 				require.NoError(t, got.err)
 				require.Equal(t, http.StatusOK, got.status)
 				require.Equal(t, path, got.body)
-				require.Equal(t, "request-"+strconv.FormatInt(f.last.Load(), 10), got.header.Get("Request-Id"))
+				require.Equal(t, "request-"+strconv.FormatInt(f.lastRequest.Load(), 10), got.header.Get("Request-Id"))
 				require.NotEmpty(t, got.header.Get("Server-Stamp"))
 			}
 		}
@@ -309,11 +309,11 @@
 	})
 }
 
-// TestLeaving sends nothing to a worker that said it leaves, nor to one that is
-// gone from the list.
+// TestLeaving checks that no requests are sent to a worker that is draining, nor to one
+// that was removed from the store.
 func TestLeaving(t *testing.T) {
 	run(t, 3, func(f *fleet) {
-		f.announce(f.workers[0], "draining")
+		f.writeEntry(f.workers[0], "draining")
 		f.store.Remove("servers", f.workers[1].id)
 		time.Sleep(time.Second)
 		before := []int{f.workers[0].total(), f.workers[1].total()}
@@ -324,21 +324,21 @@
 	})
 }
 
-// earnRetries sends requests until every daemon has a few retries saved.
-func (f *fleet) earnRetries() {
+// earnRetryBudget sends requests until every daemon has retries in its budget.
+func (f *fleet) earnRetryBudget() {
 	for number := range 200 {
 		require.Equal(f.t, http.StatusOK, f.send(number%daemons, "/one/safe/").status)
 	}
 }
 
-// TestReusedAddress gives up on a worker whose address another one has, and runs
-// what it refused elsewhere, once.
+// TestReusedAddress reuses the address of a worker for another one: the worker gets no
+// more requests, and each request that the address refused runs once elsewhere.
 func TestReusedAddress(t *testing.T) {
 	run(t, 2, func(f *fleet) {
-		f.earnRetries()
+		f.earnRetryBudget()
 		gone, before := f.workers[0], f.workers[1].total()
 		ran := gone.total()
-		gone.change(func() { gone.instance = "i-other" })
+		gone.update(func() { gone.instance = "i-other" })
 		for number := range 20 {
 			require.Equal(t, http.StatusOK, f.send(number%daemons, "/one/unsafe/").status)
 		}
@@ -347,12 +347,12 @@
 	})
 }
 
-// TestRefused says 503 with a time to come back when every worker refuses, which
-// is true: nothing ran.
+// TestRefused checks that callers get 503 with Retry-After when every worker refuses,
+// and that no request ran.
 func TestRefused(t *testing.T) {
 	run(t, 2, func(f *fleet) {
 		for _, one := range f.workers {
-			one.change(func() { one.refuse = true })
+			one.update(func() { one.rejects = true })
 		}
 		got := f.send(0, "/one/unsafe/")
 		require.Equal(t, http.StatusServiceUnavailable, got.status)
@@ -363,23 +363,23 @@
 	})
 }
 
-// TestAnswerOfAnother does not pass on an answer that carries another request's id.
+// TestAnswerOfAnother checks that a response with the id of another request is not forwarded.
 func TestAnswerOfAnother(t *testing.T) {
 	run(t, 1, func(f *fleet) {
-		f.workers[0].change(func() { f.workers[0].echo = "request-of-another" })
+		f.workers[0].update(func() { f.workers[0].responseID = "request-of-another" })
 		for _, path := range []string{"/one/safe/", "/one/unsafe/"} {
 			require.Equal(t, http.StatusBadGateway, f.send(0, path).status, path)
 		}
 	})
 }
 
-// TestHedge answers in time although one of two workers has become slow, and does
-// not send what may run once only to both.
+// TestHedge checks that requests are answered in time although one of two workers has
+// become slow, and that requests that must not be repeated are not sent to both.
 func TestHedge(t *testing.T) {
 	run(t, 2, func(f *fleet) {
-		f.earnRetries()
+		f.earnRetryBudget()
 		slow := f.workers[0]
-		slow.change(func() { slow.work = time.Second })
+		slow.update(func() { slow.serviceTime = time.Second })
 		late := 0
 		for number := range 8 {
 			begun := time.Now()
@@ -397,19 +397,19 @@
 	})
 }
 
-// TestDarkWorker sends what may run once only to a worker whose machine has lost its
-// power, so that connections to it are neither opened nor refused: nothing has left, and
-// it is soon sent elsewhere.
+// TestDarkWorker sends requests that must not be repeated to a worker whose machine is
+// powered off, so that connections to it are neither opened nor refused: as nothing was
+// sent, the requests soon go to another worker.
 func TestDarkWorker(t *testing.T) {
 	run(t, 2, func(f *fleet) {
-		f.earnRetries()
-		dark, err := f.net.Network("dark").Listen(f.net.Address("dark")) // accepts nothing
+		f.earnRetryBudget()
+		dark, err := f.net.Network("dark").Listen(f.net.Address("dark")) // never accepts
 		require.NoError(t, err)
 		f.workers[0].address = dark.Addr().String()
-		f.announce(f.workers[0], "ready")
+		f.writeEntry(f.workers[0], "ready")
 		time.Sleep(time.Second)
 		before := f.workers[1].total()
-		const requests = 5 // more than the other one takes at once
+		const requests = 5 // more than the other worker runs concurrently
 		answers := make(chan answer, requests)
 		begun := time.Now()
 		for number := range requests {
@@ -420,8 +420,8 @@
 		}
 		require.Less(t, time.Since(begun), 500*time.Millisecond)
 		require.Equal(t, before+requests, f.workers[1].total())
-		time.Sleep(time.Second) // lines are written together
+		time.Sleep(time.Second) // log lines are written in batches
 		tried := strings.Contains(f.logs.String(), fmt.Sprintf(`"code":%d`, resultcode.ConnectFailed))
-		require.True(t, tried, "the dark worker was not tried")
+		require.True(t, tried, "no connection to the unreachable worker was tried")
 	})
 }
--- a/lab/objectstub/leaving_test.go
+++ b/lab/objectstub/leaving_test.go
@@ -11,22 +11,22 @@
 	"github.com/tuliphall/tuliphall/lab/objectstub"
 )
 
-// leavingBound is after what time a daemon that passed on an answer of a leaving back end must send it nothing
-// new, and leavingKnown after what time no daemon does, as they tell each other.
+// drainingBound is the time after which a daemon that got a response of a draining back end must send it no new
+// requests, and drainingKnownBound the time after which no daemon does, as the signal is broadcast.
 const (
-	leavingBound = 2 * time.Second
-	leavingKnown = time.Second
+	drainingBound      = 2 * time.Second
+	drainingKnownBound = time.Second
 )
 
-// ipOf returns the IP of an address with a port.
+// ipOf returns the IP address of a host:port address.
 func ipOf(address string) string {
 	return strings.Split(address, ":")[0]
 }
 
-// firstTold returns when a worker first told each daemon, by its IP, what it says.
-func (w *worker) firstTold() map[string]time.Time {
+// firstSignals returns the time of the worker's first signal to each daemon, by the daemon's IP address.
+func (w *worker) firstSignals() map[string]time.Time {
 	first := make(map[string]time.Time)
-	for _, one := range w.told {
+	for _, one := range w.signals {
 		if _, known := first[ipOf(one.to)]; !known {
 			first[ipOf(one.to)] = one.at
 		}
@@ -34,12 +34,12 @@
 	return first
 }
 
-// lateArrivals returns how many requests a worker got later than a bound from daemons that it had told that it
-// leaves.
+// lateArrivals returns the number of requests from daemons that the worker had sent a signal more than bound
+// before.
 func (w *worker) lateArrivals(bound time.Duration) int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	first, late := w.firstTold(), 0
+	first, late := w.firstSignals(), 0
 	for number, at := range w.arrivals {
 		if told, known := first[ipOf(w.senders[number])]; known && at.Sub(told) > bound {
 			late++
@@ -48,8 +48,8 @@
 	return late
 }
 
-// arrivedAfter returns how many requests a worker got from a time on.
-func (w *worker) arrivedAfter(from time.Time) int {
+// arrivalsAfter returns the number of requests that the worker got after a time.
+func (w *worker) arrivalsAfter(from time.Time) int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	count := 0
@@ -61,24 +61,24 @@
 	return count
 }
 
-// leave makes a worker say in its answers that it leaves.
-func (w *worker) leave() {
-	w.change(func() { w.leaving = true })
+// startDraining makes the worker report in its responses that it is draining.
+func (w *worker) startDraining() {
+	w.update(func() { w.draining = true })
 }
 
-// TestLeavingBackendThatStoreDoesNotKnow guards against requests to a back end whose answers say that it leaves
-// while the store, which is down, still lists it as ready.
+// TestLeavingBackendThatStoreDoesNotKnow guards against requests to a back end whose responses report that it is
+// draining while the store, which is down, still lists it as ready.
 func TestLeavingBackendThatStoreDoesNotKnow(t *testing.T) {
 	run(t, 4, func(f *fleet) {
 		load := f.randomLoad(limitedLoad)
 		time.Sleep(2 * time.Second)
 		f.store.SetFaults(objectstub.Faults{Down: true})
-		f.workers[0].leave()
+		f.workers[0].startDraining()
 		said := time.Now()
 		time.Sleep(10 * time.Second)
-		answered := load.share()
-		late, after := f.workers[0].lateArrivals(leavingBound), f.workers[0].arrivedAfter(said.Add(leavingKnown))
-		t.Logf("%d requests later than %s after an answer to the same daemon, %d in all from %s on", late, leavingBound, after, leavingKnown)
+		answered := load.finish()
+		late, after := f.workers[0].lateArrivals(drainingBound), f.workers[0].arrivalsAfter(said.Add(drainingKnownBound))
+		t.Logf("%d requests later than %s after a response to the same daemon, %d in total from %s on", late, drainingBound, after, drainingKnownBound)
 		require.Zero(t, late)
 		require.Zero(t, after)
 		require.Greater(t, answered, 0.99)
@@ -86,43 +86,43 @@
 	})
 }
 
-// TestLeavingBackendInTroubles guards against requests to a back end that said with its answers that it leaves,
-// whatever happens meanwhile and by whichever way requests reach back ends.
+// TestLeavingBackendInTroubles guards against requests to a back end whose responses report that it is draining,
+// during disruptions and for every way by which requests reach back ends.
 func TestLeavingBackendInTroubles(t *testing.T) {
-	troubles := []trouble{
-		{name: "none, and the store never says it", plays: func(*fleet, *randomLoad) {}},
-		{name: "the store is down, and back", plays: func(f *fleet, _ *randomLoad) {
+	disruptions := []disruption{
+		{name: "none, and the store never says it", apply: func(*fleet, *randomLoad) {}},
+		{name: "the store is down, and back", apply: func(f *fleet, _ *randomLoad) {
 			f.store.SetFaults(objectstub.Faults{Down: true})
 			time.Sleep(5 * time.Second)
 			f.store.SetFaults(objectstub.Faults{})
 		}},
-		{name: "watches of the store are deaf", plays: func(f *fleet, _ *randomLoad) { f.store.SetFaults(objectstub.Faults{StallWatches: true}) }},
-		{name: "the store says again that it is ready", plays: func(f *fleet, _ *randomLoad) {
+		{name: "watches of the store are deaf", apply: func(f *fleet, _ *randomLoad) { f.store.SetFaults(objectstub.Faults{StallWatches: true}) }},
+		{name: "the store says again that it is ready", apply: func(f *fleet, _ *randomLoad) {
 			for range 3 {
-				f.announce(f.workers[0], "ready")
+				f.writeEntry(f.workers[0], "ready")
 				time.Sleep(time.Second)
 			}
 		}},
-		{name: "its entry lapses and comes back", plays: func(f *fleet, _ *randomLoad) {
+		{name: "its entry lapses and comes back", apply: func(f *fleet, _ *randomLoad) {
 			for range 3 {
 				f.store.Remove("servers", f.workers[0].id)
 				time.Sleep(1500 * time.Millisecond)
-				f.announce(f.workers[0], "ready")
+				f.writeEntry(f.workers[0], "ready")
 				time.Sleep(1500 * time.Millisecond)
 			}
 		}},
-		{name: "the store forgets its history", plays: func(f *fleet, _ *randomLoad) {
-			f.announce(f.workers[1], "ready")
+		{name: "the store forgets its history", apply: func(f *fleet, _ *randomLoad) {
+			f.writeEntry(f.workers[1], "ready")
 			f.store.Compact()
 		}},
-		{name: "configurations come", plays: func(f *fleet, _ *randomLoad) {
+		{name: "configurations come", apply: func(f *fleet, _ *randomLoad) {
 			for range 5 {
 				f.configure("/one/")
 				time.Sleep(500 * time.Millisecond)
 			}
 		}},
-		{name: "the service is taken out of the configuration, and put back", plays: func(f *fleet, load *randomLoad) {
-			load.without(func() {
+		{name: "the service is taken out of the configuration, and put back", apply: func(f *fleet, load *randomLoad) {
+			load.pausedWhile(func() {
 				f.split = map[string]int{"other": 1}
 				f.configure("/one/")
 				time.Sleep(2 * time.Second)
@@ -132,21 +132,21 @@
 			})
 		}},
 	}
-	for _, one := range append(troubles, commonTroubles...) {
+	for _, one := range append(disruptions, commonDisruptions...) {
 		t.Run(one.name, func(t *testing.T) {
 			run(t, 6, func(f *fleet) {
 				load := f.randomLoad(limitedLoad)
 				time.Sleep(2 * time.Second)
-				f.workers[0].leave()
+				f.workers[0].startDraining()
 				said := time.Now()
-				time.Sleep(500 * time.Millisecond) // a daemon has heard it
-				one.plays(f, load)
+				time.Sleep(500 * time.Millisecond) // until a daemon has got the signal
+				one.apply(f, load)
 				time.Sleep(15*time.Second - time.Since(said))
-				t.Logf("%.3f answered", load.share())
-				late, after := f.workers[0].lateArrivals(leavingBound), f.workers[0].arrivedAfter(said.Add(leavingKnown))
-				t.Logf("%d requests later than %s after an answer to the same daemon, %d in all from %s on", late, leavingBound, after, leavingKnown)
+				t.Logf("%.3f answered", load.finish())
+				late, after := f.workers[0].lateArrivals(drainingBound), f.workers[0].arrivalsAfter(said.Add(drainingKnownBound))
+				t.Logf("%d requests later than %s after a response to the same daemon, %d in total from %s on", late, drainingBound, after, drainingKnownBound)
 				require.Zero(t, late)
-				if !one.apart {
+				if !one.divergent {
 					require.Zero(t, after)
 				}
 			})
@@ -154,18 +154,18 @@
 	}
 }
 
-// TestAllLeave refuses at once, with a time to come back, while every back end has said that it leaves, and
-// serves again as soon as there is another one.
+// TestAllLeave checks that requests are refused immediately with Retry-After while every back end is draining, and
+// served as soon as one has restarted.
 func TestAllLeave(t *testing.T) {
 	run(t, 3, func(f *fleet) {
-		f.earnRetries()
+		f.earnRetryBudget()
 		for _, one := range f.workers {
-			one.leave()
+			one.startDraining()
 		}
 		for number := range 40 {
 			f.send(number%daemons, "/one/safe/")
 		}
-		time.Sleep(leavingKnown)
+		time.Sleep(drainingKnownBound)
 		ran := f.workers[0].total() + f.workers[1].total() + f.workers[2].total()
 		for number := range daemons {
 			for _, path := range []string{"/one/safe/", "/one/unsafe/"} {
@@ -177,10 +177,10 @@
 			}
 		}
 		require.Equal(t, ran, f.workers[0].total()+f.workers[1].total()+f.workers[2].total())
-		f.workers[0].change(func() { f.workers[0].leaving = false })
-		f.workers[0].born = time.Now().UnixMilli()
-		f.announce(f.workers[0], "ready")
-		time.Sleep(leavingKnown)
+		f.workers[0].update(func() { f.workers[0].draining = false })
+		f.workers[0].startedAt = time.Now().UnixMilli()
+		f.writeEntry(f.workers[0], "ready")
+		time.Sleep(drainingKnownBound)
 		for number := range daemons {
 			require.Equal(t, http.StatusOK, f.send(number, "/one/safe/").status)
 		}
--- a/lab/objectstub/limit_test.go
+++ b/lab/objectstub/limit_test.go
@@ -18,23 +18,23 @@
 	"github.com/tuliphall/tuliphall/lab/objectstub"
 )
 
-// What is promised to a back end that names a limit.
+// Guarantees for a back end that reports a limit.
 const (
-	// limitWindow is over which time it is counted what a back end gets.
+	// limitWindow is the window over which requests to a back end are counted.
 	limitWindow = 4 * time.Second
-	// limitInForce is after how long all daemons have heard of a limit. News reaches all members
-	// within a second; what was under way before may still come.
-	limitInForce = time.Second
+	// limitKnownBound is the time after which all daemons know a limit. Broadcasts reach all peers
+	// within a second; requests sent before may still arrive.
+	limitKnownBound = time.Second
 )
 
-// most is how many requests and probes a back end with a limit may get in a window: what it takes,
-// and one more, as the window may begin with one.
-func most(limit float64) int {
+// maxInWindow is the maximum number of requests and probes in a window for a back end with a limit: its
+// limit, and one more, as the window may start with one.
+func maxInWindow(limit float64) int {
 	return int(limit*limitWindow.Seconds()) + 1
 }
 
-// takes returns all requests and probes that a worker got, in order.
-func (w *worker) takes() []time.Time {
+// allArrivals returns the times of all requests and probes at the worker, in order.
+func (w *worker) allArrivals() []time.Time {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	all := slices.Concat(w.arrivals, w.probes)
@@ -42,9 +42,9 @@
 	return all
 }
 
-// fullest returns how many requests and probes a worker got in the fullest window between two times.
-func (w *worker) fullest(from, until time.Time) int {
-	all := slices.DeleteFunc(w.takes(), func(at time.Time) bool { return at.Before(from) || at.After(until) })
+// maxWindowCount returns the maximum number of requests and probes in a window between two times.
+func (w *worker) maxWindowCount(from, until time.Time) int {
+	all := slices.DeleteFunc(w.allArrivals(), func(at time.Time) bool { return at.Before(from) || at.After(until) })
 	fullest := 0
 	for first, last := 0, 0; last < len(all); last++ {
 		for all[last].Sub(all[first]) >= limitWindow {
@@ -55,24 +55,24 @@
 	return fullest
 }
 
-// names makes workers name a limit from now on.
-func names(limit string, workers ...*worker) {
+// setLimit makes workers report a limit.
+func setLimit(limit string, workers ...*worker) {
 	for _, one := range workers {
-		one.change(func() { one.limit = limit })
+		one.update(func() { one.limit = limit })
 	}
 }
 
-// limitedLoad is how often a request comes in these tests: 10 a second for each of eight back ends.
+// limitedLoad is the mean interval between requests: 10 per second for each of eight back ends.
 const limitedLoad = 12500 * time.Microsecond
 
-// workLonger makes all workers take as long as the users' do, so that all of them are used.
-func (f *fleet) workLonger() {
+// useLongServiceTime gives all workers the service time of the users' workers, so that all of them are used.
+func (f *fleet) useLongServiceTime() {
 	for _, one := range f.workers {
-		one.change(func() { one.work = 90 * time.Millisecond })
+		one.update(func() { one.serviceTime = 90 * time.Millisecond })
 	}
 }
 
-// randomLoad sends requests to random daemons at random times, every so often on average.
+// randomLoad starts a load of requests to random daemons at random times, with this mean interval.
 func (f *fleet) randomLoad(every time.Duration) *randomLoad {
 	load := &randomLoad{fleet: f, every: every, random: rand.New(rand.NewPCG(7, 7))}
 	load.resume()
@@ -81,18 +81,18 @@
 
 // randomLoad is a load that can be interrupted.
 type randomLoad struct {
-	background
-	fleet  *fleet
-	every  time.Duration
-	random *rand.Rand
-	number int
-	once   atomic.Bool // its requests must not be repeated
+	backgroundLoad
+	fleet         *fleet
+	every         time.Duration
+	random        *rand.Rand
+	number        int
+	nonRepeatable atomic.Bool // requests must not be repeated
 }
 
 func (l *randomLoad) resume() {
 	l.stop = make(chan struct{})
 	l.running.Go(func() {
-		for !l.fleet.over.Load() { // a check may have failed meanwhile
+		for !l.fleet.closed.Load() { // a failed check closes the fleet
 			select {
 			case <-l.stop:
 				return
@@ -100,7 +100,7 @@
 			}
 			l.number++
 			kind := "safe"
-			if l.once.Load() {
+			if l.nonRepeatable.Load() {
 				kind = "unsafe"
 			}
 			through, path := l.random.IntN(len(l.fleet.daemons)), fmt.Sprintf("/one/%s/%d", kind, l.number)
@@ -109,55 +109,54 @@
 	})
 }
 
-// without interrupts the load while something is done, for a moment.
-func (l *randomLoad) without(done func()) {
+// pausedWhile pauses the load while it calls done.
+func (l *randomLoad) pausedWhile(done func()) {
 	close(l.stop)
 	l.running.Wait()
 	done()
 	l.resume()
 }
 
-// twoLimits are what the first two workers name.
+// twoLimits are the limits of the first two workers.
 var twoLimits = []float64{3.2, 0.8}
 
-// limitTwo lets the first two workers name limits under a random load, and returns when they began to.
-func (f *fleet) limitTwo() (load *randomLoad, named time.Time) {
-	f.workLonger()
+// limitTwoWorkers makes the first two workers report limits under a random load, and returns the time from which
+// they do.
+func (f *fleet) limitTwoWorkers() (load *randomLoad, named time.Time) {
+	f.useLongServiceTime()
 	load = f.randomLoad(limitedLoad)
 	time.Sleep(5 * time.Second)
 	named = time.Now()
 	for number, limit := range twoLimits {
-		names(fmt.Sprint(limit), f.workers[number])
+		setLimit(fmt.Sprint(limit), f.workers[number])
 	}
 	return load, named
 }
 
-// A back end said with each answer that it takes 2.5 requests a second from all
-// daemons together. It went on getting ten a second, as all others did: no part of the product read
-// what it said. Requests were not all that it got. Fourteen probes a second came from the daemon that
-// gives out its places, who asks most often those that it would choose next.
+// TestLimitedBackendsGetNoMore guards against ignoring the limit of a back end. A back end reported with
+// each response that it takes 2.5 requests per second from all daemons together, and still got ten per
+// second like the others, because no daemon read the limit. It also got fourteen probes per second from the
+// dispatcher, which probes most often the back ends that it would choose next.
 //
-// That nothing changed when the limit was named settled it, and that the counts fit requests and
-// probes together only. With what back ends say logged, each of four daemons hears of it within 1.5 s
-// by itself, and goes on:
+// The rate did not change when the limit was reported, and the counts only matched requests and probes
+// together. With the signal logged, each of four daemons got the limit within 1.5 s and ignored it:
 //
 //	limits: back end takes fewer requests daemon=edge-1 backend=i-0 per_second=3.2 source="back end"
 //	limits: back end takes fewer requests daemon=edge-3 backend=i-0 per_second=3.2 source="back end"
 //
-// A word that nobody reads, which binds the sum of what all daemons send, was the cause. Now the daemon that
-// gives out the places spaces all that goes there, whatever it is for, and whoever hears the word tells it.
-// Before: 94 and 88 requests and probes in the fullest 4 s, where 3.2 and 0.8 a second are taken; now 13
-// and 4.
+// The limit applies to the sum of all daemons. The dispatcher now paces all requests and probes to the back
+// end, and any daemon that gets the limit reports it to the dispatcher. With limits of 3.2 and 0.8 per second,
+// the maximum in 4 s was 94 and 88 requests and probes before, and is 13 and 4 now.
 func TestLimitedBackendsGetNoMore(t *testing.T) {
 	run(t, 8, func(f *fleet) {
-		others, named := f.limitTwo()
+		others, named := f.limitTwoWorkers()
 		time.Sleep(20 * time.Second)
 		until := time.Now()
-		answered := others.share()
+		answered := others.finish()
 		for number, limit := range twoLimits {
 			one := f.workers[number]
-			t.Logf("%.1f a second named, %d requests and probes in the fullest 4 s, %d of them probes in all",
-				limit, one.fullest(named.Add(limitInForce), until), len(one.probes))
+			t.Logf("limit %.1f per second, at most %d requests and probes in 4 s, %d probes in total",
+				limit, one.maxWindowCount(named.Add(limitKnownBound), until), len(one.probes))
 		}
 		f.requireLimit(f.workers[0], 3.2, named, until)
 		f.requireLimit(f.workers[1], 0.8, named, until)
@@ -165,60 +164,60 @@
 	})
 }
 
-// requireLimit checks that a worker got no more than it takes, and not much less.
+// requireLimit checks that a worker got no more than its limit, and not much less.
 func (f *fleet) requireLimit(one *worker, limit float64, named, until time.Time) {
 	f.requireNoMore(one, limit, named, until)
-	got := one.fullest(named.Add(limitInForce), until)
-	require.GreaterOrEqual(f.t, got, int(0.7*limit*limitWindow.Seconds()), "what %s takes is used", one.id)
+	got := one.maxWindowCount(named.Add(limitKnownBound), until)
+	require.GreaterOrEqual(f.t, got, int(0.7*limit*limitWindow.Seconds()), "the limit of %s is used", one.id)
 }
 
-// requireNoMore checks that a worker got no more than it takes.
+// requireNoMore checks that a worker got no more than its limit.
 func (f *fleet) requireNoMore(one *worker, limit float64, named, until time.Time) {
-	got := one.fullest(named.Add(limitInForce), until)
-	require.LessOrEqual(f.t, got, most(limit), "%s takes %.1f a second", one.id, limit)
+	got := one.maxWindowCount(named.Add(limitKnownBound), until)
+	require.LessOrEqual(f.t, got, maxInWindow(limit), "%s has a limit of %.1f per second", one.id, limit)
 }
 
-// TestLimitHoldsInTroubles keeps what limited back ends get within what they take, whatever else happens
-// meanwhile. Each daemon that chooses by itself may send one request beyond its part of a window, as the window may
-// begin with it.
+// TestLimitHoldsInTroubles checks that limited back ends get no more than their limits during disruptions. Each
+// daemon that chooses independently may send one request more than its share of a window, as the window may start
+// with it.
 func TestLimitHoldsInTroubles(t *testing.T) {
-	for _, one := range commonTroubles {
+	for _, one := range commonDisruptions {
 		t.Run(one.name, func(t *testing.T) {
 			run(t, 8, func(f *fleet) {
-				load, named := f.limitTwo()
+				load, named := f.limitTwoWorkers()
 				time.Sleep(3 * time.Second)
-				one.plays(f, load)
+				one.apply(f, load)
 				time.Sleep(20*time.Second - time.Since(named))
 				until := time.Now()
-				t.Logf("%.3f answered", load.share())
+				t.Logf("%.3f answered", load.finish())
 				for number, limit := range twoLimits {
-					got := f.workers[number].fullest(named.Add(limitInForce), until)
-					t.Logf("%.1f a second named, %d in the fullest 4 s", limit, got)
-					require.LessOrEqual(t, got, most(limit)+max(one.choosers-1, 0))
+					got := f.workers[number].maxWindowCount(named.Add(limitKnownBound), until)
+					t.Logf("limit %.1f per second, at most %d in 4 s", limit, got)
+					require.LessOrEqual(t, got, maxInWindow(limit)+max(one.independentDaemons-1, 0))
 				}
 			})
 		})
 	}
 }
 
-// TestRegionsShareALimit keeps a back end within what it takes that daemons of two regions use, each region
-// with a dispatcher of its own.
+// TestRegionsShareALimit checks the limit of a back end that is used by daemons of two regions, each with its
+// own dispatcher.
 func TestRegionsShareALimit(t *testing.T) {
-	runFleetWith(t, 6, 8, func(f *fleet) { f.regions = 2 }, func(f *fleet) {
-		load, named := f.limitTwo()
+	runFleetWith(t, 6, 8, func(f *fleet) { f.regionCount = 2 }, func(f *fleet) {
+		load, named := f.limitTwoWorkers()
 		time.Sleep(20 * time.Second)
 		until := time.Now()
-		require.Greater(t, load.share(), 0.99)
+		require.Greater(t, load.finish(), 0.99)
 		for number, limit := range twoLimits {
-			got := f.workers[number].fullest(named.Add(limitInForce), until)
-			t.Logf("%.1f a second named, %d in the fullest 4 s", limit, got)
-			require.LessOrEqual(t, got, most(limit)+1, "each region's window may begin with one")
+			got := f.workers[number].maxWindowCount(named.Add(limitKnownBound), until)
+			t.Logf("limit %.1f per second, at most %d in 4 s", limit, got)
+			require.LessOrEqual(t, got, maxInWindow(limit)+1, "each region's window may start with one")
 			require.GreaterOrEqual(t, got, int(0.6*limit*limitWindow.Seconds()))
 		}
 	})
 }
 
-// dispatcher returns the host of the daemon that gives out the workers' places.
+// dispatcher returns the host of the dispatcher of the workers' service.
 func (f *fleet) dispatcher() string {
 	member, other := f.daemons[0].DispatcherOf("board")
 	if !other {
@@ -227,16 +226,16 @@
 	return member.Name
 }
 
-// TestAllLimited refuses at once what limited back ends cannot take, with a time to come back that fits,
-// and serves what they can.
+// TestAllLimited checks that requests above the limits of all back ends are refused with Retry-After, and that
+// requests within the limits are served.
 func TestAllLimited(t *testing.T) {
 	run(t, 8, func(f *fleet) {
-		f.workLonger()
+		f.useLongServiceTime()
 		load := f.randomLoad(limitedLoad)
 		time.Sleep(2 * time.Second)
-		names("2", f.workers...)
+		setLimit("2", f.workers...)
 		time.Sleep(3 * time.Second)
-		load.share()
+		load.finish()
 		const takes, perSecond, seconds = 8 * 2, 80, 10
 		var mutex sync.Mutex
 		var running sync.WaitGroup
@@ -269,89 +268,90 @@
 	})
 }
 
-// TestLimitLifted uses a back end fully again soon after it stopped naming a limit, and not all at once.
+// TestLimitLifted checks that a back end is soon fully used again after it stops reporting a limit, with a gradual
+// increase.
 func TestLimitLifted(t *testing.T) {
 	run(t, 8, func(f *fleet) {
-		f.workLonger()
+		f.useLongServiceTime()
 		load := f.randomLoad(limitedLoad)
-		defer load.share()
+		defer load.finish()
 		time.Sleep(2 * time.Second)
-		names("0.8", f.workers[0])
+		setLimit("0.8", f.workers[0])
 		time.Sleep(6 * time.Second)
 		lifted := time.Now()
-		names("", f.workers[0])
+		setLimit("", f.workers[0])
 		time.Sleep(10 * time.Second)
-		all := f.workers[0].takes()
+		all := f.workers[0].allArrivals()
 		first := slices.IndexFunc(all, func(at time.Time) bool { return at.After(lifted) })
 		within := func(from, length time.Duration) int {
 			return len(slices.DeleteFunc(slices.Clone(all[first:]), func(at time.Time) bool {
 				return at.Before(lifted.Add(from)) || at.After(lifted.Add(from+length))
 			}))
 		}
-		t.Logf("requests and probes in seconds after: 1st %d, 3rd %d, 10th %d", within(0, time.Second), within(2*time.Second, time.Second), within(9*time.Second, time.Second))
+		t.Logf("requests and probes in the 1st second %d, 3rd %d, 10th %d", within(0, time.Second), within(2*time.Second, time.Second), within(9*time.Second, time.Second))
 		require.Less(t, all[first].Sub(lifted), 1500*time.Millisecond)
-		require.Greater(t, within(4*time.Second, time.Second), 5, "as many as the others")
+		require.Greater(t, within(4*time.Second, time.Second), 5, "as many as at the other workers")
 	})
 }
 
-// TestLimitOfARestartedBackend does not hold a back end that has started again under its id to what its
-// earlier run said.
+// TestLimitOfARestartedBackend checks that the limit of a back end does not apply after it has restarted with the
+// same id.
 func TestLimitOfARestartedBackend(t *testing.T) {
 	run(t, 8, func(f *fleet) {
-		f.workLonger()
+		f.useLongServiceTime()
 		load := f.randomLoad(limitedLoad)
-		defer load.share()
+		defer load.finish()
 		one := f.workers[0]
-		one.born = 1
-		f.announce(one, "ready")
+		one.startedAt = 1
+		f.writeEntry(one, "ready")
 		time.Sleep(2 * time.Second)
-		names("0.8", one)
+		setLimit("0.8", one)
 		time.Sleep(4 * time.Second)
-		names("", one)
-		one.born = 2
-		f.announce(one, "ready")
+		setLimit("", one)
+		one.startedAt = 2
+		f.writeEntry(one, "ready")
 		time.Sleep(2 * time.Second)
-		before := len(one.takes())
+		before := len(one.allArrivals())
 		time.Sleep(time.Second)
-		require.Greater(t, len(one.takes())-before, 5)
+		require.Greater(t, len(one.allArrivals())-before, 5)
 	})
 }
 
-// TestLimitsThatCannotBeRead uses back ends as before whose word cannot be read, and keeps what was known.
+// TestLimitsThatCannotBeRead checks that an invalid limit is ignored, and that the last valid limit stays in force.
 func TestLimitsThatCannotBeRead(t *testing.T) {
 	run(t, 8, func(f *fleet) {
-		f.workLonger()
+		f.useLongServiceTime()
 		load := f.randomLoad(limitedLoad)
-		defer load.share()
-		names("NaN", f.workers[0])
-		names("1.5", f.workers[1])
+		defer load.finish()
+		setLimit("NaN", f.workers[0])
+		setLimit("1.5", f.workers[1])
 		time.Sleep(4 * time.Second)
 		named := time.Now()
-		names("-1", f.workers[1])
+		setLimit("-1", f.workers[1])
 		time.Sleep(8 * time.Second)
-		require.Greater(t, f.workers[0].fullest(named, time.Now()), 20)
+		require.Greater(t, f.workers[0].maxWindowCount(named, time.Now()), 20)
 		f.requireNoMore(f.workers[1], 1.5, named, time.Now())
 	})
 }
 
-// limitSeeds is how many schedules are drawn: some seconds' worth in CI, more by hand.
+// limitSeeds is the number of random schedules: some seconds of tests in CI, more in manual runs.
 var limitSeeds = flag.Uint64("limit-seeds", 6, "schedules of troubles that are drawn beside limited back ends")
 
-// troublesDrawn is how many troubles strike a fleet in a drawn schedule.
-const troublesDrawn = 6
+// disruptionsPerSchedule is the number of disruptions in a random schedule.
+const disruptionsPerSchedule = 6
 
-// usersBound is what the users allow a back end with a limit in a window, whatever happens: one and a half
-// times what it takes, and five.
-func usersBound(limit float64) int {
+// allowedInWindow is the maximum that the users allow in a window for a back end with a limit, during any
+// disruption: one and a half times the limit, plus five.
+func allowedInWindow(limit float64) int {
 	return int(1.5*limit*limitWindow.Seconds()) + 5
 }
 
-// drawTroubles strikes the fleet with troubles at random, for as long as a schedule lasts.
-func (f *fleet) drawTroubles(random *rand.Rand, load *randomLoad) {
-	for range troublesDrawn {
+// applyRandomDisruptions injects the disruptions of a random schedule.
+func (f *fleet) applyRandomDisruptions(random *rand.Rand, load *randomLoad) {
+	for range disruptionsPerSchedule {
 		switch random.IntN(6) {
 		case 0:
-			load.without(func() { f.restart(random.IntN(len(f.daemons))) })
+			load.pausedWhile(func() { f.replaceDaemon(random.IntN(len(f.daemons))) })
 		case 1:
 			host := f.dispatcher()
 			f.net.SetFrozen(host, true)
@@ -371,19 +371,19 @@
 			f.net.SetPartitionRule(nil)
 		case 4:
 			one := f.workers[2+random.IntN(len(f.workers)-2)]
-			one.change(func() { one.refuse = true })
+			one.update(func() { one.rejects = true })
 			time.Sleep(time.Second)
-			one.change(func() { one.refuse = false })
+			one.update(func() { one.rejects = false })
 		case 5:
 			extra := f.randomLoad(5 * time.Millisecond)
 			time.Sleep(2 * time.Second)
-			extra.share()
+			extra.finish()
 		}
 		time.Sleep(time.Duration(random.IntN(2000)) * time.Millisecond)
 	}
 }
 
-// hostAt returns the host that has an address.
+// hostAt returns the host with this address.
 func (f *fleet) hostAt(address string) string {
 	for number := range 100_000 {
 		if host := hostOf(number); strings.Split(f.net.Address(host), ":")[0] == strings.Split(address, ":")[0] {
@@ -393,29 +393,29 @@
 	return ""
 }
 
-// TestLimitsInDrawnTroubles draws troubles and limits that change, and keeps every back end within what the
-// users allow in every window from 3 s after it first named one.
+// TestLimitsInDrawnTroubles injects random disruptions with random limits, and checks that every back end stays
+// within what the users allow in every window from 3 s after it first reported a limit.
 func TestLimitsInDrawnTroubles(t *testing.T) {
 	for seed := range *limitSeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			runFleet(t, 6, 8, func(f *fleet) {
 				random := rand.New(rand.NewPCG(seed, 9))
-				f.workLonger()
+				f.useLongServiceTime()
 				load := f.randomLoad(limitedLoad)
 				time.Sleep(3 * time.Second)
 				limits := []float64{0.5 + 6*random.Float64(), 0.5 + 6*random.Float64()}
 				named := time.Now()
 				for number, limit := range limits {
-					names(fmt.Sprintf("%.2f", limit), f.workers[number])
+					setLimit(fmt.Sprintf("%.2f", limit), f.workers[number])
 				}
 				time.Sleep(3 * time.Second)
-				f.drawTroubles(random, load)
+				f.applyRandomDisruptions(random, load)
 				until := time.Now()
-				t.Logf("%.3f answered", load.share())
+				t.Logf("%.3f answered", load.finish())
 				for number, limit := range limits {
-					got := f.workers[number].fullest(named.Add(3*time.Second), until)
-					t.Logf("%.2f a second named, %d in the fullest 4 s of %d, %d taken", limit, got, usersBound(limit), most(limit))
-					require.LessOrEqual(t, got, usersBound(limit))
+					got := f.workers[number].maxWindowCount(named.Add(3*time.Second), until)
+					t.Logf("limit %.2f per second, at most %d in 4 s, %d allowed, %d within the limit", limit, got, allowedInWindow(limit), maxInWindow(limit))
+					require.LessOrEqual(t, got, allowedInWindow(limit))
 				}
 			})
 		})
--- a/lab/objectstub/mortal_test.go
+++ b/lab/objectstub/mortal_test.go
@@ -15,156 +15,156 @@
 	"github.com/tuliphall/tuliphall/admin"
 )
 
-// What a crashing request does, as was seen: it runs for a tenth of a second, and the back end
-// is back after one to three seconds, under another id.
+// Timing of crashes, as observed: a crashing request runs for a tenth of a second, and the back end
+// restarts after one to three seconds with a new id.
 const (
-	crashAfter   = 90 * time.Millisecond
-	restartAfter = 2 * time.Second
-	// lapseAfter is when the store drops the entry of a back end that has ended.
-	lapseAfter = 4 * time.Second
-	// agreement is the time in which all daemons agree on what any of them has seen.
-	agreement = 3 * time.Second
-	// crashesAllowed is after how many endings a request must stop reaching back ends, and
-	// sendsAllowed how often it may reach one once all daemons have had the time to agree.
-	crashesAllowed = 3
-	sendsAllowed   = 3
+	crashDelay   = 90 * time.Millisecond
+	restartDelay = 2 * time.Second
+	// entryExpiry is the time after a crash when the store drops the entry of the back end.
+	entryExpiry = 4 * time.Second
+	// agreementTime is the time within which all daemons have the records of any of them.
+	agreementTime = 3 * time.Second
+	// maxCrashes is the number of crashes after which a request must no longer reach back ends, and
+	// maxLateArrivals the number of times it may reach one after the agreement time.
+	maxCrashes      = 3
+	maxLateArrivals = 3
 )
 
-// crashes are the back ends that a request ended, and when it reached one.
-type crashes struct {
+// crashRecord has the times when a crashing request arrived at back ends, and when it crashed them.
+type crashRecord struct {
 	mutex    sync.Mutex
 	arrivals []time.Time
-	endings  []time.Time
+	crashes  []time.Time
 }
 
-// reached returns how often back ends were reached after all daemons had had the time to agree
-// that the request ends them.
-func (c *crashes) reached() int {
+// arrivalsAfterAgreement returns the number of arrivals later than the agreement time after the
+// crash number maxCrashes.
+func (c *crashRecord) arrivalsAfterAgreement() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if len(c.endings) < crashesAllowed {
+	if len(c.crashes) < maxCrashes {
 		return 0
 	}
 	count := 0
 	for _, at := range c.arrivals {
-		if at.After(c.endings[crashesAllowed-1].Add(agreement)) {
+		if at.After(c.crashes[maxCrashes-1].Add(agreementTime)) {
 			count++
 		}
 	}
 	return count
 }
 
-// total returns how many back ends were ended.
-func (c *crashes) total() int {
+// total returns the number of crashes.
+func (c *crashRecord) total() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return len(c.endings)
+	return len(c.crashes)
 }
 
-// mortal is a back end that ends when it runs a certain request, and starts again.
-type mortal struct {
-	fleet  *fleet
-	worker *worker
-	name   string // the id goes on from it
-	deadly func(*http.Request) bool
-	seen   *crashes
-	starts int
-	server *http.Server
+// crashingBackend is a back end that crashes when it runs certain requests, and restarts.
+type crashingBackend struct {
+	fleet     *fleet
+	worker    *worker
+	name      string // prefix of its ids
+	crashesOn func(*http.Request) bool
+	record    *crashRecord
+	starts    int
+	server    *http.Server
 }
 
-// mortals replaces the fleet's back ends by as many that end under a deadly request.
-func (f *fleet) mortals(deadly func(*http.Request) bool) *crashes {
-	_, seen := f.mortalBackends(deadly)
+// useCrashingBackends replaces the fleet's back ends by as many that crash on certain requests.
+func (f *fleet) useCrashingBackends(deadly func(*http.Request) bool) *crashRecord {
+	_, seen := f.startCrashingBackends(deadly)
 	return seen
 }
 
-func (f *fleet) mortalBackends(deadly func(*http.Request) bool) ([]*mortal, *crashes) {
-	seen := &crashes{}
-	var made []*mortal
+func (f *fleet) startCrashingBackends(deadly func(*http.Request) bool) ([]*crashingBackend, *crashRecord) {
+	seen := &crashRecord{}
+	var made []*crashingBackend
 	for _, one := range f.workers {
-		m := &mortal{fleet: f, worker: one, name: one.id, deadly: deadly, seen: seen}
+		m := &crashingBackend{fleet: f, worker: one, name: one.id, crashesOn: deadly, record: seen}
 		f.store.Remove("servers", one.id)
-		one.address = f.net.Address(hostOfMortal(one.id))
+		one.address = f.net.Address(crashingHost(one.id))
 		m.start()
 		made = append(made, m)
 	}
 	return made, seen
 }
 
-func hostOfMortal(name string) string {
+func crashingHost(name string) string {
 	return "mortal-" + name
 }
 
-// start starts the back end at its address, under a new id.
-func (m *mortal) start() {
-	if m.fleet.over.Load() {
+// start starts the back end at its address with a new id.
+func (m *crashingBackend) start() {
+	if m.fleet.closed.Load() {
 		return
 	}
 	m.starts++
-	listener, err := m.fleet.net.Network(hostOfMortal(m.name)).Listen(m.worker.address)
+	listener, err := m.fleet.net.Network(crashingHost(m.name)).Listen(m.worker.address)
 	require.NoError(m.fleet.t, err)
-	m.worker.change(func() {
+	m.worker.update(func() {
 		m.worker.address = listener.Addr().String()
 		m.worker.id = fmt.Sprintf("%s.%d", m.name, m.starts)
 		m.worker.instance = m.worker.id
 	})
 	server := &http.Server{Handler: m}
-	m.seen.mutex.Lock()
+	m.record.mutex.Lock()
 	m.server = server
-	m.seen.mutex.Unlock()
+	m.record.mutex.Unlock()
 	m.fleet.mutex.Lock()
 	m.fleet.servers = append(m.fleet.servers, server)
 	m.fleet.mutex.Unlock()
 	go func() { _ = server.Serve(listener) }()
-	m.fleet.announce(m.worker, "ready")
+	m.fleet.writeEntry(m.worker, "ready")
 }
 
 // ServeHTTP implements http.Handler.
-func (m *mortal) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
-	if !m.deadly(r) {
+func (m *crashingBackend) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
+	if !m.crashesOn(r) {
 		m.worker.ServeHTTP(rw, r)
 		return
 	}
-	m.seen.mutex.Lock()
-	m.seen.arrivals = append(m.seen.arrivals, time.Now())
+	m.record.mutex.Lock()
+	m.record.arrivals = append(m.record.arrivals, time.Now())
 	server := m.server
-	m.seen.mutex.Unlock()
-	time.Sleep(crashAfter)
-	m.end(server)
+	m.record.mutex.Unlock()
+	time.Sleep(crashDelay)
+	m.crash(server)
 }
 
-// end ends the back end as a crash does: nothing is said, and what runs on it is lost.
-// The one that runs may have ended already, under the same request sent twice.
-func (m *mortal) end(server *http.Server) {
-	m.seen.mutex.Lock()
-	defer m.seen.mutex.Unlock()
+// crash closes the back end without notice, and its running requests are lost. It has no effect if
+// this run has crashed already, under the same request sent twice.
+func (m *crashingBackend) crash(server *http.Server) {
+	m.record.mutex.Lock()
+	defer m.record.mutex.Unlock()
 	if server == nil || m.server != server {
 		return
 	}
 	m.server = nil
-	m.seen.endings = append(m.seen.endings, time.Now())
+	m.record.crashes = append(m.record.crashes, time.Now())
 	server.Close()
 	id := m.worker.id
-	time.AfterFunc(restartAfter, m.start)
-	time.AfterFunc(lapseAfter, func() { m.fleet.store.Remove("servers", id) })
+	time.AfterFunc(restartDelay, m.start)
+	time.AfterFunc(entryExpiry, func() { m.fleet.store.Remove("servers", id) })
 }
 
-// background sends other requests for as long as it is let, and counts how many there were and
-// how many were answered.
-type background struct {
+// backgroundLoad sends other requests until it is finished, and counts sent and answered
+// requests.
+type backgroundLoad struct {
 	stop           chan struct{}
 	running        sync.WaitGroup
 	mutex          sync.Mutex
 	sent, answered int
 }
 
-func (f *fleet) background(every time.Duration) *background {
-	return f.backgroundOf(every, func(number int) string { return fmt.Sprintf("/one/safe/%d", number) })
+func (f *fleet) startBackgroundLoad(every time.Duration) *backgroundLoad {
+	return f.startBackgroundLoadOf(every, func(number int) string { return fmt.Sprintf("/one/safe/%d", number) })
 }
 
-// backgroundOf is background of requests with the paths that path returns.
-func (f *fleet) backgroundOf(every time.Duration, path func(number int) string) *background {
-	b := &background{stop: make(chan struct{})}
+// startBackgroundLoadOf is startBackgroundLoad with the paths that path returns.
+func (f *fleet) startBackgroundLoadOf(every time.Duration, path func(number int) string) *backgroundLoad {
+	b := &backgroundLoad{stop: make(chan struct{})}
 	b.running.Go(func() {
 		for number := 0; ; number++ {
 			select {
@@ -180,8 +180,7 @@
 	return b
 }
 
-// count counts an answer.
-func (b *background) count(got answer) {
+func (b *backgroundLoad) count(got answer) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.sent++
@@ -190,47 +189,47 @@
 	}
 }
 
-// share ends it and returns which share of the requests was answered.
-func (b *background) share() float64 {
+// finish stops the load and returns the share of requests answered.
+func (b *backgroundLoad) finish() float64 {
 	close(b.stop)
 	b.running.Wait()
 	return float64(b.answered) / float64(b.sent)
 }
 
-// isDeadly says whether a request is the one that ends back ends in these tests.
-func isDeadly(r *http.Request) bool {
+// isCrashingRequest reports whether a request is the crashing request of these tests.
+func isCrashingRequest(r *http.Request) bool {
 	return r.URL.Path == "/one/safe/deadly"
 }
 
-// repeater sends the deadly request again and again, as often as it is seen in practice, each time
-// under a new id and through any daemon.
-type repeater struct {
+// crashRepeater repeats the crashing request at the rate observed in practice, each time with a new
+// id and through a random daemon.
+type crashRepeater struct {
 	fleet   *fleet
 	path    string
-	varied  bool // each repeat comes from another address and with another query
+	varied  bool // each repeat has another source address and query
 	random  *rand.Rand
-	over    chan struct{}
+	stop    chan struct{}
 	running sync.WaitGroup
 }
 
-func (f *fleet) repeat(path string) *repeater {
-	r := &repeater{fleet: f, path: path, random: rand.New(rand.NewPCG(2, 2))}
+func (f *fleet) startCrashRepeater(path string) *crashRepeater {
+	r := &crashRepeater{fleet: f, path: path, random: rand.New(rand.NewPCG(2, 2))}
 	r.resume()
 	return r
 }
 
-func (r *repeater) resume() {
-	r.over = make(chan struct{})
+func (r *crashRepeater) resume() {
+	r.stop = make(chan struct{})
 	r.running.Go(func() {
 		for {
 			select {
-			case <-r.over:
+			case <-r.stop:
 				return
 			case <-time.After(time.Duration(r.random.ExpFloat64() * float64(125*time.Millisecond))):
 			}
 			number, path := r.random.IntN(len(r.fleet.daemons)), r.path
 			if r.varied {
-				r.fleet.caller.Add(1)
+				r.fleet.callerHost.Add(1)
 				r.fleet.client.CloseIdleConnections()
 				path += fmt.Sprintf("?page=%d", r.random.IntN(1000))
 			}
@@ -239,72 +238,72 @@
 	})
 }
 
-// pause ends when nothing is being sent any more.
-func (r *repeater) pause() {
-	close(r.over)
+// pause stops sending and waits for requests in flight.
+func (r *crashRepeater) pause() {
+	close(r.stop)
 	r.running.Wait()
 }
 
-// restart kills a daemon; another starts in its place.
-func (f *fleet) restart(number int) {
+// replaceDaemon kills a daemon and starts a new one.
+func (f *fleet) replaceDaemon(number int) {
 	var seeds []string
 	for _, other := range f.daemons {
 		seeds = append(seeds, other.Addresses().Peer)
 	}
 	f.daemons[number].Kill()
 	f.daemons = slices.Delete(f.daemons, number, number+1)
-	f.startAt(daemons+int(f.last.Add(1)), f.storeAddress, f.net.Address(hostOf(daemons+int(f.last.Load()))), seeds)
+	f.startAt(daemons+int(f.lastRequest.Add(1)), f.storeAddress, f.net.Address(hostOf(daemons+int(f.lastRequest.Load()))), seeds)
 }
 
-// isLeft says whether a daemon is in the one half of the fleet, by its host.
-func isLeft(host string) bool {
+// inFirstHalf reports whether the host belongs to the first half of the daemons.
+func inFirstHalf(host string) bool {
 	return host == hostOf(0) || host == hostOf(1)
 }
 
-// isRight says whether it is in the other.
-func isRight(host string) bool {
+// inSecondHalf reports whether the host belongs to the second half.
+func inSecondHalf(host string) bool {
 	return host == hostOf(2) || host == hostOf(3)
 }
 
-// kill ends the back end for no request's sake.
-func (m *mortal) kill() {
-	m.seen.mutex.Lock()
+// kill crashes the back end independently of requests.
+func (m *crashingBackend) kill() {
+	m.record.mutex.Lock()
 	server := m.server
-	m.seen.mutex.Unlock()
-	m.end(server)
+	m.record.mutex.Unlock()
+	m.crash(server)
 }
 
-// holding returns how many daemons hold a request back.
-func (f *fleet) holding() int {
+// quarantiningDaemons returns the number of daemons that quarantine a request.
+func (f *fleet) quarantiningDaemons() int {
 	count := 0
 	for _, one := range f.daemons {
-		held := func(request admin.CrashingRequest) bool { return request.Quarantined }
-		if slices.ContainsFunc(one.CrashingRequests(), held) {
+		isQuarantined := func(request admin.CrashingRequest) bool { return request.Quarantined }
+		if slices.ContainsFunc(one.CrashingRequests(), isQuarantined) {
 			count++
 		}
 	}
 	return count
 }
 
-// burst sends many requests at once, so that later ones wait for places.
+// burst sends this number of concurrent requests, so that later ones wait for permits.
 func (f *fleet) burst(count int) {
 	for number := range count {
 		go f.send(number%len(f.daemons), fmt.Sprintf("/one/safe/burst-%d", number))
 	}
 }
 
-// pipeline sends a request several times on one connection, without waiting for an answer.
+// pipeline sends a request several times on one connection without waiting for responses.
 func (f *fleet) pipeline(number int, path string, times int) {
 	conn, err := f.net.Host("callers").Dial(f.t.Context(), f.daemons[number].Addresses().Caller)
 	if err != nil {
 		return
 	}
 	defer conn.Close()
-	var sent strings.Builder
+	var requests strings.Builder
 	for range times {
-		fmt.Fprintf(&sent, "GET %s HTTP/1.1\r\nHost: a.example\r\nRequest-Id: pipelined-%d\r\nDeadline-Ms: 1500\r\n\r\n", path, f.last.Add(1))
+		fmt.Fprintf(&requests, "GET %s HTTP/1.1\r\nHost: a.example\r\nRequest-Id: pipelined-%d\r\nDeadline-Ms: 1500\r\n\r\n", path, f.lastRequest.Add(1))
 	}
-	if _, err := io.WriteString(conn, sent.String()); err != nil {
+	if _, err := io.WriteString(conn, requests.String()); err != nil {
 		return
 	}
 	_ = conn.SetReadDeadline(time.Now().Add(2 * time.Second))
--- a/lab/objectstub/news_test.go
+++ b/lab/objectstub/news_test.go
@@ -15,13 +15,13 @@
 	"github.com/tuliphall/tuliphall/settings"
 )
 
-// awaitRoute returns how long it takes until every daemon serves a route.
+// awaitRoute waits until every daemon serves a route, and returns how long that took.
 func (f *fleet) awaitRoute(path string) time.Duration {
 	begun := time.Now()
 	for number := range daemons {
 		for f.send(number, path).status != http.StatusOK {
 			if time.Since(begun) > time.Minute {
-				f.t.Fatalf("daemon %d never served %s", number, path)
+				f.t.Fatalf("daemon %d does not serve %s", number, path)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
@@ -29,8 +29,8 @@
 	return time.Since(begun)
 }
 
-// TestConfigurationInForce puts a new configuration in force everywhere, also when
-// every watch is deaf and the store drops its history.
+// TestConfigurationInForce checks that a new configuration is in force everywhere in time,
+// also when all watches stall and the store drops its history.
 func TestConfigurationInForce(t *testing.T) {
 	run(t, 2, func(f *fleet) {
 		f.configure("/two/")
@@ -44,57 +44,57 @@
 	})
 }
 
-// inForce returns how long it takes until every daemon has a revision of the
-// configuration or of the directory.
-func (f *fleet) inForce(revision uint64) time.Duration {
+// awaitInForce waits until every daemon has a revision of the configuration or of the
+// directory, and returns how long that took.
+func (f *fleet) awaitInForce(revision uint64) time.Duration {
 	begun := time.Now()
-	for f.heard(revision) < len(f.daemons) {
+	for f.countInForce(revision) < len(f.daemons) {
 		if time.Since(begun) > time.Minute {
-			f.t.Fatalf("revision %d never reached all", revision)
+			f.t.Fatalf("revision %d did not reach all daemons", revision)
 		}
 		time.Sleep(time.Millisecond)
 	}
 	return time.Since(begun)
 }
 
-// TestNewsReachesAll changes configuration and directory at a fleet in which only a
-// few daemons watch the store: all others hear of each change soon, none is missed.
+// TestNewsReachesAll changes the configuration and the directory in a fleet where only a
+// few daemons watch the store: all others get every change in time.
 func TestNewsReachesAll(t *testing.T) {
 	runFleet(t, 60, 3, func(f *fleet) {
 		for number := range 30 {
 			time.Sleep(2 * time.Second)
 			f.configure(fmt.Sprintf("/change-%d/", number))
-			require.Less(t, f.inForce(f.store.Revision()), 250*time.Millisecond)
+			require.Less(t, f.awaitInForce(f.store.Revision()), 250*time.Millisecond)
 			time.Sleep(2 * time.Second)
-			f.announce(f.workers[0], []string{"draining", "ready"}[number%2])
-			require.Less(t, f.inForce(f.store.Revision()), 250*time.Millisecond)
+			f.writeEntry(f.workers[0], []string{"draining", "ready"}[number%2])
+			require.Less(t, f.awaitInForce(f.store.Revision()), 250*time.Millisecond)
 		}
 	})
 }
 
-// TestNewsRightAfterNews makes two changes in the same instant, so that some of those who watch the store
-// pause already when they could hear of the second one: once one has, all do as soon as usual.
+// TestNewsRightAfterNews makes two changes at the same time, so that some of the daemons that watch the store
+// already pause when the second one is made: once one daemon has it, all get it in the usual time.
 func TestNewsRightAfterNews(t *testing.T) {
 	runFleet(t, 20, 2, func(f *fleet) {
 		slowest := time.Duration(0)
 		for number := range 100 {
 			time.Sleep(2 * time.Second)
 			state := []string{"draining", "ready"}[number%2]
-			f.announce(f.workers[0], state)
-			f.announce(f.workers[1], state)
+			f.writeEntry(f.workers[0], state)
+			f.writeEntry(f.workers[1], state)
 			revision := f.store.Revision()
-			for f.heard(revision) == 0 {
+			for f.countInForce(revision) == 0 {
 				time.Sleep(time.Millisecond)
 			}
-			slowest = max(slowest, f.inForce(revision))
+			slowest = max(slowest, f.awaitInForce(revision))
 		}
-		t.Logf("in force everywhere %v after the first heard of it, at the latest", slowest)
+		t.Logf("in force everywhere at most %v after the first daemon has the change", slowest)
 		require.Less(t, slowest, 250*time.Millisecond)
 	})
 }
 
-// heard returns how many daemons have a revision of the configuration or of the directory.
-func (f *fleet) heard(revision uint64) int {
+// countInForce returns the number of daemons that have a revision of the configuration or of the directory.
+func (f *fleet) countInForce(revision uint64) int {
 	heard := 0
 	for _, one := range f.daemons {
 		position := one.Document().Position()
@@ -105,8 +105,8 @@
 	return heard
 }
 
-// TestNewsWithoutTellers changes the configuration while daemons that watch the
-// store are dead and not yet known to be: the others make up for them.
+// TestNewsWithoutTellers changes the configuration while some of the daemons that watch the
+// store have been killed and are not yet known to be down: the others broadcast the change.
 func TestNewsWithoutTellers(t *testing.T) {
 	runFleet(t, 40, 1, func(f *fleet) {
 		killed := 0
@@ -122,13 +122,12 @@
 		require.Equal(t, watchers/2, killed)
 		f.daemons = alive
 		f.configure("/change/")
-		require.Less(t, f.inForce(f.store.Revision()), 2*time.Second)
+		require.Less(t, f.awaitInForce(f.store.Revision()), 2*time.Second)
 	})
 }
 
-// TestNewsWithoutAnyTeller changes the configuration right after all daemons that watch
-// the store have lost their power, and most others with them: those that are left watch
-// it in their place.
+// TestNewsWithoutAnyTeller changes the configuration right after all daemons that watch the
+// store and most others were powered off: the remaining daemons watch the store instead.
 func TestNewsWithoutAnyTeller(t *testing.T) {
 	for _, size := range []int{13, 18, 60} {
 		for _, pause := range []time.Duration{0, 300 * time.Millisecond, time.Second} {
@@ -136,62 +135,62 @@
 				f.powerOff(func(one *daemon.Daemon, number int) bool {
 					return one.Status(f.t.Context()).Watching || number%5 != 0
 				})
-				defer f.light(20 * time.Millisecond)()
+				defer f.sendPeriodically(20 * time.Millisecond)()
 				time.Sleep(pause)
 				f.configure("/change/")
-				took := f.inForce(f.store.Revision())
+				took := f.awaitInForce(f.store.Revision())
 				require.Less(t, took, 1500*time.Millisecond, "%d daemons, %v later", size, pause)
 			})
 		}
 	}
 }
 
-// TestStandingInListsNothing lets daemons watch in the place of those without power: they
-// go on from what they were told, and do not list all back ends anew.
+// TestStandingInListsNothing powers the watching daemons off: the daemons that watch instead
+// continue from the revision they got from peers, and do not list all back ends again.
 func TestStandingInListsNothing(t *testing.T) {
 	runFleet(t, 18, 3, func(f *fleet) {
-		f.announce(f.workers[0], "draining")
-		f.store.Compact() // what they read at their start is too old to go on from
-		// Those who watch pause after news (watch_interval). Whether they heard of the first
-		// change before the second, in the same instant, hung on the scheduler.
+		f.writeEntry(f.workers[0], "draining")
+		f.store.Compact() // the revision read at startup is too old to continue from
+		// Watching daemons pause after a change (watch_interval). With both changes at the same
+		// time, the scheduler decided whether they got the first one before the second.
 		time.Sleep(time.Second)
-		f.announce(f.workers[1], "draining")
-		require.Less(t, f.inForce(f.store.Revision()), 250*time.Millisecond)
+		f.writeEntry(f.workers[1], "draining")
+		require.Less(t, f.awaitInForce(f.store.Revision()), 250*time.Millisecond)
 		listed := f.store.ListCalls("servers")
 		f.powerOff(func(one *daemon.Daemon, _ int) bool { return one.Status(f.t.Context()).Watching })
-		f.announce(f.workers[0], "ready")
-		require.Less(t, f.inForce(f.store.Revision()), 1500*time.Millisecond)
+		f.writeEntry(f.workers[0], "ready")
+		require.Less(t, f.awaitInForce(f.store.Revision()), 1500*time.Millisecond)
 		time.Sleep(time.Second)
 		require.Equal(t, listed, f.store.ListCalls("servers"))
 	})
 }
 
-// powerOff silences the daemons that strike chooses, as machines without power are.
-// They are not among the fleet's daemons any more.
-func (f *fleet) powerOff(strike func(one *daemon.Daemon, number int) bool) {
+// powerOff freezes the network of the selected daemons, like machines without power, and
+// removes them from the fleet's daemons.
+func (f *fleet) powerOff(selects func(one *daemon.Daemon, number int) bool) {
 	var alive []*daemon.Daemon
 	for number, one := range f.daemons {
-		if strike(one, number) {
-			f.dark = append(f.dark, darkened{Daemon: one, host: hostOf(number)})
+		if selects(one, number) {
+			f.poweredOff = append(f.poweredOff, poweredOffDaemon{Daemon: one, host: hostOf(number)})
 			continue
 		}
 		alive = append(alive, one)
 	}
 	f.daemons = alive
-	for _, one := range f.dark {
+	for _, one := range f.poweredOff {
 		f.net.SetFrozen(one.host, true)
 	}
 }
 
-// darkened is a daemon whose machine has no power.
-type darkened struct {
+// poweredOffDaemon is a daemon whose machine is powered off.
+type poweredOffDaemon struct {
 	*daemon.Daemon
 	host string
 }
 
-// light sends a request through each daemon in turn until the returned function is
-// called, one each interval.
-func (f *fleet) light(interval time.Duration) (stop func()) {
+// sendPeriodically sends a request each interval, through the daemons in turn, until stop
+// is called.
+func (f *fleet) sendPeriodically(interval time.Duration) (stop func()) {
 	over := make(chan struct{})
 	done := make(chan struct{})
 	go func() {
@@ -213,36 +212,36 @@
 	}
 }
 
-// startAnew kills all daemons and starts as many others at once.
-func (f *fleet) startAnew() {
+// replaceAllDaemons kills all daemons and starts as many new ones at the same time.
+func (f *fleet) replaceAllDaemons() {
 	size := len(f.daemons)
 	for _, one := range f.daemons {
 		one.Kill()
 	}
 	f.daemons = nil
 	var seeds []string
-	for number := range seedsTold {
+	for number := range maxSeeds {
 		host := strings.TrimSuffix(f.net.Address(hostOf(size+number)), ":0")
 		seeds = append(seeds, fmt.Sprintf("%s:%d", host, seedPort))
 	}
 	for number := range size {
 		address := f.net.Address(hostOf(size + number))
-		if number < seedsTold {
+		if number < maxSeeds {
 			address = seeds[number]
 		}
 		f.startAt(size+number, f.storeAddress, address, seeds)
 	}
 }
 
-// seedPort is where seeds that are known before they start hear other daemons.
+// seedPort is the peer port of seeds whose addresses are known before they start.
 const seedPort = 7000
 
-// TestKnownSoonAfterAllStart loses all daemons at once: those that start in their
-// place soon know each other, so that they agree on who gives out places.
+// TestKnownSoonAfterAllStart replaces all daemons at the same time: the new daemons soon
+// know each other, so that they agree on the dispatcher.
 func TestKnownSoonAfterAllStart(t *testing.T) {
 	const size = 60
 	runFleet(t, size, 1, func(f *fleet) {
-		f.startAnew()
+		f.replaceAllDaemons()
 		begun := time.Now()
 		for _, one := range f.daemons {
 			for one.AliveCount() < size {
@@ -254,8 +253,8 @@
 	})
 }
 
-// dispatchersOf returns the daemons that some daemons take for the dispatcher of the
-// workers' service.
+// dispatchersOf returns the daemons that the given daemons consider the dispatcher of the
+// workers' service, with the number that do.
 func dispatchersOf(daemons []*daemon.Daemon) map[string]int {
 	chosen := make(map[string]int)
 	for _, one := range daemons {
@@ -265,13 +264,12 @@
 	return chosen
 }
 
-// TestOneDispatcherAfterAllStart loses all daemons at once: those that start in their
-// place agree on who gives out places long before they know each other, and while callers
-// come back.
+// TestOneDispatcherAfterAllStart replaces all daemons at the same time: the new daemons
+// agree on the dispatcher long before they all know each other, while callers return.
 func TestOneDispatcherAfterAllStart(t *testing.T) {
 	const size = 60
 	runFleet(t, size, 1, func(f *fleet) {
-		f.startAnew()
+		f.replaceAllDaemons()
 		for range 38 {
 			time.Sleep(100 * time.Millisecond)
 			require.Len(t, dispatchersOf(f.daemons), 1)
@@ -281,22 +279,22 @@
 	})
 }
 
-// TestChangeAfterAllStart loses all daemons at once and changes the configuration while
-// those that start in their place have just read it: the change is in force everywhere
+// TestChangeAfterAllStart replaces all daemons at the same time and changes the
+// configuration right after the new daemons have read it: the change is in force everywhere
 // as soon as they know each other.
 func TestChangeAfterAllStart(t *testing.T) {
 	for _, size := range []int{13, 60} {
 		runFleet(t, size, 1, func(f *fleet) {
-			f.startAnew()
+			f.replaceAllDaemons()
 			time.Sleep(300 * time.Millisecond)
 			f.configure("/change/")
-			require.Less(t, f.inForce(f.store.Revision()), 1200*time.Millisecond)
+			require.Less(t, f.awaitInForce(f.store.Revision()), 1200*time.Millisecond)
 		})
 	}
 }
 
-// TestStopAmongSilentMembers stops a daemon whose members do not answer: telling them
-// that it leaves takes none of the time that the platform gives it.
+// TestStopAmongSilentMembers stops a daemon whose peers do not respond: announcing the stop
+// to them does not extend the notice of the platform.
 func TestStopAmongSilentMembers(t *testing.T) {
 	run(t, 1, func(f *fleet) {
 		stopped := f.daemons[0]
@@ -309,18 +307,18 @@
 }
 
 // TestSeedsThatStartLater starts daemons before their seeds, to which connections are
-// neither opened nor refused meanwhile: they join as soon as the seeds are there.
+// neither opened nor refused meanwhile: the daemons join as soon as the seeds have started.
 func TestSeedsThatStartLater(t *testing.T) {
 	const size, late = 30, 400 * time.Millisecond
 	runFleet(t, 1, 1, func(f *fleet) {
 		f.daemons[0].Kill()
 		f.daemons = nil
 		var seeds []string
-		for number := range seedsTold {
+		for number := range maxSeeds {
 			listener, err := f.net.Network(hostOf(100 + number)).Listen(f.net.Address(hostOf(100 + number)))
 			require.NoError(t, err)
 			seeds = append(seeds, listener.Addr().String())
-			defer listener.Close() // until then what was dialed before stays unanswered
+			defer listener.Close() // earlier dials stay unanswered until then
 		}
 		for number := range size {
 			f.startAt(200+number, f.storeAddress, f.net.Address(hostOf(200+number)), seeds)
@@ -334,8 +332,8 @@
 	})
 }
 
-// TestStoreDownAtStart lets a daemon start while the store is down: it learns
-// routes and back ends from the others.
+// TestStoreDownAtStart starts a daemon while the store is down: it gets routes and back
+// ends from its peers.
 func TestStoreDownAtStart(t *testing.T) {
 	run(t, 2, func(f *fleet) {
 		f.store.SetFaults(objectstub.Faults{Down: true})
--- a/lab/objectstub/older_rollout_test.go
+++ b/lab/objectstub/older_rollout_test.go
@@ -11,14 +11,14 @@
 	"github.com/tuliphall/tuliphall/lab/objectstub"
 )
 
-// TestRolledBackVersionStaysBackWhenStoreComesBackOlder lets the store lose that a bad version was taken back, or the whole order for it: it gets
-// nothing again, and the decision is recorded again.
+// TestRolledBackVersionStaysBackWhenStoreComesBackOlder loses the rollback of a bad version, or the whole order for
+// it, in a rollback of the store: the version gets no more requests, and the decision is recorded again.
 func TestRolledBackVersionStaysBackWhenStoreComesBackOlder(t *testing.T) {
 	var count atomic.Int64
 	half := func(*http.Request) bool { return count.Add(1)%2 == 0 }
 	for _, one := range []struct {
 		name string
-		// copied is how long after the order the copy is taken; 0: right before it.
+		// copied is the time after the order at which the snapshot is taken; 0: right before the order.
 		copied time.Duration
 		// writes: the operator writes the order again.
 		writes bool
@@ -29,11 +29,11 @@
 	} {
 		t.Run(one.name, func(t *testing.T) {
 			runRollouts(t, func(f *fleet) {
-				stop := f.steadyLoad(100)
+				stop := f.startSteadyLoad(100)
 				defer stop()
 				time.Sleep(time.Second)
 				copied := f.store.Snapshot()
-				started := f.newVersion(half)
+				started := f.startNewVersion(half)
 				if one.copied > 0 {
 					time.Sleep(one.copied)
 					copied = f.store.Snapshot()
@@ -41,33 +41,33 @@
 				f.awaitState("rolled_back")
 				time.Sleep(2 * time.Second)
 				exposed := f.totalOf(started)
-				f.storeComesBackWith(copied, started)
+				f.restoreStoreAndEntries(copied, started)
 				if one.writes {
-					time.Sleep(writtenAgain)
-					f.orderVersion()
+					time.Sleep(rewriteDelay)
+					f.startRollout()
 				}
 				f.awaitState("rolled_back")
-				time.Sleep(rolloutTime)
+				time.Sleep(rolloutDuration)
 				require.Equal(t, exposed, f.totalOf(started), "it got requests again")
 			})
 		})
 	}
 }
 
-// awaitState waits until the system has written a state of the rollout.
+// awaitState waits until the rollout has a state in the store.
 func (f *fleet) awaitState(state string) {
 	begun := time.Now()
-	for f.state() != state {
-		require.Less(f.t, time.Since(begun), 2*rolloutTime)
+	for f.rolloutState() != state {
+		require.Less(f.t, time.Since(begun), 2*rolloutDuration)
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// storeComesBackWith lets the store come back from a copy, to which back ends then write their entries again.
-func (f *fleet) storeComesBackWith(copied objectstub.Snapshot, again []*worker) {
-	f.storeComesBack(copied)
+// restoreStoreAndEntries restores a snapshot of the store, after which back ends rewrite their entries.
+func (f *fleet) restoreStoreAndEntries(copied objectstub.Snapshot, again []*worker) {
+	f.restoreStore(copied)
 	time.Sleep(time.Second)
 	for _, one := range again {
-		f.announce(one, "ready")
+		f.writeEntry(one, "ready")
 	}
 }
--- a/lab/objectstub/outcome_test.go
+++ b/lab/objectstub/outcome_test.go
@@ -18,12 +18,12 @@
 	"github.com/tuliphall/tuliphall/resultcode"
 )
 
-// logs takes the lines of all daemons of a fleet.
+// logs collects the log lines of all daemons of a fleet.
 type logs struct {
 	site.SyncBuffer
 }
 
-// outcome is a line that says how a request ended.
+// outcome is a log line with the outcome of a request.
 type outcome struct {
 	Message string `json:"msg"`
 	Request string `json:"request"`
@@ -32,7 +32,7 @@
 	Cause   string `json:"cause"`
 }
 
-// outcomes returns the outcome lines of each request.
+// outcomes returns the outcome lines by request id.
 func (l *logs) outcomes(t *testing.T) map[string][]outcome {
 	found := make(map[string][]outcome)
 	for line := range strings.Lines(l.String()) {
@@ -46,9 +46,9 @@
 	return found
 }
 
-// checkOutcomes requires that the logs have exactly one line on how each answered
-// request ended, with the code that its caller got. It ends the daemons first, so that
-// all lines are written.
+// checkOutcomes checks that the logs have exactly one outcome line for each answered
+// request, with the code that its caller got. It runs after the daemons have ended, so
+// that all lines are written.
 func (f *fleet) checkOutcomes() {
 	found := f.logs.outcomes(f.t)
 	for id, got := range f.answers {
@@ -59,30 +59,30 @@
 	}
 }
 
-// TestEachRequestHasAnOutcomeLine ends requests in many ways. That each has its line is
-// checked at the end of every test of this package; this one sees to it that the result
-// codes that these daemons can give are reached.
+// TestEachRequestHasAnOutcomeLine ends requests with every result code that these daemons
+// can give. Every test of this package checks at its end that each request has one outcome
+// line.
 func TestEachRequestHasAnOutcomeLine(t *testing.T) {
 	reached := make(map[int]bool)
 	run(t, 2, func(f *fleet) {
 		both := func(change func(one *worker)) {
 			for _, one := range f.workers {
-				one.change(func() { change(one) })
+				one.update(func() { change(one) })
 			}
 		}
-		f.earnRetries()
+		f.earnRetryBudget()
 		f.send(0, "/none/")
 		f.sendWith(0, "/one/safe/", func(r *http.Request) { r.Header.Set("Deadline-Ms", "soon") })
-		both(func(one *worker) { one.refuse = true })
+		both(func(one *worker) { one.rejects = true })
 		f.send(0, "/one/unsafe/")
-		both(func(one *worker) { one.refuse, one.echo = false, "request-of-another" })
+		both(func(one *worker) { one.rejects, one.responseID = false, "request-of-another" })
 		f.send(1, "/one/safe/")
 		time.Sleep(time.Minute)
-		both(func(one *worker) { one.echo, one.work = "", 3*time.Second })
+		both(func(one *worker) { one.responseID, one.serviceTime = "", 3*time.Second })
 		f.send(2, "/one/safe/")
-		f.leave(2, "/one/unsafe/", 100*time.Millisecond)
+		f.sendAndCancel(2, "/one/unsafe/", 100*time.Millisecond)
 		time.Sleep(time.Minute)
-		both(func(one *worker) { one.work = time.Second })
+		both(func(one *worker) { one.serviceTime = time.Second })
 		f.overload(40)
 		time.Sleep(time.Minute)
 		for _, one := range f.workers {
@@ -111,7 +111,7 @@
 	}
 }
 
-// checkCauses requires that the requests which these daemons failed are explained.
+// checkCauses checks that the failed requests have explained causes.
 func (l *logs) checkCauses(t *testing.T) {
 	log := explain.NewLog()
 	require.NoError(t, explain.Read(strings.NewReader(l.String()), log))
@@ -128,14 +128,14 @@
 	require.NotContains(t, causes, "no outcome logged")
 }
 
-// leave sends a request and leaves before its answer.
-func (f *fleet) leave(number int, path string, after time.Duration) {
+// sendAndCancel sends a request and cancels it before the response.
+func (f *fleet) sendAndCancel(number int, path string, after time.Duration) {
 	ctx, cancel := context.WithTimeout(f.t.Context(), after)
 	defer cancel()
 	f.sendWith(number, path, func(r *http.Request) { *r = *r.WithContext(ctx) })
 }
 
-// overload sends so many requests at once.
+// overload sends this number of concurrent requests.
 func (f *fleet) overload(requests int) {
 	var sending sync.WaitGroup
 	for number := range requests {
@@ -144,7 +144,7 @@
 	sending.Wait()
 }
 
-// methodOf is POST for what may run once only.
+// methodOf returns POST for paths of requests that must not be repeated.
 func methodOf(path string) string {
 	if strings.Contains(path, "unsafe") {
 		return http.MethodPost
--- a/lab/objectstub/probes_test.go
+++ b/lab/objectstub/probes_test.go
@@ -10,9 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// load sends a request each interval for a while, through all daemons in turn, and
-// returns how long each took.
-func (f *fleet) load(path string, interval, length time.Duration) []time.Duration {
+// sendLoad sends a request each interval for a time, through the daemons in turn, and
+// returns the latency of each.
+func (f *fleet) sendLoad(path string, interval, length time.Duration) []time.Duration {
 	took := make([]time.Duration, int(length/interval))
 	var running sync.WaitGroup
 	for number := range took {
@@ -29,19 +29,19 @@
 	return took
 }
 
-// TestProbesFindTheUndisturbed lets half of the workers be disturbed by turns, so that
-// what they told with their last answer is soon wrong. Without probes 400 of 1,000
-// requests meet a disturbed one; a few do at each turn in any case.
+// TestProbesFindTheUndisturbed slows down alternating halves of the workers, so that the load
+// reported with their last response is soon outdated. Without probes 400 of 1,000 requests
+// are sent to a disturbed worker; a few are at each change in any case.
 func TestProbesFindTheUndisturbed(t *testing.T) {
 	run(t, 4, func(f *fleet) {
 		for _, one := range f.workers {
-			one.change(func() { one.disturb = 150 * time.Millisecond })
+			one.update(func() { one.disturbPeriod = 150 * time.Millisecond })
 		}
-		f.load("/one/unsafe/", 30*time.Millisecond, 15*time.Second) // until the budget is granted
+		f.sendLoad("/one/unsafe/", 30*time.Millisecond, 15*time.Second) // until the probe budget is granted
 		slow := 0
-		took := f.load("/one/unsafe/", 30*time.Millisecond, 30*time.Second)
+		took := f.sendLoad("/one/unsafe/", 30*time.Millisecond, 30*time.Second)
 		for _, one := range took {
-			if one > 2*f.workers[0].work {
+			if one > 2*f.workers[0].serviceTime {
 				slow++
 			}
 		}
@@ -49,26 +49,26 @@
 	})
 }
 
-// TestProbesStayInTheBudget counts the probes that workers get from all daemons
-// together, while the daemon that probes dies, others take over, and a worker does not
-// answer probes.
+// TestProbesStayInTheBudget counts the probes that workers get from all daemons together,
+// while probing daemons are killed, others take over, and a worker does not respond to
+// probes.
 func TestProbesStayInTheBudget(t *testing.T) {
 	run(t, 3, func(f *fleet) {
-		for _, one := range f.workers { // else hardly any probe is worth making
-			one.change(func() { one.disturb = 150 * time.Millisecond })
+		for _, one := range f.workers { // otherwise probes have little benefit and are rare
+			one.update(func() { one.disturbPeriod = 150 * time.Millisecond })
 		}
-		f.load("/one/safe/", 30*time.Millisecond, 20*time.Second)
-		f.workers[0].change(func() { f.workers[0].silent = true })
-		f.load("/one/safe/", 30*time.Millisecond, 5*time.Second)
+		f.sendLoad("/one/safe/", 30*time.Millisecond, 20*time.Second)
+		f.workers[0].update(func() { f.workers[0].ignoresProbes = true })
+		f.sendLoad("/one/safe/", 30*time.Millisecond, 5*time.Second)
 		for len(f.daemons) > 1 {
 			f.daemons[0].Kill()
 			f.daemons = f.daemons[1:]
-			time.Sleep(5 * time.Second) // its connections are given up
-			f.load("/one/safe/", 30*time.Millisecond, 25*time.Second)
+			time.Sleep(5 * time.Second) // until its connections have timed out
+			f.sendLoad("/one/safe/", 30*time.Millisecond, 25*time.Second)
 		}
 		total := 0
 		for _, one := range f.workers {
-			one.change(func() {
+			one.update(func() {
 				total += len(one.probes)
 				for first, last := 0, 0; last < len(one.probes); last++ {
 					for one.probes[last].Sub(one.probes[first]) >= time.Second {
@@ -78,6 +78,6 @@
 				}
 			})
 		}
-		require.Greater(f.t, total, 500, "hardly any probe was made")
+		require.Greater(f.t, total, 500, "too few probes to test the budget")
 	})
 }
--- a/lab/objectstub/restart_test.go
+++ b/lab/objectstub/restart_test.go
@@ -8,20 +8,20 @@
 	"github.com/stretchr/testify/require"
 )
 
-// soonUsed is within what time a back end that has started again gets requests: what its entry says
-// is in force at all daemons by then.
-const soonUsed = 500 * time.Millisecond
+// maxRestartDelay is the maximum time until a restarted back end gets requests. Its entry is in force
+// at all daemons by then.
+const maxRestartDelay = 500 * time.Millisecond
 
-// restartUnderID lets a back end start again under the id that it had, and returns after what time
-// it gets a request, or 10 s.
+// restartUnderID restarts a back end with the same id, and returns the time until it gets a request,
+// at most 10 s.
 func (f *fleet) restartUnderID(one *worker) time.Duration {
-	one.change(func() {
+	one.update(func() {
 		one.instance = one.id
-		one.refuse, one.disturbed, one.disturb = false, false, 0
+		one.rejects, one.disturbed, one.disturbPeriod = false, false, 0
 	})
-	one.born = time.Now().UnixMilli()
+	one.startedAt = time.Now().UnixMilli()
 	before := one.total()
-	f.announce(one, "ready")
+	f.writeEntry(one, "ready")
 	begun := time.Now()
 	for one.total() == before && time.Since(begun) < 10*time.Second {
 		time.Sleep(10 * time.Millisecond)
@@ -29,42 +29,41 @@
 	return time.Since(begun)
 }
 
-// A back end may start again under the id that it had. What was known of the earlier run does not
-// speak for the later one. Before, a daemon that once heard at the address of a back end that it
-// was another one took the id for gone for good, and one that had failed or turned slow was shunned
-// as before.
+// TestRestartUnderTheSameID guards against applying the state of a back end's earlier run after it
+// restarted with the same id. A daemon that had once found another back end at its address never used
+// the id again, and a back end that had failed or been slow was still avoided.
 func TestRestartUnderTheSameID(t *testing.T) {
 	for _, one := range []struct {
-		name  string
-		spoil func(f *fleet, one *worker)
+		name    string
+		disrupt func(f *fleet, one *worker)
 	}{
 		{"its address had another back end meanwhile", func(_ *fleet, one *worker) {
-			one.change(func() { one.instance = "i-other" })
+			one.update(func() { one.instance = "i-other" })
 		}},
-		{"it said that it leaves", func(f *fleet, one *worker) { f.announce(one, "draining") }},
-		{"it refused everything", func(_ *fleet, one *worker) { one.change(func() { one.refuse = true }) }},
-		{"it was slow", func(_ *fleet, one *worker) { one.change(func() { one.disturbed = true }) }},
+		{"it said that it leaves", func(f *fleet, one *worker) { f.writeEntry(one, "draining") }},
+		{"it refused everything", func(_ *fleet, one *worker) { one.update(func() { one.rejects = true }) }},
+		{"it was slow", func(_ *fleet, one *worker) { one.update(func() { one.disturbed = true }) }},
 	} {
 		t.Run(one.name, func(t *testing.T) {
 			run(t, 3, func(f *fleet) {
 				for _, worker := range f.workers {
-					worker.born = time.Now().UnixMilli()
-					f.announce(worker, "ready")
+					worker.startedAt = time.Now().UnixMilli()
+					f.writeEntry(worker, "ready")
 				}
-				others := f.background(10 * time.Millisecond)
+				others := f.startBackgroundLoad(10 * time.Millisecond)
 				time.Sleep(2 * time.Second)
 				restarted := f.workers[0]
-				one.spoil(f, restarted)
+				one.disrupt(f, restarted)
 				time.Sleep(3 * time.Second)
 				took := f.restartUnderID(restarted)
 				time.Sleep(2 * time.Second)
 				before := []int{restarted.total(), f.workers[1].total(), f.workers[2].total()}
 				time.Sleep(3 * time.Second)
-				others.share()
+				others.finish()
 				share := float64(restarted.total()-before[0]) / float64(restarted.total()-before[0]+f.workers[1].total()-before[1]+f.workers[2].total()-before[2])
-				t.Logf("the first request after %s; %.2f of all from 2 s on", took, share)
-				require.Less(t, took, soonUsed)
-				require.Greater(t, share, 0.2, "a third is its share")
+				t.Logf("first request after %s; share of %.2f from 2 s on", took, share)
+				require.Less(t, took, maxRestartDelay)
+				require.Greater(t, share, 0.2, "its equal share is a third")
 				require.Equal(t, http.StatusOK, f.send(0, "/one/safe/").status)
 			})
 		})
--- a/lab/objectstub/rollout_test.go
+++ b/lab/objectstub/rollout_test.go
@@ -14,33 +14,33 @@
 	"github.com/tuliphall/tuliphall/lab/objectstub"
 )
 
-// rolloutTime is within what time a rollout of these tests is ordered.
-const rolloutTime = 14 * time.Second
+// rolloutDuration is the ordered duration of a rollout.
+const rolloutDuration = 14 * time.Second
 
-// orderVersion orders that the service moves to the other version.
-func (f *fleet) orderVersion() {
-	f.store.Set("rollouts", "board", map[string]any{"service": "board", "targetVersion": "v2", "durationS": rolloutTime.Seconds()})
+// startRollout writes the order to roll the service out to version v2.
+func (f *fleet) startRollout() {
+	f.store.Set("rollouts", "board", map[string]any{"service": "board", "targetVersion": "v2", "durationS": rolloutDuration.Seconds()})
 }
 
-// newVersion starts workers of another version beside those that are there, and orders that the
-// service moves to them.
-func (f *fleet) newVersion(fails func(r *http.Request) bool) []*worker {
-	f.orderVersion()
+// startNewVersion starts as many workers of version v2 as there are workers, and starts the
+// rollout to it.
+func (f *fleet) startNewVersion(fails func(r *http.Request) bool) []*worker {
+	f.startRollout()
 	var started []*worker
 	for number := range f.workers {
 		one := &worker{
-			id: fmt.Sprintf("n-%d", number), zone: "zone", service: "board", version: "v2", fails: fails, runs: make(map[string]int), work: 20 * time.Millisecond,
+			id: fmt.Sprintf("n-%d", number), zone: "zone", service: "board", version: "v2", fails: fails, runs: make(map[string]int), serviceTime: 20 * time.Millisecond,
 		}
 		one.instance = one.id
 		one.address = f.serve(one.id, one)
 		started = append(started, one)
-		f.announce(one, "ready")
+		f.writeEntry(one, "ready")
 	}
 	return started
 }
 
-// state returns the state that the system has written of the rollout.
-func (f *fleet) state() string {
+// rolloutState returns the state of the rollout that the daemons have written to the store.
+func (f *fleet) rolloutState() string {
 	var status struct {
 		State   string `json:"state"`
 		Version string `json:"targetVersion"`
@@ -52,8 +52,8 @@
 	return status.State
 }
 
-// steadyLoad sends requests through all daemons until it is stopped, and returns how many were sent.
-func (f *fleet) steadyLoad(perSecond int) (stop func() int) {
+// startSteadyLoad sends requests through all daemons until stop is called, which returns the number sent.
+func (f *fleet) startSteadyLoad(perSecond int) (stop func() int) {
 	var over atomic.Bool
 	var running sync.WaitGroup
 	var sent atomic.Int64
@@ -72,38 +72,38 @@
 	}
 }
 
-// runRollouts is run with daemons that follow rollouts.
+// runRollouts is run with daemons that control rollouts.
 func runRollouts(t *testing.T, check func(f *fleet)) {
 	runFleetWith(t, daemons, 20, func(f *fleet) { f.rollouts = true }, check)
 }
 
-// TestGoodVersionIsCompleted moves a service to a good version before it is due: the state is written,
-// no request is at an old back end when it is completed, and none is cut.
+// TestGoodVersionIsCompleted rolls out a good version: it completes in time and its state is written, no
+// request runs at an old back end after completion, and no request fails.
 func TestGoodVersionIsCompleted(t *testing.T) {
 	runRollouts(t, func(f *fleet) {
-		stop := f.steadyLoad(100)
-		started := f.newVersion(nil)
+		stop := f.startSteadyLoad(100)
+		started := f.startNewVersion(nil)
 		begun := time.Now()
 		time.Sleep(time.Second)
-		require.Equal(t, "running", f.state())
-		for f.state() == "running" && time.Since(begun) < 2*rolloutTime {
+		require.Equal(t, "running", f.rolloutState())
+		for f.rolloutState() == "running" && time.Since(begun) < 2*rolloutDuration {
 			time.Sleep(10 * time.Millisecond)
 		}
-		require.Equal(t, "completed", f.state())
-		require.Less(t, time.Since(begun), rolloutTime)
+		require.Equal(t, "completed", f.rolloutState())
+		require.Less(t, time.Since(begun), rolloutDuration)
 		old := f.totalOf(f.workers)
 		for _, one := range f.workers {
 			f.store.Remove("servers", one.id)
 		}
 		time.Sleep(2 * time.Second)
 		sent := stop()
-		require.Equal(t, old, f.totalOf(f.workers), "an old back end got a request after it was completed")
+		require.Equal(t, old, f.totalOf(f.workers), "an old back end got a request after the rollout completed")
 		t.Logf("completed after %s, %d of %d requests at the new version", time.Since(begun)-2*time.Second, f.totalOf(started), sent)
 		f.requireAllServed()
 	})
 }
 
-// totalOf returns how many requests the workers ran.
+// totalOf returns the number of requests that the workers ran.
 func (f *fleet) totalOf(workers []*worker) int {
 	total := 0
 	for _, one := range workers {
@@ -120,16 +120,16 @@
 	}
 }
 
-// TestBadVersionIsTakenBack brings in versions that fail half of all requests, or all of one kind,
-// while nothing else is wrong, while the store is down, while its answers are lost, and while the
-// dispatcher is killed: each gets at most a tenth and 50, and is taken back.
+// TestBadVersionIsTakenBack rolls out versions that fail half of all requests, or all of one kind,
+// without other faults, while the store is down, while its responses are dropped, and while the
+// dispatcher is killed: each version gets at most a tenth of the requests plus 50, and is rolled back.
 func TestBadVersionIsTakenBack(t *testing.T) {
 	var count atomic.Int64
 	half := func(*http.Request) bool { return count.Add(1)%2 == 0 }
 	for _, one := range []struct {
-		name    string
-		fails   func(r *http.Request) bool
-		trouble func(f *fleet)
+		name   string
+		fails  func(r *http.Request) bool
+		inject func(f *fleet)
 	}{
 		{"fails half", half, func(*fleet) {}},
 		{"fails what may not be repeated", func(r *http.Request) bool { return r.Method == http.MethodPost }, func(*fleet) {}},
@@ -144,7 +144,7 @@
 			time.Sleep(700 * time.Millisecond)
 			for number, daemon := range f.daemons {
 				if _, other := daemon.DispatcherOf("board"); !other {
-					f.restart(number)
+					f.replaceDaemon(number)
 					return
 				}
 			}
@@ -152,36 +152,36 @@
 	} {
 		t.Run(one.name, func(t *testing.T) {
 			runRollouts(t, func(f *fleet) {
-				stop := f.steadyLoad(100)
+				stop := f.startSteadyLoad(100)
 				time.Sleep(time.Second)
-				started := f.newVersion(one.fails)
+				started := f.startNewVersion(one.fails)
 				begun := time.Now()
-				one.trouble(f)
-				for f.state() != "rolled_back" && time.Since(begun) < 2*rolloutTime {
+				one.inject(f)
+				for f.rolloutState() != "rolled_back" && time.Since(begun) < 2*rolloutDuration {
 					time.Sleep(10 * time.Millisecond)
 				}
-				require.Equal(t, "rolled_back", f.state())
+				require.Equal(t, "rolled_back", f.rolloutState())
 				after := time.Since(begun)
 				time.Sleep(300 * time.Millisecond)
 				exposed := f.totalOf(started)
-				time.Sleep(rolloutTime)
+				time.Sleep(rolloutDuration)
 				sent := stop()
-				t.Logf("taken back after %s, %d of %d requests at the new version", after, exposed, sent)
-				require.Equal(t, exposed, f.totalOf(started), "it got a request after it was taken back")
-				require.LessOrEqual(t, float64(exposed), 0.1*float64(100*rolloutTime.Seconds())+50)
+				t.Logf("rolled back after %s, %d of %d requests at the new version", after, exposed, sent)
+				require.Equal(t, exposed, f.totalOf(started), "it got a request after it was rolled back")
+				require.LessOrEqual(t, float64(exposed), 0.1*float64(100*rolloutDuration.Seconds())+50)
 			})
 		})
 	}
 }
 
-// TestVersionWithoutOrderYet holds a version back that daemons see before the order for it reaches
-// them, and lets it serve where no order comes.
+// TestVersionWithoutOrderYet checks that a version that daemons see before its rollout order gets no
+// requests, and is used if no order arrives.
 func TestVersionWithoutOrderYet(t *testing.T) {
 	runRollouts(t, func(f *fleet) {
-		stop := f.steadyLoad(100)
-		started := &worker{id: "n-0", zone: "zone", service: "board", version: "v2", runs: make(map[string]int), work: 20 * time.Millisecond, instance: "n-0"}
+		stop := f.startSteadyLoad(100)
+		started := &worker{id: "n-0", zone: "zone", service: "board", version: "v2", runs: make(map[string]int), serviceTime: 20 * time.Millisecond, instance: "n-0"}
 		started.address = f.serve(started.id, started)
-		f.announce(started, "ready")
+		f.writeEntry(started, "ready")
 		time.Sleep(3 * time.Second)
 		require.Zero(t, started.total())
 		time.Sleep(7 * time.Second)
--- a/lab/objectstub/worker_test.go
+++ b/lab/objectstub/worker_test.go
@@ -7,63 +7,63 @@
 	"time"
 )
 
-// worker is a stand-in for one of the users' workers.
+// worker is a stub of one of the users' workers.
 type worker struct {
 	id      string
 	address string
 	zone    string
 	service string
-	// version is that of its software; empty: v1.
+	// version is its software version; empty: v1.
 	version string
-	// fails says of which requests it fails; nil: of none.
+	// fails reports whether a request fails; nil: none does.
 	fails func(r *http.Request) bool
-	// born is when it says that it started, in Unix milliseconds; 0: it does not say.
-	born int64
-	// warmUpLeft is for how long it says that it is cold.
+	// startedAt is the start time that it reports, in Unix milliseconds; 0: not reported.
+	startedAt int64
+	// warmUpLeft is the remaining warm-up time that it reports.
 	warmUpLeft time.Duration
 
-	mutex     sync.Mutex
-	runs      map[string]int // by request id
-	work      time.Duration
-	refuse    bool          // says Not-Executed
-	instance  string        // the id it goes by; another than its own: its address was reused
-	echo      string        // answers with this request id; empty: the request's
-	disturb   time.Duration // work takes disturbedTimes as long in every other span of this length
-	disturbed bool          // work takes disturbedTimes as long now
-	probes    []time.Time
-	silent    bool        // health checks get no answer
-	arrivals  []time.Time // of requests, in order
-	senders   []string    // of the same requests, the daemons' addresses
-	heads     []http.Header
-	// limit is what it says of how many requests a second it takes; empty: nothing. limitInHealth:
-	// it says so in health answers, too.
+	mutex         sync.Mutex
+	runs          map[string]int // by request id
+	serviceTime   time.Duration
+	rejects       bool          // rejects requests with Not-Executed
+	instance      string        // the id expected in requests; if it differs from id, the address was reused
+	responseID    string        // request id in responses; empty: that of the request
+	disturbPeriod time.Duration // requests are slowed by disturbedFactor in every other period of this length
+	disturbed     bool          // requests are slowed by disturbedFactor
+	probes        []time.Time
+	ignoresProbes bool        // health checks get no response
+	arrivals      []time.Time // times of requests, in order
+	senders       []string    // addresses of the daemons that sent them
+	headers       []http.Header
+	// limit is the reported limit of requests per second; empty: none. limitInHealth: it is also
+	// reported in health check responses.
 	limit         string
 	limitInHealth bool
-	// leaving: it says with each answer that it leaves.
-	leaving bool
-	// pause is the Retry-After with which it turns requests away, each of pauseEvery; empty: it takes them.
-	pause      string
+	// draining: it reports in each response that it is draining.
+	draining bool
+	// retryAfter is the Retry-After with which it rejects one of every pauseEvery requests; empty: none.
+	retryAfter string
 	pauseEvery int
-	// told are the answers to each daemon's requests by which it said one of the two.
-	told []word
+	// signals are the responses that reported draining or asked for a pause.
+	signals []signal
 }
 
-// word is what a worker said with an answer to a daemon.
-type word struct {
+// signal is a signal that a worker sent to a daemon with a response.
+type signal struct {
 	to string // the daemon's address
 	at time.Time
 }
 
-// disturbedTimes is how much longer work takes that begins while a worker is disturbed.
-const disturbedTimes = 5
+// disturbedFactor is the factor by which requests that start while a worker is disturbed are slower.
+const disturbedFactor = 5
 
-// slowdown returns how much longer work takes now. The caller holds the mutex.
+// slowdown returns the current service time factor. The caller holds the mutex.
 func (w *worker) slowdown() int {
 	if w.disturbed {
-		return disturbedTimes
+		return disturbedFactor
 	}
-	if w.disturb > 0 && (time.Now().UnixNano()/int64(w.disturb)+int64(w.id[len(w.id)-1]))%2 == 0 {
-		return disturbedTimes
+	if w.disturbPeriod > 0 && (time.Now().UnixNano()/int64(w.disturbPeriod)+int64(w.id[len(w.id)-1]))%2 == 0 {
+		return disturbedFactor
 	}
 	return 1
 }
@@ -72,10 +72,10 @@
 func (w *worker) health(rw http.ResponseWriter) {
 	w.mutex.Lock()
 	w.probes = append(w.probes, time.Now())
-	silent, slowdown, named := w.silent, w.slowdown(), w.limitInHealth
+	silent, slowdown, named := w.ignoresProbes, w.slowdown(), w.limitInHealth
 	w.mutex.Unlock()
 	if named {
-		w.nameLimit(rw)
+		w.setLimitHeader(rw)
 	}
 	if silent {
 		time.Sleep(time.Minute)
@@ -85,24 +85,24 @@
 	rw.Header().Set("Server-Load", fmt.Sprintf("0,0,3,%d", 100*slowdown))
 }
 
-// say says that the worker leaves, if it does, and with a refusal that it wants a pause.
-func (w *worker) say(rw http.ResponseWriter, r *http.Request, refuses bool) {
+// setSignals sets the header for draining, and with a rejection the Retry-After header, if configured.
+func (w *worker) setSignals(rw http.ResponseWriter, r *http.Request, refuses bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if w.leaving {
+	if w.draining {
 		rw.Header().Set("Server-Leaving", "1")
 	}
-	pauses := refuses && w.pause != ""
+	pauses := refuses && w.retryAfter != ""
 	if pauses {
-		rw.Header().Set("Retry-After", w.pause)
+		rw.Header().Set("Retry-After", w.retryAfter)
 	}
-	if w.leaving || pauses {
-		w.told = append(w.told, word{to: r.RemoteAddr, at: time.Now()})
+	if w.draining || pauses {
+		w.signals = append(w.signals, signal{to: r.RemoteAddr, at: time.Now()})
 	}
 }
 
-// nameLimit says how many requests the worker takes, if it says so now.
-func (w *worker) nameLimit(rw http.ResponseWriter) {
+// setLimitHeader sets the limit header if the worker has a limit.
+func (w *worker) setLimitHeader(rw http.ResponseWriter) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.limit != "" {
@@ -110,7 +110,7 @@
 	}
 }
 
-func (w *worker) change(apply func()) {
+func (w *worker) update(apply func()) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	apply()
@@ -125,10 +125,10 @@
 	w.mutex.Lock()
 	w.arrivals = append(w.arrivals, time.Now())
 	w.senders = append(w.senders, r.RemoteAddr)
-	w.heads = append(w.heads, r.Header.Clone())
+	w.headers = append(w.headers, r.Header.Clone())
 	slowdown := w.slowdown()
-	paused := w.pause != "" && len(w.arrivals)%max(w.pauseEvery, 1) == 0
-	work, refuse, echo := w.work*time.Duration(slowdown), w.refuse || paused, w.echo
+	paused := w.retryAfter != "" && len(w.arrivals)%max(w.pauseEvery, 1) == 0
+	work, refuse, echo := w.serviceTime*time.Duration(slowdown), w.rejects || paused, w.responseID
 	misdirected := r.Header.Get("Expected-Instance") != w.instance
 	if !refuse && !misdirected {
 		w.runs[id]++
@@ -143,19 +143,19 @@
 	case misdirected:
 		rw.WriteHeader(http.StatusMisdirectedRequest)
 	case refuse:
-		w.say(rw, r, true)
+		w.setSignals(rw, r, true)
 		rw.Header().Set("Not-Executed", "1")
 		rw.WriteHeader(http.StatusServiceUnavailable)
 	case w.fails != nil && w.fails(r):
 		time.Sleep(work)
-		w.say(rw, r, false)
-		w.nameLimit(rw)
+		w.setSignals(rw, r, false)
+		w.setLimitHeader(rw)
 		rw.Header().Set("Server-Stamp", w.id)
 		rw.WriteHeader(http.StatusInternalServerError)
 	default:
 		time.Sleep(work)
-		w.say(rw, r, false)
-		w.nameLimit(rw)
+		w.setSignals(rw, r, false)
+		w.setLimitHeader(rw)
 		rw.Header().Set("Server-Stamp", w.id)
 		fmt.Fprint(rw, r.RequestURI)
 	}
