--- a/lab/objectstub/crash_test.go
+++ b/lab/objectstub/crash_test.go
@@ -29,7 +29,7 @@
 // third crash, and 0.41 of the other requests were answered.
 func TestCrashingRequestIsStopped(t *testing.T) {
 	run(t, 10, func(f *fleet) {
-		seen := f.useCrashingBackends(isCrashingRequest)
+		record := f.useCrashingBackends(isCrashingRequest)
 		time.Sleep(time.Second)
 		random := rand.New(rand.NewPCG(1, 1))
 		others := f.startBackgroundLoad(20 * time.Millisecond)
@@ -47,9 +47,9 @@
 		}
 		time.Sleep(2 * time.Second)
 		answered := others.finish()
-		t.Logf("%d back ends crashed, %d requests arrived after the agreement time, %.3f of the other requests were answered", seen.total(), seen.arrivalsAfterAgreement(), answered)
-		require.LessOrEqual(t, seen.arrivalsAfterAgreement(), maxLateArrivals)
-		require.LessOrEqual(t, seen.total(), 6, "crashed back ends")
+		t.Logf("%d back ends crashed, %d requests arrived after the agreement time, %.3f of the other requests were answered", record.total(), record.arrivalsAfterAgreement(), answered)
+		require.LessOrEqual(t, record.arrivalsAfterAgreement(), maxLateArrivals)
+		require.LessOrEqual(t, record.total(), 6, "crashed back ends")
 		require.Greater(t, answered, 0.95)
 		require.Equal(t, http.StatusServiceUnavailable, last.status)
 		require.NotEmpty(t, last.header.Get("Retry-After"))
@@ -61,7 +61,7 @@
 // request reaches back ends at most three times later than 3 s after the third crash.
 func TestCrashingRequestStaysStopped(t *testing.T) {
 	const path = "/one/safe/deadly"
-	for _, one := range []struct {
+	for _, test := range []struct {
 		name        string
 		path        string
 		inject      func(f *fleet, r *crashRepeater)
@@ -112,7 +112,7 @@
 			time.Sleep(startTime)
 			r.resume()
 		}, 7},
-		{"requests wait for places, and go together on a connection", path, func(f *fleet, _ *crashRepeater) {
+		{"requests wait for permits, and are pipelined", path, func(f *fleet, _ *crashRepeater) {
 			f.burst(200)
 			for number := range 20 {
 				go func() { f.pipeline(number%daemons, path, 4) }()
@@ -120,25 +120,25 @@
 			}
 			// Four concurrent requests crash four back ends at the same time, which counts as one crash.
 		}, 13},
-		{"half of the daemons are cut off from the others", path, func(f *fleet, _ *crashRepeater) {
+		{"half of the daemons are partitioned from the others", path, func(f *fleet, _ *crashRepeater) {
 			f.net.SetPartitionRule(func(a, b string) bool { return inFirstHalf(a) && inSecondHalf(b) || inSecondHalf(a) && inFirstHalf(b) })
 			time.Sleep(8 * time.Second)
 			f.net.SetPartitionRule(nil)
 		}, 12},
 	} {
-		t.Run(one.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			run(t, 10, func(f *fleet) {
-				seen := f.useCrashingBackends(func(r *http.Request) bool { return r.URL.Path == one.path })
+				record := f.useCrashingBackends(func(r *http.Request) bool { return r.URL.Path == test.path })
 				time.Sleep(time.Second)
-				repeats := f.startCrashRepeater(one.path)
+				repeats := f.startCrashRepeater(test.path)
 				begun := time.Now()
-				one.inject(f, repeats)
+				test.inject(f, repeats)
 				time.Sleep(20*time.Second - time.Since(begun))
 				repeats.pause()
-				t.Logf("%d back ends crashed, %d requests arrived after the agreement time", seen.total(), seen.arrivalsAfterAgreement())
-				require.GreaterOrEqual(t, seen.total(), maxCrashes)
-				require.LessOrEqual(t, seen.total(), one.maxBackends, "crashed back ends")
-				require.LessOrEqual(t, seen.arrivalsAfterAgreement(), maxLateArrivals)
+				t.Logf("%d back ends crashed, %d requests arrived after the agreement time", record.total(), record.arrivalsAfterAgreement())
+				require.GreaterOrEqual(t, record.total(), maxCrashes)
+				require.LessOrEqual(t, record.total(), test.maxBackends, "crashed back ends")
+				require.LessOrEqual(t, record.arrivalsAfterAgreement(), maxLateArrivals)
 			})
 		})
 	}
@@ -151,12 +151,12 @@
 // harmless request 50 times per second: the request must not be quarantined.
 func TestBystandersAreServed(t *testing.T) {
 	const path = "/one/safe/popular"
-	for _, one := range []struct {
+	for _, test := range []struct {
 		name        string
 		inject      func(f *fleet, backends []*crashingBackend)
 		minAnswered float64 // minimum share of requests answered
 	}{
-		{"half of the back ends end at once, again and again", func(_ *fleet, backends []*crashingBackend) {
+		{"half of the back ends crash at the same time, repeatedly", func(_ *fleet, backends []*crashingBackend) {
 			for range 5 {
 				for _, m := range backends[:len(backends)/2] {
 					m.kill()
@@ -164,7 +164,7 @@
 				time.Sleep(4 * time.Second)
 			}
 		}, 0.85},
-		{"one back end after another ends", func(_ *fleet, backends []*crashingBackend) {
+		{"back ends crash one after another", func(_ *fleet, backends []*crashingBackend) {
 			for round := range 60 {
 				backends[round%len(backends)].kill()
 				time.Sleep(300 * time.Millisecond)
@@ -197,18 +197,18 @@
 			}
 		}, 0.95},
 	} {
-		t.Run(one.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			run(t, 10, func(f *fleet) {
 				backends, _ := f.startCrashingBackends(func(*http.Request) bool { return false })
 				time.Sleep(time.Second)
 				popular := f.startBackgroundLoadOf(20*time.Millisecond, func(int) string { return path })
-				one.inject(f, backends)
+				test.inject(f, backends)
 				answered := popular.finish()
 				time.Sleep(5 * time.Second) // for restarted back ends to be known
 				quarantined := strings.Count(f.logs.String(), "quarantine: request held back")
 				t.Logf("%.3f of the requests were answered, quarantined by %d daemons", answered, quarantined)
 				require.Zero(t, quarantined)
-				require.Greater(t, answered, one.minAnswered)
+				require.Greater(t, answered, test.minAnswered)
 				require.Equal(t, http.StatusOK, f.send(0, path).status)
 			})
 		})
@@ -221,10 +221,10 @@
 	for _, size := range []int{18, 60} {
 		for _, down := range []bool{false, true} {
 			runFleet(t, size, 10, func(f *fleet) {
-				seen := f.useCrashingBackends(isCrashingRequest)
+				record := f.useCrashingBackends(isCrashingRequest)
 				time.Sleep(time.Second)
 				f.store.SetFaults(objectstub.Faults{Down: down})
-				for number := 0; seen.total() < maxCrashes; number++ {
+				for number := 0; record.total() < maxCrashes; number++ {
 					f.send(number%size, "/one/safe/deadly")
 				}
 				begun := time.Now()
--- a/lab/objectstub/disturbed_test.go
+++ b/lab/objectstub/disturbed_test.go
@@ -16,22 +16,22 @@
 	run(t, 2, func(f *fleet) {
 		f.service["healthPath"] = "/health"
 		f.configure("/one/")
-		for _, one := range f.workers {
-			one.update(func() { one.serviceTime = 100 * time.Millisecond })
+		for _, worker := range f.workers {
+			worker.update(func() { worker.serviceTime = 100 * time.Millisecond })
 		}
 		for range 30 { // until the service time, the usual slowdown and the probe budget are known
 			f.sendLoad("/one/safe/", 50*time.Millisecond, time.Second)
 		}
 		late := 0
 		for number := range 8 {
-			one := f.workers[number%2]
-			one.update(func() { one.disturbed = true })
+			worker := f.workers[number%2]
+			worker.update(func() { worker.disturbed = true })
 			begun := time.Now()
 			require.Equal(t, http.StatusOK, f.send(number%daemons, "/one/safe/").status)
 			if time.Since(begun) > 160*time.Millisecond {
 				late++
 			}
-			one.update(func() { one.disturbed = false })
+			worker.update(func() { worker.disturbed = false })
 			f.sendLoad("/one/safe/", 50*time.Millisecond, time.Second)
 		}
 		require.Zero(t, late)
--- a/lab/objectstub/evacuation_test.go
+++ b/lab/objectstub/evacuation_test.go
@@ -29,13 +29,13 @@
 // assignZones assigns the first workers to a zone and the others to another one that is equally
 // far from the daemons, and returns the first.
 func (f *fleet) assignZones(count int, zone string) []*worker {
-	for _, one := range f.workers[:count] {
-		one.zone = zone
-		f.writeEntry(one, "ready")
+	for _, worker := range f.workers[:count] {
+		worker.zone = zone
+		f.writeEntry(worker, "ready")
 	}
-	for _, one := range f.workers[count:] {
-		one.zone = "north"
-		f.writeEntry(one, "ready")
+	for _, worker := range f.workers[count:] {
+		worker.zone = "north"
+		f.writeEntry(worker, "ready")
 	}
 	time.Sleep(2 * time.Second)
 	return f.workers[:count]
@@ -44,10 +44,10 @@
 // lastArrival returns the time of the last request at any of the workers.
 func lastArrival(workers []*worker) time.Time {
 	var last time.Time
-	for _, one := range workers {
-		one.update(func() {
-			if len(one.arrivals) > 0 && one.arrivals[len(one.arrivals)-1].After(last) {
-				last = one.arrivals[len(one.arrivals)-1]
+	for _, worker := range workers {
+		worker.update(func() {
+			if len(worker.arrivals) > 0 && worker.arrivals[len(worker.arrivals)-1].After(last) {
+				last = worker.arrivals[len(worker.arrivals)-1]
 			}
 		})
 	}
@@ -67,7 +67,7 @@
 
 var evacuationDisruptions = []evacuationDisruption{
 	{name: "calm", maxDelay: usualEvacuationTime},
-	{name: "watches are deaf and history is dropped", maxDelay: evacuationBound,
+	{name: "watches stall and history is compacted", maxDelay: evacuationBound,
 		before: func(f *fleet) { f.store.SetFaults(objectstub.Faults{StallWatches: true}) },
 		after: func(f *fleet) {
 			time.Sleep(time.Second)
@@ -85,9 +85,9 @@
 	{name: "daemons that watch lose their power", maxDelay: evacuationBound,
 		after: func(f *fleet) {
 			watching := 0
-			f.powerOff(func(one *daemon.Daemon, _ int) bool {
+			f.powerOff(func(member *daemon.Daemon, _ int) bool {
 				watching++
-				return one.Status(f.t.Context()).Watching && watching <= 2
+				return member.Status(f.t.Context()).Watching && watching <= 2
 			})
 		}},
 	{name: "a daemon joins", maxDelay: usualEvacuationTime,
@@ -99,7 +99,7 @@
 				time.Sleep(100 * time.Millisecond)
 			}
 		}},
-	{name: "another zone is evacuated and taken back", maxDelay: usualEvacuationTime,
+	{name: "another zone is evacuated and restored", maxDelay: usualEvacuationTime,
 		before: func(f *fleet) { f.store.Set("evacuations", "east", struct{}{}) },
 		after:  func(f *fleet) { f.store.Remove("evacuations", "east") }},
 }
@@ -117,8 +117,8 @@
 
 func (e evacuationDisruption) run(f *fleet) {
 	evacuated := f.assignZones(3, "west")
-	for _, one := range f.workers {
-		one.update(func() { one.serviceTime = 30 * time.Millisecond })
+	for _, worker := range f.workers {
+		worker.update(func() { worker.serviceTime = 30 * time.Millisecond })
 	}
 	stopLoad := f.sendPeriodically(requestGap)
 	defer func() { stopLoad() }()
@@ -187,9 +187,9 @@
 		const span = 30 * time.Second
 		time.Sleep(10 * time.Second)
 		require.Equal(t, watchers, f.store.ListCalls("evacuations"), "only watching daemons list them, once")
-		before, calls := f.store.WatchCalls("evacuations"), f.store.WatchCalls("config")
+		before, configBefore := f.store.WatchCalls("evacuations"), f.store.WatchCalls("config")
 		time.Sleep(span)
-		watches, configuration := f.store.WatchCalls("evacuations")-before, f.store.WatchCalls("config")-calls
+		watches, configuration := f.store.WatchCalls("evacuations")-before, f.store.WatchCalls("config")-configBefore
 		t.Log("watches in", span, "evacuations", watches, "configuration", configuration)
 		require.LessOrEqual(t, 3*watches, 2*configuration)
 	})
@@ -244,8 +244,8 @@
 		f.sendAtRate(200, coldPeriod-500*time.Millisecond)
 		f.requireColdRate(cold, back)
 		f.sendAtRate(400, 3*time.Second) // more than the other workers can run
-		for _, one := range cold {
-			require.Greater(t, float64(one.busiestSecond(time.Now().Add(-time.Second))), coldRate+1, "warm again")
+		for _, worker := range cold {
+			require.Greater(t, float64(worker.busiestSecond(time.Now().Add(-time.Second))), coldRate+1, "warm again")
 		}
 	})
 }
@@ -260,8 +260,8 @@
 // requireColdRate checks that no worker got more than the cold rate, with one dispatcher.
 func (f *fleet) requireColdRate(cold []*worker, from time.Time) {
 	peak := 0
-	for _, one := range cold {
-		peak = max(peak, one.busiestSecond(from))
+	for _, worker := range cold {
+		peak = max(peak, worker.busiestSecond(from))
 	}
 	f.t.Logf("busiest second of a cold worker: %d requests, cold rate %.1f", peak, coldRate)
 	require.LessOrEqual(f.t, float64(peak), coldRate+1, "requests are evenly spaced at the cold rate")
@@ -271,13 +271,13 @@
 func TestNewWorkersAreSpared(t *testing.T) {
 	run(t, 6, func(f *fleet) {
 		f.declareCold()
-		for _, one := range f.workers[:3] {
-			f.store.Remove("servers", one.id)
+		for _, worker := range f.workers[:3] {
+			f.store.Remove("servers", worker.id)
 		}
 		time.Sleep(time.Second)
-		for _, one := range f.workers[:3] {
-			one.warmUpLeft = coldPeriod
-			f.writeEntry(one, "ready")
+		for _, worker := range f.workers[:3] {
+			worker.warmUpLeft = coldPeriod
+			f.writeEntry(worker, "ready")
 		}
 		joined := time.Now()
 		f.sendAtRate(300, coldPeriod-500*time.Millisecond)
@@ -290,19 +290,19 @@
 func TestColdWorkersWithoutDispatcher(t *testing.T) {
 	runFleet(t, 20, 4, func(f *fleet) {
 		f.declareCold()
-		for _, one := range f.workers {
-			one.warmUpLeft = coldPeriod
-			f.writeEntry(one, "ready")
+		for _, worker := range f.workers {
+			worker.warmUpLeft = coldPeriod
+			f.writeEntry(worker, "ready")
 		}
 		time.Sleep(300 * time.Millisecond)
 		turned := time.Now()
-		member, other := f.daemons[0].DispatcherOf("board")
-		f.powerOff(func(one *daemon.Daemon, number int) bool {
-			return other && hostOf(number) == member.Name || !other && number == 0
+		dispatcher, other := f.daemons[0].DispatcherOf("board")
+		f.powerOff(func(member *daemon.Daemon, number int) bool {
+			return other && hostOf(number) == dispatcher.Name || !other && number == 0
 		})
 		f.sendAtRate(400, coldPeriod-500*time.Millisecond)
-		for _, one := range f.workers {
-			require.LessOrEqual(t, float64(one.busiestSecond(turned)), maxColdArrivals)
+		for _, worker := range f.workers {
+			require.LessOrEqual(t, float64(worker.busiestSecond(turned)), maxColdArrivals)
 		}
 	})
 }
@@ -311,10 +311,10 @@
 // service reject all requests: these requests are refused, and not moved to the other service.
 func TestSharesWhileOneIsShort(t *testing.T) {
 	run(t, 4, func(f *fleet) {
-		for _, one := range f.workers[2:] {
-			one.service = "second"
-			f.writeEntry(one, "ready")
-			one.update(func() { one.rejects = true })
+		for _, worker := range f.workers[2:] {
+			worker.service = "second"
+			f.writeEntry(worker, "ready")
+			worker.update(func() { worker.rejects = true })
 		}
 		f.split = map[string]int{"board": 50, "second": 50}
 		f.configure("/split/")
@@ -332,12 +332,12 @@
 
 // TestBusiestSecond checks the counting in the tests of cold workers.
 func TestBusiestSecond(t *testing.T) {
-	one := &worker{}
+	worker := &worker{}
 	begun := time.Now()
 	for _, after := range []time.Duration{0, 100, 200, 1300, 1400, 1500, 1600, 3000} {
-		one.arrivals = append(one.arrivals, begun.Add(after*time.Millisecond))
+		worker.arrivals = append(worker.arrivals, begun.Add(after*time.Millisecond))
 	}
-	require.True(t, slices.IsSortedFunc(one.arrivals, time.Time.Compare))
-	require.Equal(t, 4, one.busiestSecond(begun))
-	require.Equal(t, 1, one.busiestSecond(begun.Add(2*time.Second)))
+	require.True(t, slices.IsSortedFunc(worker.arrivals, time.Time.Compare))
+	require.Equal(t, 4, worker.busiestSecond(begun))
+	require.Equal(t, 1, worker.busiestSecond(begun.Add(2*time.Second)))
 }
--- a/lab/objectstub/fleet_test.go
+++ b/lab/objectstub/fleet_test.go
@@ -89,11 +89,11 @@
 		defer f.close()
 		f.storeAddress = f.serve("store", f.store.Handler())
 		for number := range workers {
-			one := &worker{id: fmt.Sprintf("i-%d", number), zone: "zone", service: "board", runs: make(map[string]int), serviceTime: 20 * time.Millisecond}
-			one.instance = one.id
-			one.address = f.serve(one.id, one)
-			f.workers = append(f.workers, one)
-			f.writeEntry(one, "ready")
+			worker := &worker{id: fmt.Sprintf("i-%d", number), zone: "zone", service: "board", runs: make(map[string]int), serviceTime: 20 * time.Millisecond}
+			worker.instance = worker.id
+			worker.address = f.serve(worker.id, worker)
+			f.workers = append(f.workers, worker)
+			f.writeEntry(worker, "ready")
 		}
 		f.configure("/one/")
 		for number := range daemons {
@@ -175,17 +175,17 @@
 func (f *fleet) close() {
 	f.closed.Store(true)
 	f.client.CloseIdleConnections()
-	for _, one := range f.poweredOff {
-		f.net.SetFrozen(one.host, false)
+	for _, member := range f.poweredOff {
+		f.net.SetFrozen(member.host, false)
 	}
-	for _, one := range f.poweredOff {
-		one.Kill()
+	for _, member := range f.poweredOff {
+		member.Kill()
 	}
-	for _, one := range f.daemons {
-		one.Kill()
+	for _, member := range f.daemons {
+		member.Kill()
 	}
-	for _, one := range f.servers {
-		one.Close()
+	for _, server := range f.servers {
+		server.Close()
 	}
 }
 
@@ -196,10 +196,10 @@
 	Born    int64          `json:"born,omitempty"`
 }
 
-func (f *fleet) writeEntry(one *worker, state string) {
-	f.store.Set("servers", one.id, serverSpec{
-		Address: one.address, Info: map[string]any{"service": one.service, "version": one.versionOr("v1"), "zone": one.zone, "slots": 3},
-		Status: map[string]any{"state": state, "seq": 1, "warmupLeftS": one.warmUpLeft.Seconds()}, Born: one.startedAt,
+func (f *fleet) writeEntry(worker *worker, state string) {
+	f.store.Set("servers", worker.id, serverSpec{
+		Address: worker.address, Info: map[string]any{"service": worker.service, "version": worker.versionOr("v1"), "zone": worker.zone, "slots": 3},
+		Status: map[string]any{"state": state, "seq": 1, "warmupLeftS": worker.warmUpLeft.Seconds()}, Born: worker.startedAt,
 	})
 }
 
@@ -351,8 +351,8 @@
 // and that no request ran.
 func TestRefused(t *testing.T) {
 	run(t, 2, func(f *fleet) {
-		for _, one := range f.workers {
-			one.update(func() { one.rejects = true })
+		for _, worker := range f.workers {
+			worker.update(func() { worker.rejects = true })
 		}
 		got := f.send(0, "/one/unsafe/")
 		require.Equal(t, http.StatusServiceUnavailable, got.status)
--- a/lab/objectstub/leaving_test.go
+++ b/lab/objectstub/leaving_test.go
@@ -26,9 +26,9 @@
 // firstSignals returns the time of the worker's first signal to each daemon, by the daemon's IP address.
 func (w *worker) firstSignals() map[string]time.Time {
 	first := make(map[string]time.Time)
-	for _, one := range w.signals {
-		if _, known := first[ipOf(one.to)]; !known {
-			first[ipOf(one.to)] = one.at
+	for _, sent := range w.signals {
+		if _, known := first[ipOf(sent.to)]; !known {
+			first[ipOf(sent.to)] = sent.at
 		}
 	}
 	return first
@@ -90,14 +90,14 @@
 // during disruptions and for every way by which requests reach back ends.
 func TestLeavingBackendInTroubles(t *testing.T) {
 	disruptions := []disruption{
-		{name: "none, and the store never says it", apply: func(*fleet, *randomLoad) {}},
+		{name: "none, and the store never lists it as draining", apply: func(*fleet, *randomLoad) {}},
 		{name: "the store is down, and back", apply: func(f *fleet, _ *randomLoad) {
 			f.store.SetFaults(objectstub.Faults{Down: true})
 			time.Sleep(5 * time.Second)
 			f.store.SetFaults(objectstub.Faults{})
 		}},
-		{name: "watches of the store are deaf", apply: func(f *fleet, _ *randomLoad) { f.store.SetFaults(objectstub.Faults{StallWatches: true}) }},
-		{name: "the store says again that it is ready", apply: func(f *fleet, _ *randomLoad) {
+		{name: "watches of the store stall", apply: func(f *fleet, _ *randomLoad) { f.store.SetFaults(objectstub.Faults{StallWatches: true}) }},
+		{name: "the store lists it as ready again", apply: func(f *fleet, _ *randomLoad) {
 			for range 3 {
 				f.writeEntry(f.workers[0], "ready")
 				time.Sleep(time.Second)
@@ -111,7 +111,7 @@
 				time.Sleep(1500 * time.Millisecond)
 			}
 		}},
-		{name: "the store forgets its history", apply: func(f *fleet, _ *randomLoad) {
+		{name: "the store compacts its history", apply: func(f *fleet, _ *randomLoad) {
 			f.writeEntry(f.workers[1], "ready")
 			f.store.Compact()
 		}},
@@ -132,21 +132,21 @@
 			})
 		}},
 	}
-	for _, one := range append(disruptions, commonDisruptions...) {
-		t.Run(one.name, func(t *testing.T) {
+	for _, test := range append(disruptions, commonDisruptions...) {
+		t.Run(test.name, func(t *testing.T) {
 			run(t, 6, func(f *fleet) {
 				load := f.randomLoad(limitedLoad)
 				time.Sleep(2 * time.Second)
 				f.workers[0].startDraining()
 				said := time.Now()
 				time.Sleep(500 * time.Millisecond) // until a daemon has got the signal
-				one.apply(f, load)
+				test.apply(f, load)
 				time.Sleep(15*time.Second - time.Since(said))
 				t.Logf("%.3f answered", load.finish())
 				late, after := f.workers[0].lateArrivals(drainingBound), f.workers[0].arrivalsAfter(said.Add(drainingKnownBound))
 				t.Logf("%d requests later than %s after a response to the same daemon, %d in total from %s on", late, drainingBound, after, drainingKnownBound)
 				require.Zero(t, late)
-				if !one.divergent {
+				if !test.divergent {
 					require.Zero(t, after)
 				}
 			})
@@ -159,8 +159,8 @@
 func TestAllLeave(t *testing.T) {
 	run(t, 3, func(f *fleet) {
 		f.earnRetryBudget()
-		for _, one := range f.workers {
-			one.startDraining()
+		for _, worker := range f.workers {
+			worker.startDraining()
 		}
 		for number := range 40 {
 			f.send(number%daemons, "/one/safe/")
--- a/lab/objectstub/limit_test.go
+++ b/lab/objectstub/limit_test.go
@@ -44,21 +44,21 @@
 
 // maxWindowCount returns the maximum number of requests and probes in a window between two times.
 func (w *worker) maxWindowCount(from, until time.Time) int {
-	all := slices.DeleteFunc(w.allArrivals(), func(at time.Time) bool { return at.Before(from) || at.After(until) })
-	fullest := 0
-	for first, last := 0, 0; last < len(all); last++ {
-		for all[last].Sub(all[first]) >= limitWindow {
+	arrivals := slices.DeleteFunc(w.allArrivals(), func(at time.Time) bool { return at.Before(from) || at.After(until) })
+	peak := 0
+	for first, last := 0, 0; last < len(arrivals); last++ {
+		for arrivals[last].Sub(arrivals[first]) >= limitWindow {
 			first++
 		}
-		fullest = max(fullest, last-first+1)
+		peak = max(peak, last-first+1)
 	}
-	return fullest
+	return peak
 }
 
 // setLimit makes workers report a limit.
 func setLimit(limit string, workers ...*worker) {
-	for _, one := range workers {
-		one.update(func() { one.limit = limit })
+	for _, worker := range workers {
+		worker.update(func() { worker.limit = limit })
 	}
 }
 
@@ -67,8 +67,8 @@
 
 // useLongServiceTime gives all workers the service time of the users' workers, so that all of them are used.
 func (f *fleet) useLongServiceTime() {
-	for _, one := range f.workers {
-		one.update(func() { one.serviceTime = 90 * time.Millisecond })
+	for _, worker := range f.workers {
+		worker.update(func() { worker.serviceTime = 90 * time.Millisecond })
 	}
 }
 
@@ -154,9 +154,9 @@
 		until := time.Now()
 		answered := others.finish()
 		for number, limit := range twoLimits {
-			one := f.workers[number]
+			worker := f.workers[number]
 			t.Logf("limit %.1f per second, at most %d requests and probes in 4 s, %d probes in total",
-				limit, one.maxWindowCount(named.Add(limitKnownBound), until), len(one.probes))
+				limit, worker.maxWindowCount(named.Add(limitKnownBound), until), len(worker.probes))
 		}
 		f.requireLimit(f.workers[0], 3.2, named, until)
 		f.requireLimit(f.workers[1], 0.8, named, until)
@@ -165,35 +165,35 @@
 }
 
 // requireLimit checks that a worker got no more than its limit, and not much less.
-func (f *fleet) requireLimit(one *worker, limit float64, named, until time.Time) {
-	f.requireNoMore(one, limit, named, until)
-	got := one.maxWindowCount(named.Add(limitKnownBound), until)
-	require.GreaterOrEqual(f.t, got, int(0.7*limit*limitWindow.Seconds()), "the limit of %s is used", one.id)
+func (f *fleet) requireLimit(worker *worker, limit float64, named, until time.Time) {
+	f.requireNoMore(worker, limit, named, until)
+	got := worker.maxWindowCount(named.Add(limitKnownBound), until)
+	require.GreaterOrEqual(f.t, got, int(0.7*limit*limitWindow.Seconds()), "the limit of %s is used", worker.id)
 }
 
 // requireNoMore checks that a worker got no more than its limit.
-func (f *fleet) requireNoMore(one *worker, limit float64, named, until time.Time) {
-	got := one.maxWindowCount(named.Add(limitKnownBound), until)
-	require.LessOrEqual(f.t, got, maxInWindow(limit), "%s has a limit of %.1f per second", one.id, limit)
+func (f *fleet) requireNoMore(worker *worker, limit float64, named, until time.Time) {
+	got := worker.maxWindowCount(named.Add(limitKnownBound), until)
+	require.LessOrEqual(f.t, got, maxInWindow(limit), "%s has a limit of %.1f per second", worker.id, limit)
 }
 
 // TestLimitHoldsInTroubles checks that limited back ends get no more than their limits during disruptions. Each
 // daemon that chooses independently may send one request more than its share of a window, as the window may start
 // with it.
 func TestLimitHoldsInTroubles(t *testing.T) {
-	for _, one := range commonDisruptions {
-		t.Run(one.name, func(t *testing.T) {
+	for _, test := range commonDisruptions {
+		t.Run(test.name, func(t *testing.T) {
 			run(t, 8, func(f *fleet) {
 				load, named := f.limitTwoWorkers()
 				time.Sleep(3 * time.Second)
-				one.apply(f, load)
+				test.apply(f, load)
 				time.Sleep(20*time.Second - time.Since(named))
 				until := time.Now()
 				t.Logf("%.3f answered", load.finish())
 				for number, limit := range twoLimits {
 					got := f.workers[number].maxWindowCount(named.Add(limitKnownBound), until)
 					t.Logf("limit %.1f per second, at most %d in 4 s", limit, got)
-					require.LessOrEqual(t, got, maxInWindow(limit)+max(one.independentDaemons-1, 0))
+					require.LessOrEqual(t, got, maxInWindow(limit)+max(test.independentDaemons-1, 0))
 				}
 			})
 		})
@@ -262,8 +262,8 @@
 		running.Wait()
 		t.Logf("%d answered, %d refused, the slowest after %s", answered, unserved, slowest)
 		require.InDelta(t, takes*seconds, answered, 0.25*takes*seconds)
-		for _, one := range f.workers {
-			f.requireNoMore(one, 2, from, time.Now())
+		for _, worker := range f.workers {
+			f.requireNoMore(worker, 2, from, time.Now())
 		}
 	})
 }
@@ -301,19 +301,19 @@
 		f.useLongServiceTime()
 		load := f.randomLoad(limitedLoad)
 		defer load.finish()
-		one := f.workers[0]
-		one.startedAt = 1
-		f.writeEntry(one, "ready")
+		worker := f.workers[0]
+		worker.startedAt = 1
+		f.writeEntry(worker, "ready")
 		time.Sleep(2 * time.Second)
-		setLimit("0.8", one)
+		setLimit("0.8", worker)
 		time.Sleep(4 * time.Second)
-		setLimit("", one)
-		one.startedAt = 2
-		f.writeEntry(one, "ready")
+		setLimit("", worker)
+		worker.startedAt = 2
+		f.writeEntry(worker, "ready")
 		time.Sleep(2 * time.Second)
-		before := len(one.allArrivals())
+		before := len(worker.allArrivals())
 		time.Sleep(time.Second)
-		require.Greater(t, len(one.allArrivals())-before, 5)
+		require.Greater(t, len(worker.allArrivals())-before, 5)
 	})
 }
 
@@ -370,10 +370,10 @@
 			time.Sleep(time.Duration(500+random.IntN(6000)) * time.Millisecond)
 			f.net.SetPartitionRule(nil)
 		case 4:
-			one := f.workers[2+random.IntN(len(f.workers)-2)]
-			one.update(func() { one.rejects = true })
+			worker := f.workers[2+random.IntN(len(f.workers)-2)]
+			worker.update(func() { worker.rejects = true })
 			time.Sleep(time.Second)
-			one.update(func() { one.rejects = false })
+			worker.update(func() { worker.rejects = false })
 		case 5:
 			extra := f.randomLoad(5 * time.Millisecond)
 			time.Sleep(2 * time.Second)
--- a/lab/objectstub/mortal_test.go
+++ b/lab/objectstub/mortal_test.go
@@ -73,22 +73,22 @@
 }
 
 // useCrashingBackends replaces the fleet's back ends by as many that crash on certain requests.
-func (f *fleet) useCrashingBackends(deadly func(*http.Request) bool) *crashRecord {
-	_, seen := f.startCrashingBackends(deadly)
-	return seen
+func (f *fleet) useCrashingBackends(crashesOn func(*http.Request) bool) *crashRecord {
+	_, record := f.startCrashingBackends(crashesOn)
+	return record
 }
 
-func (f *fleet) startCrashingBackends(deadly func(*http.Request) bool) ([]*crashingBackend, *crashRecord) {
-	seen := &crashRecord{}
-	var made []*crashingBackend
-	for _, one := range f.workers {
-		m := &crashingBackend{fleet: f, worker: one, name: one.id, crashesOn: deadly, record: seen}
-		f.store.Remove("servers", one.id)
-		one.address = f.net.Address(crashingHost(one.id))
+func (f *fleet) startCrashingBackends(crashesOn func(*http.Request) bool) ([]*crashingBackend, *crashRecord) {
+	record := &crashRecord{}
+	var backends []*crashingBackend
+	for _, worker := range f.workers {
+		m := &crashingBackend{fleet: f, worker: worker, name: worker.id, crashesOn: crashesOn, record: record}
+		f.store.Remove("servers", worker.id)
+		worker.address = f.net.Address(crashingHost(worker.id))
 		m.start()
-		made = append(made, m)
+		backends = append(backends, m)
 	}
-	return made, seen
+	return backends, record
 }
 
 func crashingHost(name string) string {
@@ -276,9 +276,9 @@
 // quarantiningDaemons returns the number of daemons that quarantine a request.
 func (f *fleet) quarantiningDaemons() int {
 	count := 0
-	for _, one := range f.daemons {
+	for _, member := range f.daemons {
 		isQuarantined := func(request admin.CrashingRequest) bool { return request.Quarantined }
-		if slices.ContainsFunc(one.CrashingRequests(), isQuarantined) {
+		if slices.ContainsFunc(member.CrashingRequests(), isQuarantined) {
 			count++
 		}
 	}
--- a/lab/objectstub/news_test.go
+++ b/lab/objectstub/news_test.go
@@ -96,8 +96,8 @@
 // countInForce returns the number of daemons that have a revision of the configuration or of the directory.
 func (f *fleet) countInForce(revision uint64) int {
 	heard := 0
-	for _, one := range f.daemons {
-		position := one.Document().Position()
+	for _, member := range f.daemons {
+		position := member.Document().Position()
 		if uint64(max(position.StoreVersion, position.Directory)) >= revision {
 			heard++
 		}
@@ -110,17 +110,17 @@
 func TestNewsWithoutTellers(t *testing.T) {
 	runFleet(t, 40, 1, func(f *fleet) {
 		killed := 0
-		var alive []*daemon.Daemon
-		for _, one := range f.daemons {
-			if killed < watchers/2 && one.Status(f.t.Context()).Watching {
-				one.Kill()
+		var remaining []*daemon.Daemon
+		for _, member := range f.daemons {
+			if killed < watchers/2 && member.Status(f.t.Context()).Watching {
+				member.Kill()
 				killed++
 				continue
 			}
-			alive = append(alive, one)
+			remaining = append(remaining, member)
 		}
 		require.Equal(t, watchers/2, killed)
-		f.daemons = alive
+		f.daemons = remaining
 		f.configure("/change/")
 		require.Less(t, f.awaitInForce(f.store.Revision()), 2*time.Second)
 	})
@@ -132,8 +132,8 @@
 	for _, size := range []int{13, 18, 60} {
 		for _, pause := range []time.Duration{0, 300 * time.Millisecond, time.Second} {
 			runFleet(t, size, 1, func(f *fleet) {
-				f.powerOff(func(one *daemon.Daemon, number int) bool {
-					return one.Status(f.t.Context()).Watching || number%5 != 0
+				f.powerOff(func(member *daemon.Daemon, number int) bool {
+					return member.Status(f.t.Context()).Watching || number%5 != 0
 				})
 				defer f.sendPeriodically(20 * time.Millisecond)()
 				time.Sleep(pause)
@@ -157,7 +157,7 @@
 		f.writeEntry(f.workers[1], "draining")
 		require.Less(t, f.awaitInForce(f.store.Revision()), 250*time.Millisecond)
 		listed := f.store.ListCalls("servers")
-		f.powerOff(func(one *daemon.Daemon, _ int) bool { return one.Status(f.t.Context()).Watching })
+		f.powerOff(func(member *daemon.Daemon, _ int) bool { return member.Status(f.t.Context()).Watching })
 		f.writeEntry(f.workers[0], "ready")
 		require.Less(t, f.awaitInForce(f.store.Revision()), 1500*time.Millisecond)
 		time.Sleep(time.Second)
@@ -167,18 +167,18 @@
 
 // powerOff freezes the network of the selected daemons, like machines without power, and
 // removes them from the fleet's daemons.
-func (f *fleet) powerOff(selects func(one *daemon.Daemon, number int) bool) {
-	var alive []*daemon.Daemon
-	for number, one := range f.daemons {
-		if selects(one, number) {
-			f.poweredOff = append(f.poweredOff, poweredOffDaemon{Daemon: one, host: hostOf(number)})
+func (f *fleet) powerOff(selects func(member *daemon.Daemon, number int) bool) {
+	var remaining []*daemon.Daemon
+	for number, member := range f.daemons {
+		if selects(member, number) {
+			f.poweredOff = append(f.poweredOff, poweredOffDaemon{Daemon: member, host: hostOf(number)})
 			continue
 		}
-		alive = append(alive, one)
+		remaining = append(remaining, member)
 	}
-	f.daemons = alive
-	for _, one := range f.poweredOff {
-		f.net.SetFrozen(one.host, true)
+	f.daemons = remaining
+	for _, member := range f.poweredOff {
+		f.net.SetFrozen(member.host, true)
 	}
 }
 
@@ -191,7 +191,7 @@
 // sendPeriodically sends a request each interval, through the daemons in turn, until stop
 // is called.
 func (f *fleet) sendPeriodically(interval time.Duration) (stop func()) {
-	over := make(chan struct{})
+	stopped := make(chan struct{})
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -199,7 +199,7 @@
 		defer sending.Wait()
 		for number := 0; ; number++ {
 			select {
-			case <-over:
+			case <-stopped:
 				return
 			case <-time.After(interval):
 				sending.Go(func() { f.send(number%len(f.daemons), "/one/safe/") })
@@ -207,7 +207,7 @@
 		}
 	}()
 	return func() {
-		close(over)
+		close(stopped)
 		<-done
 	}
 }
@@ -215,8 +215,8 @@
 // replaceAllDaemons kills all daemons and starts as many new ones at the same time.
 func (f *fleet) replaceAllDaemons() {
 	size := len(f.daemons)
-	for _, one := range f.daemons {
-		one.Kill()
+	for _, member := range f.daemons {
+		member.Kill()
 	}
 	f.daemons = nil
 	var seeds []string
@@ -243,8 +243,8 @@
 	runFleet(t, size, 1, func(f *fleet) {
 		f.replaceAllDaemons()
 		begun := time.Now()
-		for _, one := range f.daemons {
-			for one.AliveCount() < size {
+		for _, member := range f.daemons {
+			for member.AliveCount() < size {
 				require.Less(f.t, time.Since(begun), time.Minute)
 				time.Sleep(time.Millisecond)
 			}
@@ -257,8 +257,8 @@
 // workers' service, with the number that do.
 func dispatchersOf(daemons []*daemon.Daemon) map[string]int {
 	chosen := make(map[string]int)
-	for _, one := range daemons {
-		member, _ := one.DispatcherOf("board")
+	for _, running := range daemons {
+		member, _ := running.DispatcherOf("board")
 		chosen[member.Name]++
 	}
 	return chosen
@@ -299,7 +299,7 @@
 	run(t, 1, func(f *fleet) {
 		stopped := f.daemons[0]
 		defer func() { f.daemons = nil }()
-		f.powerOff(func(one *daemon.Daemon, _ int) bool { return one != stopped })
+		f.powerOff(func(member *daemon.Daemon, _ int) bool { return member != stopped })
 		begun := time.Now()
 		require.NoError(t, stopped.Stop(f.t.Context()))
 		require.Less(t, time.Since(begun), time.Duration(settings.DefaultNotice)+100*time.Millisecond)
--- a/lab/objectstub/older_rollout_test.go
+++ b/lab/objectstub/older_rollout_test.go
@@ -16,33 +16,33 @@
 func TestRolledBackVersionStaysBackWhenStoreComesBackOlder(t *testing.T) {
 	var count atomic.Int64
 	half := func(*http.Request) bool { return count.Add(1)%2 == 0 }
-	for _, one := range []struct {
+	for _, test := range []struct {
 		name string
-		// copied is the time after the order at which the snapshot is taken; 0: right before the order.
-		copied time.Duration
+		// snapshotDelay is the time after the order at which the snapshot is taken; 0: right before the order.
+		snapshotDelay time.Duration
 		// writes: the operator writes the order again.
 		writes bool
 	}{
 		{name: "the order was lost and is written again", writes: true},
-		{name: "the decision was lost", copied: time.Second},
-		{name: "the decision was lost, and the order is written again", copied: time.Second, writes: true},
+		{name: "the decision was lost", snapshotDelay: time.Second},
+		{name: "the decision was lost, and the order is written again", snapshotDelay: time.Second, writes: true},
 	} {
-		t.Run(one.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			runRollouts(t, func(f *fleet) {
 				stop := f.startSteadyLoad(100)
 				defer stop()
 				time.Sleep(time.Second)
-				copied := f.store.Snapshot()
+				snapshot := f.store.Snapshot()
 				started := f.startNewVersion(half)
-				if one.copied > 0 {
-					time.Sleep(one.copied)
-					copied = f.store.Snapshot()
+				if test.snapshotDelay > 0 {
+					time.Sleep(test.snapshotDelay)
+					snapshot = f.store.Snapshot()
 				}
 				f.awaitState("rolled_back")
 				time.Sleep(2 * time.Second)
 				exposed := f.totalOf(started)
-				f.restoreStoreAndEntries(copied, started)
-				if one.writes {
+				f.restoreStoreAndEntries(snapshot, started)
+				if test.writes {
 					time.Sleep(rewriteDelay)
 					f.startRollout()
 				}
@@ -64,10 +64,10 @@
 }
 
 // restoreStoreAndEntries restores a snapshot of the store, after which back ends rewrite their entries.
-func (f *fleet) restoreStoreAndEntries(copied objectstub.Snapshot, again []*worker) {
-	f.restoreStore(copied)
+func (f *fleet) restoreStoreAndEntries(snapshot objectstub.Snapshot, again []*worker) {
+	f.restoreStore(snapshot)
 	time.Sleep(time.Second)
-	for _, one := range again {
-		f.writeEntry(one, "ready")
+	for _, worker := range again {
+		f.writeEntry(worker, "ready")
 	}
 }
--- a/lab/objectstub/older_test.go
+++ b/lab/objectstub/older_test.go
@@ -34,16 +34,16 @@
 // rollBackStore writes this number of versions of the configuration, then makes the store unavailable and
 // restores a snapshot taken before them. It returns the last version, which was in force.
 func (f *fleet) rollBackStore(versions int, meanwhile func()) uint64 {
-	copied := f.store.Snapshot()
+	snapshot := f.store.Snapshot()
 	for range versions {
 		f.configureNext()
 		time.Sleep(snapshotAge / time.Duration(versions))
 	}
-	lost := f.version
-	require.Less(f.t, f.awaitRoute(versionRoute(lost)+"safe/"), inForceBound)
-	f.restoreStore(copied)
+	lastVersion := f.version
+	require.Less(f.t, f.awaitRoute(versionRoute(lastVersion)+"safe/"), inForceBound)
+	f.restoreStore(snapshot)
 	meanwhile()
-	return lost
+	return lastVersion
 }
 
 // restoreStore makes the store unavailable for storeDowntime and restores a snapshot.
@@ -66,7 +66,7 @@
 // TestConfigurationAfterStoreCameBackOlder writes versions of the configuration after a rollback of the store lost
 // some: each is in force everywhere in time, and no daemon returns to an earlier version.
 func TestConfigurationAfterStoreCameBackOlder(t *testing.T) {
-	for _, one := range []struct {
+	for _, test := range []struct {
 		name string
 		// afterRollback runs after the rollback; version is the lost version, which is in force.
 		afterRollback func(f *fleet, version uint64)
@@ -80,13 +80,13 @@
 		}},
 		{"the lost version is never written again", func(*fleet, uint64) {}},
 	} {
-		t.Run(one.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			run(t, 3, func(f *fleet) {
 				f.configureNext()
 				time.Sleep(time.Second)
-				afterRollback := f.rollBackStore(3, func() {})
-				one.afterRollback(f, afterRollback)
-				f.requireServed(afterRollback, time.Second)
+				lost := f.rollBackStore(3, func() {})
+				test.afterRollback(f, lost)
+				f.requireServed(lost, time.Second)
 				for range 3 {
 					version := f.configureNext()
 					require.Less(t, f.awaitRoute(versionRoute(version)+"safe/"), inForceBound)
@@ -127,20 +127,20 @@
 	again := func(f *fleet) { writeFirst(f, "ready") }
 	return []lostChange{
 		{name: "a back end joined", before: remove, change: join, rewrite: join, expectTraffic: true},
-		{name: "a back end said that it leaves", before: noChange, change: leave, rewrite: leave},
+		{name: "a back end reported draining", before: noChange, change: leave, rewrite: leave},
 		{name: "a back end left", before: noChange, change: remove, rewrite: remove},
 		{name: "a back end that was leaving started again", before: leave, change: restart, rewrite: again, expectTraffic: true},
 		{name: "a zone was evacuated", before: noChange, change: evacuate, rewrite: evacuate},
-		{name: "a zone was taken back", before: evacuate, change: restore, rewrite: restore, expectTraffic: true},
+		{name: "a zone was restored", before: evacuate, change: restore, rewrite: restore, expectTraffic: true},
 	}
 }
 
 // TestLostChangesHoldWhenStoreComesBackOlder loses a change of back ends or zones in a rollback: every daemon keeps
 // it until it is written again, and afterwards.
 func TestLostChangesHoldWhenStoreComesBackOlder(t *testing.T) {
-	for _, one := range lostChanges() {
-		t.Run(one.name, func(t *testing.T) {
-			run(t, 4, func(f *fleet) { one.run(f) })
+	for _, test := range lostChanges() {
+		t.Run(test.name, func(t *testing.T) {
+			run(t, 4, func(f *fleet) { test.run(f) })
 		})
 	}
 }
@@ -149,31 +149,31 @@
 	for _, worker := range f.workers {
 		worker.startedAt = time.Now().UnixMilli()
 	}
-	zone := f.assignZones(1, "west")
+	workers := f.assignZones(1, "west")
 	defer f.sendPeriodically(requestGap)()
 	c.before(f)
 	time.Sleep(2 * time.Second)
-	copied := f.store.Snapshot()
+	snapshot := f.store.Snapshot()
 	time.Sleep(time.Second)
 	c.change(f)
 	time.Sleep(evacuationBound)
-	f.restoreStore(copied)
+	f.restoreStore(snapshot)
 	for _, span := range []string{"before it is written again", "afterwards"} {
-		begun := zone[0].total()
+		begun := workers[0].total()
 		time.Sleep(rewriteDelay)
 		if c.expectTraffic {
-			require.Greater(f.t, zone[0].total(), begun, span)
+			require.Greater(f.t, workers[0].total(), begun, span)
 		} else {
-			require.Equal(f.t, begun, zone[0].total(), span)
+			require.Equal(f.t, begun, workers[0].total(), span)
 		}
 		if span == "before it is written again" {
 			c.rewrite(f)
 		}
 	}
 	time.Sleep(20 * time.Second) // the maximum time for which daemons keep lost changes
-	begun := zone[0].total()
+	begun := workers[0].total()
 	time.Sleep(rewriteDelay)
-	require.Equal(f.t, c.expectTraffic, zone[0].total() > begun, "at last")
+	require.Equal(f.t, c.expectTraffic, workers[0].total() > begun, "at last")
 }
 
 // TestBackendThatIsNotWrittenAgainIsGone loses the entry of a back end that has stopped since: once the running back
@@ -182,10 +182,10 @@
 	run(t, 3, func(f *fleet) {
 		f.store.Remove("servers", f.workers[0].id)
 		time.Sleep(2 * time.Second)
-		copied := f.store.Snapshot()
+		snapshot := f.store.Snapshot()
 		f.writeEntry(f.workers[0], "ready")
 		time.Sleep(2 * time.Second)
-		f.restoreStore(copied)
+		f.restoreStore(snapshot)
 		defer f.sendPeriodically(requestGap)()
 		time.Sleep(evacuationBound)
 		begun := f.workers[0].total()
@@ -198,7 +198,7 @@
 var rollbackDisruptions = []struct {
 	name string
 	// apply runs right after the rollback, and returns the time until all daemons are connected again.
-	plays func(f *fleet, copied objectstub.Snapshot) (inTouch time.Duration)
+	apply func(f *fleet, snapshot objectstub.Snapshot) (inTouch time.Duration)
 }{
 	{"calm", func(*fleet, objectstub.Snapshot) time.Duration { return 0 }},
 	{"daemons start meanwhile", func(f *fleet, _ objectstub.Snapshot) time.Duration {
@@ -206,12 +206,12 @@
 		f.replaceDaemon(0)
 		return reconnectTime
 	}},
-	{"it comes back older twice", func(f *fleet, copied objectstub.Snapshot) time.Duration {
+	{"the store is rolled back twice", func(f *fleet, snapshot objectstub.Snapshot) time.Duration {
 		time.Sleep(time.Second)
-		f.restoreStore(copied)
+		f.restoreStore(snapshot)
 		return 0
 	}},
-	{"one daemon is kept away from the others and the store", func(f *fleet, _ objectstub.Snapshot) time.Duration {
+	{"a daemon is partitioned from the others and the store", func(f *fleet, _ objectstub.Snapshot) time.Duration {
 		f.net.SetPartitionRule(func(a, b string) bool {
 			isCaller := strings.HasPrefix(a, "callers") || strings.HasPrefix(b, "callers")
 			return !isCaller && (a == hostOf(1)) != (b == hostOf(1)) && !strings.HasPrefix(a, "i-") && !strings.HasPrefix(b, "i-")
@@ -220,13 +220,13 @@
 		f.net.SetPartitionRule(nil)
 		return reconnectTime
 	}},
-	{"a daemon is frozen and wakes", func(f *fleet, _ objectstub.Snapshot) time.Duration {
+	{"a daemon is frozen and recovers", func(f *fleet, _ objectstub.Snapshot) time.Duration {
 		f.net.SetFrozen(hostOf(1), true)
 		time.Sleep(4 * time.Second)
 		f.net.SetFrozen(hostOf(1), false)
 		return reconnectTime
 	}},
-	{"watches are deaf and history is dropped", func(f *fleet, _ objectstub.Snapshot) time.Duration {
+	{"watches stall and history is compacted", func(f *fleet, _ objectstub.Snapshot) time.Duration {
 		f.store.SetFaults(objectstub.Faults{StallWatches: true})
 		time.Sleep(time.Second)
 		f.store.Compact()
@@ -238,14 +238,14 @@
 // TestConfigurationInTroublesAfterStoreCameBackOlder injects other disruptions during a rollback of the store: once
 // daemons are connected again, the last accepted version is in force, and all later versions are in force in time.
 func TestConfigurationInTroublesAfterStoreCameBackOlder(t *testing.T) {
-	for _, one := range rollbackDisruptions {
-		t.Run(one.name, func(t *testing.T) {
+	for _, test := range rollbackDisruptions {
+		t.Run(test.name, func(t *testing.T) {
 			run(t, 3, func(f *fleet) {
 				f.configureNext()
 				time.Sleep(time.Second)
-				copied := f.store.Snapshot()
+				snapshot := f.store.Snapshot()
 				lost := f.rollBackStore(3, func() {})
-				time.Sleep(one.plays(f, copied))
+				time.Sleep(test.apply(f, snapshot))
 				f.requireServed(lost, time.Second)
 				for range 3 {
 					version := f.configureNext()
@@ -287,14 +287,14 @@
 	const size = 60
 	runFleet(t, size, 3, func(f *fleet) {
 		f.configureNext()
-		copied := f.store.Snapshot()
+		snapshot := f.store.Snapshot()
 		lost := f.rollBackStore(1, func() {})
 		kinds := []string{"config", "servers", "evacuations"}
 		before := make(map[string]int)
 		for _, kind := range kinds {
 			before[kind] = f.store.ListCalls(kind)
 		}
-		f.restoreStore(copied)
+		f.restoreStore(snapshot)
 		f.requireServed(lost, 5*time.Second)
 		for _, kind := range kinds {
 			require.LessOrEqual(t, f.store.ListCalls(kind)-before[kind], watchers, kind)
--- a/lab/objectstub/outcome_test.go
+++ b/lab/objectstub/outcome_test.go
@@ -65,28 +65,28 @@
 func TestEachRequestHasAnOutcomeLine(t *testing.T) {
 	reached := make(map[int]bool)
 	run(t, 2, func(f *fleet) {
-		both := func(change func(one *worker)) {
-			for _, one := range f.workers {
-				one.update(func() { change(one) })
+		both := func(change func(worker *worker)) {
+			for _, worker := range f.workers {
+				worker.update(func() { change(worker) })
 			}
 		}
 		f.earnRetryBudget()
 		f.send(0, "/none/")
 		f.sendWith(0, "/one/safe/", func(r *http.Request) { r.Header.Set("Deadline-Ms", "soon") })
-		both(func(one *worker) { one.rejects = true })
+		both(func(worker *worker) { worker.rejects = true })
 		f.send(0, "/one/unsafe/")
-		both(func(one *worker) { one.rejects, one.responseID = false, "request-of-another" })
+		both(func(worker *worker) { worker.rejects, worker.responseID = false, "request-of-another" })
 		f.send(1, "/one/safe/")
 		time.Sleep(time.Minute)
-		both(func(one *worker) { one.responseID, one.serviceTime = "", 3*time.Second })
+		both(func(worker *worker) { worker.responseID, worker.serviceTime = "", 3*time.Second })
 		f.send(2, "/one/safe/")
 		f.sendAndCancel(2, "/one/unsafe/", 100*time.Millisecond)
 		time.Sleep(time.Minute)
-		both(func(one *worker) { one.serviceTime = time.Second })
+		both(func(worker *worker) { worker.serviceTime = time.Second })
 		f.overload(40)
 		time.Sleep(time.Minute)
-		for _, one := range f.workers {
-			f.store.Remove("servers", one.id)
+		for _, worker := range f.workers {
+			f.store.Remove("servers", worker.id)
 		}
 		time.Sleep(3 * time.Second)
 		f.send(3, "/one/safe/")
--- a/lab/objectstub/pause_test.go
+++ b/lab/objectstub/pause_test.go
@@ -39,8 +39,8 @@
 
 // setRetryAfter makes workers reject all requests, or one of every pauseEvery, with this Retry-After; empty: none.
 func setRetryAfter(retryAfter string, workers ...*worker) {
-	for _, one := range workers {
-		one.update(func() { one.retryAfter = retryAfter })
+	for _, worker := range workers {
+		worker.update(func() { worker.retryAfter = retryAfter })
 	}
 }
 
@@ -65,7 +65,7 @@
 // for every way by which requests reach back ends.
 func TestPauseHoldsInTroubles(t *testing.T) {
 	disruptions := []disruption{
-		{name: "its entry changes, and configurations come", apply: func(f *fleet, _ *randomLoad) {
+		{name: "its entry and the configuration change", apply: func(f *fleet, _ *randomLoad) {
 			for range 5 {
 				f.writeEntry(f.workers[0], "draining")
 				f.writeEntry(f.workers[0], "ready")
@@ -80,15 +80,15 @@
 			setRetryAfter("4", f.workers[1:3]...)
 		}},
 	}
-	for _, one := range append(disruptions, commonDisruptions...) {
-		t.Run(one.name, func(t *testing.T) {
+	for _, test := range append(disruptions, commonDisruptions...) {
+		t.Run(test.name, func(t *testing.T) {
 			run(t, 6, func(f *fleet) {
 				load := f.randomLoad(limitedLoad)
 				time.Sleep(2 * time.Second)
 				f.workers[0].update(func() { f.workers[0].pauseEvery = 2 })
 				setRetryAfter("4", f.workers[0])
 				begun := time.Now()
-				one.apply(f, load)
+				test.apply(f, load)
 				time.Sleep(15*time.Second - time.Since(begun))
 				peak := 0
 				for _, worker := range f.workers {
@@ -106,20 +106,20 @@
 func TestPauseBindsWhoWasAsked(t *testing.T) {
 	run(t, 2, func(f *fleet) {
 		f.earnRetryBudget()
-		one := f.workers[0]
-		setRetryAfter("8", one)
-		for one.pauseRequests() == 0 {
+		worker := f.workers[0]
+		setRetryAfter("8", worker)
+		for worker.pauseRequests() == 0 {
 			f.send(0, "/one/safe/")
 		}
-		setRetryAfter("", one)
-		asked, before := f.net.Address(hostOf(0)), one.total()
-		bound := one.requestsFrom(asked)
+		setRetryAfter("", worker)
+		asked, before := f.net.Address(hostOf(0)), worker.total()
+		bound := worker.requestsFrom(asked)
 		load := f.randomLoad(limitedLoad)
 		time.Sleep(5 * time.Second)
-		require.Equal(t, bound, one.requestsFrom(asked))
-		require.Greater(t, one.total(), before+80, "the other daemons send 300 of 400 requests")
+		require.Equal(t, bound, worker.requestsFrom(asked))
+		require.Greater(t, worker.total(), before+80, "the other daemons send 300 of 400 requests")
 		time.Sleep(8 * time.Second)
-		require.Greater(t, one.requestsFrom(asked), bound+20, "the daemon sends again after the pause")
+		require.Greater(t, worker.requestsFrom(asked), bound+20, "the daemon sends again after the pause")
 		require.Greater(t, load.finish(), 0.99)
 	})
 }
--- a/lab/objectstub/probes_test.go
+++ b/lab/objectstub/probes_test.go
@@ -34,18 +34,18 @@
 // are sent to a disturbed worker; a few are at each change in any case.
 func TestProbesFindTheUndisturbed(t *testing.T) {
 	run(t, 4, func(f *fleet) {
-		for _, one := range f.workers {
-			one.update(func() { one.disturbPeriod = 150 * time.Millisecond })
+		for _, worker := range f.workers {
+			worker.update(func() { worker.disturbPeriod = 150 * time.Millisecond })
 		}
 		f.sendLoad("/one/unsafe/", 30*time.Millisecond, 15*time.Second) // until the probe budget is granted
 		slow := 0
-		took := f.sendLoad("/one/unsafe/", 30*time.Millisecond, 30*time.Second)
-		for _, one := range took {
-			if one > 2*f.workers[0].serviceTime {
+		latencies := f.sendLoad("/one/unsafe/", 30*time.Millisecond, 30*time.Second)
+		for _, latency := range latencies {
+			if latency > 2*f.workers[0].serviceTime {
 				slow++
 			}
 		}
-		require.Less(t, slow, len(took)/4, "of %d requests", len(took))
+		require.Less(t, slow, len(latencies)/4, "of %d requests", len(latencies))
 	})
 }
 
@@ -54,8 +54,8 @@
 // probes.
 func TestProbesStayInTheBudget(t *testing.T) {
 	run(t, 3, func(f *fleet) {
-		for _, one := range f.workers { // otherwise probes have little benefit and are rare
-			one.update(func() { one.disturbPeriod = 150 * time.Millisecond })
+		for _, worker := range f.workers { // otherwise probes have little benefit and are rare
+			worker.update(func() { worker.disturbPeriod = 150 * time.Millisecond })
 		}
 		f.sendLoad("/one/safe/", 30*time.Millisecond, 20*time.Second)
 		f.workers[0].update(func() { f.workers[0].ignoresProbes = true })
@@ -67,14 +67,14 @@
 			f.sendLoad("/one/safe/", 30*time.Millisecond, 25*time.Second)
 		}
 		total := 0
-		for _, one := range f.workers {
-			one.update(func() {
-				total += len(one.probes)
-				for first, last := 0, 0; last < len(one.probes); last++ {
-					for one.probes[last].Sub(one.probes[first]) >= time.Second {
+		for _, worker := range f.workers {
+			worker.update(func() {
+				total += len(worker.probes)
+				for first, last := 0, 0; last < len(worker.probes); last++ {
+					for worker.probes[last].Sub(worker.probes[first]) >= time.Second {
 						first++
 					}
-					require.LessOrEqual(f.t, last-first+1, probesPerBackend, one.id)
+					require.LessOrEqual(f.t, last-first+1, probesPerBackend, worker.id)
 				}
 			})
 		}
--- a/lab/objectstub/restart_test.go
+++ b/lab/objectstub/restart_test.go
@@ -14,16 +14,16 @@
 
 // restartUnderID restarts a back end with the same id, and returns the time until it gets a request,
 // at most 10 s.
-func (f *fleet) restartUnderID(one *worker) time.Duration {
-	one.update(func() {
-		one.instance = one.id
-		one.rejects, one.disturbed, one.disturbPeriod = false, false, 0
+func (f *fleet) restartUnderID(worker *worker) time.Duration {
+	worker.update(func() {
+		worker.instance = worker.id
+		worker.rejects, worker.disturbed, worker.disturbPeriod = false, false, 0
 	})
-	one.startedAt = time.Now().UnixMilli()
-	before := one.total()
-	f.writeEntry(one, "ready")
+	worker.startedAt = time.Now().UnixMilli()
+	before := worker.total()
+	f.writeEntry(worker, "ready")
 	begun := time.Now()
-	for one.total() == before && time.Since(begun) < 10*time.Second {
+	for worker.total() == before && time.Since(begun) < 10*time.Second {
 		time.Sleep(10 * time.Millisecond)
 	}
 	return time.Since(begun)
@@ -33,18 +33,18 @@
 // restarted with the same id. A daemon that had once found another back end at its address never used
 // the id again, and a back end that had failed or been slow was still avoided.
 func TestRestartUnderTheSameID(t *testing.T) {
-	for _, one := range []struct {
+	for _, test := range []struct {
 		name    string
-		disrupt func(f *fleet, one *worker)
+		disrupt func(f *fleet, worker *worker)
 	}{
-		{"its address had another back end meanwhile", func(_ *fleet, one *worker) {
-			one.update(func() { one.instance = "i-other" })
+		{"its address had another back end meanwhile", func(_ *fleet, worker *worker) {
+			worker.update(func() { worker.instance = "i-other" })
 		}},
-		{"it said that it leaves", func(f *fleet, one *worker) { f.writeEntry(one, "draining") }},
-		{"it refused everything", func(_ *fleet, one *worker) { one.update(func() { one.rejects = true }) }},
-		{"it was slow", func(_ *fleet, one *worker) { one.update(func() { one.disturbed = true }) }},
+		{"it said that it leaves", func(f *fleet, worker *worker) { f.writeEntry(worker, "draining") }},
+		{"it refused everything", func(_ *fleet, worker *worker) { worker.update(func() { worker.rejects = true }) }},
+		{"it was slow", func(_ *fleet, worker *worker) { worker.update(func() { worker.disturbed = true }) }},
 	} {
-		t.Run(one.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			run(t, 3, func(f *fleet) {
 				for _, worker := range f.workers {
 					worker.startedAt = time.Now().UnixMilli()
@@ -53,7 +53,7 @@
 				others := f.startBackgroundLoad(10 * time.Millisecond)
 				time.Sleep(2 * time.Second)
 				restarted := f.workers[0]
-				one.disrupt(f, restarted)
+				test.disrupt(f, restarted)
 				time.Sleep(3 * time.Second)
 				took := f.restartUnderID(restarted)
 				time.Sleep(2 * time.Second)
--- a/lab/objectstub/rollout_test.go
+++ b/lab/objectstub/rollout_test.go
@@ -26,17 +26,17 @@
 // rollout to it.
 func (f *fleet) startNewVersion(fails func(r *http.Request) bool) []*worker {
 	f.startRollout()
-	var started []*worker
+	var workers []*worker
 	for number := range f.workers {
-		one := &worker{
+		worker := &worker{
 			id: fmt.Sprintf("n-%d", number), zone: "zone", service: "board", version: "v2", fails: fails, runs: make(map[string]int), serviceTime: 20 * time.Millisecond,
 		}
-		one.instance = one.id
-		one.address = f.serve(one.id, one)
-		started = append(started, one)
-		f.writeEntry(one, "ready")
+		worker.instance = worker.id
+		worker.address = f.serve(worker.id, worker)
+		workers = append(workers, worker)
+		f.writeEntry(worker, "ready")
 	}
-	return started
+	return workers
 }
 
 // rolloutState returns the state of the rollout that the daemons have written to the store.
@@ -92,8 +92,8 @@
 		require.Equal(t, "completed", f.rolloutState())
 		require.Less(t, time.Since(begun), rolloutDuration)
 		old := f.totalOf(f.workers)
-		for _, one := range f.workers {
-			f.store.Remove("servers", one.id)
+		for _, worker := range f.workers {
+			f.store.Remove("servers", worker.id)
 		}
 		time.Sleep(2 * time.Second)
 		sent := stop()
@@ -106,8 +106,8 @@
 // totalOf returns the number of requests that the workers ran.
 func (f *fleet) totalOf(workers []*worker) int {
 	total := 0
-	for _, one := range workers {
-		total += one.total()
+	for _, worker := range workers {
+		total += worker.total()
 	}
 	return total
 }
@@ -126,7 +126,7 @@
 func TestBadVersionIsTakenBack(t *testing.T) {
 	var count atomic.Int64
 	half := func(*http.Request) bool { return count.Add(1)%2 == 0 }
-	for _, one := range []struct {
+	for _, test := range []struct {
 		name   string
 		fails  func(r *http.Request) bool
 		inject func(f *fleet)
@@ -139,7 +139,7 @@
 			time.Sleep(6 * time.Second)
 			f.store.SetFaults(objectstub.Faults{})
 		}},
-		{"fails half, answers of the store lost", half, func(f *fleet) { f.store.SetFaults(objectstub.Faults{DropResponses: 3}) }},
+		{"fails half, responses of the store dropped", half, func(f *fleet) { f.store.SetFaults(objectstub.Faults{DropResponses: 3}) }},
 		{"fails half, the dispatcher dies", half, func(f *fleet) {
 			time.Sleep(700 * time.Millisecond)
 			for number, daemon := range f.daemons {
@@ -150,13 +150,13 @@
 			}
 		}},
 	} {
-		t.Run(one.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			runRollouts(t, func(f *fleet) {
 				stop := f.startSteadyLoad(100)
 				time.Sleep(time.Second)
-				started := f.startNewVersion(one.fails)
+				started := f.startNewVersion(test.fails)
 				begun := time.Now()
-				one.inject(f)
+				test.inject(f)
 				for f.rolloutState() != "rolled_back" && time.Since(begun) < 2*rolloutDuration {
 					time.Sleep(10 * time.Millisecond)
 				}
--- a/lab/objectstub/tenants_test.go
+++ b/lab/objectstub/tenants_test.go
@@ -38,8 +38,8 @@
 // receivedHeaders returns the headers of all requests that workers received.
 func (f *fleet) receivedHeaders() []http.Header {
 	var heads []http.Header
-	for _, one := range f.workers {
-		one.update(func() { heads = append(heads, one.headers...) })
+	for _, worker := range f.workers {
+		worker.update(func() { heads = append(heads, worker.headers...) })
 	}
 	return heads
 }
@@ -179,9 +179,9 @@
 		var running sync.WaitGroup
 		running.Go(func() {
 			time.Sleep(lasts / 2)
-			for number, one := range f.daemons {
-				if _, other := one.DispatcherOf("board"); !other && number != 0 {
-					one.Kill()
+			for number, member := range f.daemons {
+				if _, other := member.DispatcherOf("board"); !other && number != 0 {
+					member.Kill()
 				}
 			}
 		})
--- a/lab/objectstub/troubles_test.go
+++ b/lab/objectstub/troubles_test.go
@@ -22,7 +22,7 @@
 // guarantee. They leave the first two workers alone.
 var commonDisruptions = []disruption{
 	{name: "the store is down", apply: func(f *fleet, _ *randomLoad) { f.store.SetFaults(objectstub.Faults{Down: true}) }},
-	{name: "the daemon that dispatches loses power", apply: func(f *fleet, load *randomLoad) {
+	{name: "the dispatcher is powered off", apply: func(f *fleet, load *randomLoad) {
 		host := f.dispatcher()
 		load.pausedWhile(func() {
 			f.powerOff(func(_ *daemon.Daemon, number int) bool { return hostOf(number) == host })
@@ -47,19 +47,19 @@
 			time.Sleep(startTime)
 		})
 	}},
-	{name: "half of the daemons are cut off from the others", divergent: true, independentDaemons: 2, apply: func(f *fleet, _ *randomLoad) {
+	{name: "half of the daemons are partitioned from the others", divergent: true, independentDaemons: 2, apply: func(f *fleet, _ *randomLoad) {
 		f.net.SetPartitionRule(func(a, b string) bool { return inFirstHalf(a) && inSecondHalf(b) || inSecondHalf(a) && inFirstHalf(b) })
 		time.Sleep(8 * time.Second)
 		f.net.SetPartitionRule(nil)
 	}},
-	{name: "the daemon that dispatches is frozen and wakes", divergent: true, apply: func(f *fleet, _ *randomLoad) {
+	{name: "the dispatcher is frozen and recovers", divergent: true, apply: func(f *fleet, _ *randomLoad) {
 		host := f.dispatcher()
 		f.net.SetFrozen(host, true)
 		time.Sleep(4 * time.Second)
 		f.net.SetFrozen(host, false)
 	}},
 	{name: "requests must not be repeated", apply: func(_ *fleet, load *randomLoad) { load.nonRepeatable.Store(true) }},
-	{name: "requests go together on a connection, and wait for places", apply: func(f *fleet, _ *randomLoad) {
+	{name: "requests are pipelined, and wait for permits", apply: func(f *fleet, _ *randomLoad) {
 		f.burst(200)
 		for number := range 20 {
 			go f.pipeline(number%daemons, fmt.Sprintf("/one/safe/together-%d", number), 4)
@@ -76,7 +76,7 @@
 			worker.update(func() { worker.disturbPeriod = 150 * time.Millisecond })
 		}
 	}},
-	{name: "there are more requests than all can take", apply: func(f *fleet, _ *randomLoad) {
+	{name: "more requests than all back ends can serve", apply: func(f *fleet, _ *randomLoad) {
 		extra := f.randomLoad(2 * time.Millisecond)
 		time.Sleep(10 * time.Second)
 		extra.finish()
--- a/lab/objectstub/worker_test.go
+++ b/lab/objectstub/worker_test.go
@@ -72,12 +72,12 @@
 func (w *worker) health(rw http.ResponseWriter) {
 	w.mutex.Lock()
 	w.probes = append(w.probes, time.Now())
-	silent, slowdown, named := w.ignoresProbes, w.slowdown(), w.limitInHealth
+	ignore, slowdown, reportLimit := w.ignoresProbes, w.slowdown(), w.limitInHealth
 	w.mutex.Unlock()
-	if named {
+	if reportLimit {
 		w.setLimitHeader(rw)
 	}
-	if silent {
+	if ignore {
 		time.Sleep(time.Minute)
 		return
 	}
--- a/lab/site/faults_test.go
+++ b/lab/site/faults_test.go
@@ -138,8 +138,8 @@
 
 func dispatcherOf(t *testing.T, running *site.Site, service string) string {
 	t.Helper()
-	for _, one := range running.Daemons() {
-		for _, status := range one.Services() {
+	for _, member := range running.Daemons() {
+		for _, status := range member.Services() {
 			if status.Name == service {
 				return status.Dispatcher
 			}
@@ -288,9 +288,9 @@
 		revisions.stop()
 		// Every accepted change is in the history of every daemon at the revision that
 		// its operator got.
-		for _, one := range running.Daemons() {
+		for _, member := range running.Daemons() {
 			for id, revision := range accepted {
-				change, found := one.Document().FindChange(id)
+				change, found := member.Document().FindChange(id)
 				require.True(t, found, "change %s was lost", id)
 				require.Equal(t, revision, change.Revision)
 			}
@@ -328,8 +328,8 @@
 	runVirtual(t, options, func(ctx context.Context, _ *fakenet.Net, running *site.Site) {
 		time.Sleep(5 * time.Second)
 		killed := 0
-		for name, one := range running.Daemons() {
-			if one.Status(ctx).Watching && killed < 2 {
+		for name, member := range running.Daemons() {
+			if member.Status(ctx).Watching && killed < 2 {
 				running.KillDaemon(name)
 				killed++
 			}
@@ -350,12 +350,12 @@
 // stay in force at every daemon and are written again, also if another change was made to the restored
 // configuration, and later changes are in force in time.
 func TestDeclaredChangesHoldWhenPlatformComesBackOlder(t *testing.T) {
-	for _, one := range []struct {
+	for _, test := range []struct {
 		name string
 		// behind is a change written directly to the store right after the rollback.
 		behind string
 	}{{name: "nothing comes in between"}, {name: "a change is made on the older copy", behind: "behind"}} {
-		t.Run(one.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			runVirtual(t, smallSite(), func(ctx context.Context, _ *fakenet.Net, running *site.Site) {
 				change := func(id string) config.Edit {
 					return config.Edit{ID: id, Set: config.Content{Policies: []config.Policy{{Name: id}}}}
@@ -374,10 +374,10 @@
 				time.Sleep(2 * time.Second)
 				running.Platform.RollBack(copied)
 				expected := []string{"early", "lost-1", "lost-2"}
-				if one.behind != "" {
-					_, err := config.NewEditor(running.Platform.Store(), time.Now, nil).Apply(ctx, change(one.behind))
+				if test.behind != "" {
+					_, err := config.NewEditor(running.Platform.Store(), time.Now, nil).Apply(ctx, change(test.behind))
 					require.NoError(t, err)
-					expected = append(expected, one.behind)
+					expected = append(expected, test.behind)
 				}
 				requireChanges := func(document config.Document, ids []string) {
 					for _, id := range ids {
--- a/lab/site/schedule_test.go
+++ b/lab/site/schedule_test.go
@@ -124,58 +124,58 @@
 }
 
 // inject injects a fault and ends it.
-func (w *faultRun) inject(one fault) {
-	daemon, other := site.DaemonName(one.target), site.DaemonName(one.other)
-	backends := []*site.Backend{w.site.Backend(fmt.Sprintf("reads-%d", one.target+1)), w.site.Backend(fmt.Sprintf("corrections-%d", one.target+1))}
-	switch one.kind {
+func (w *faultRun) inject(injected fault) {
+	daemon, other := site.DaemonName(injected.target), site.DaemonName(injected.other)
+	backends := []*site.Backend{w.site.Backend(fmt.Sprintf("reads-%d", injected.target+1)), w.site.Backend(fmt.Sprintf("corrections-%d", injected.target+1))}
+	switch injected.kind {
 	case "platform-down":
-		w.setPlatform(one.length, func(f *platformstub.Faults) { f.Down = true })
+		w.setPlatform(injected.length, func(f *platformstub.Faults) { f.Down = true })
 	case "platform-silent":
-		w.setPlatform(one.length, func(f *platformstub.Faults) { f.Unresponsive = true })
+		w.setPlatform(injected.length, func(f *platformstub.Faults) { f.Unresponsive = true })
 	case "platform-slow":
-		w.setPlatform(one.length, func(f *platformstub.Faults) { f.Delay = 500 * time.Millisecond })
+		w.setPlatform(injected.length, func(f *platformstub.Faults) { f.Delay = 500 * time.Millisecond })
 	case "lost-answers":
-		w.setPlatform(one.length, func(f *platformstub.Faults) { f.DropResponses = one.count })
+		w.setPlatform(injected.length, func(f *platformstub.Faults) { f.DropResponses = injected.count })
 	case "broken-watches":
 		w.setPlatform(time.Second, func(f *platformstub.Faults) { f.BreakWatches = true })
 	case "stale-machines":
 		w.site.Platform.SetMachinesFrozen(true)
-		time.Sleep(one.length)
+		time.Sleep(injected.length)
 		w.site.Platform.SetMachinesFrozen(false)
 	case "kill":
 		if w.markStopped(daemon) {
 			w.site.KillDaemon(daemon)
-			time.Sleep(one.length)
+			time.Sleep(injected.length)
 			w.restartDaemon(daemon)
 		}
 	case "planned-stop":
-		w.plannedStop(daemon, one.length)
+		w.plannedStop(daemon, injected.length)
 	case "cut-daemons":
 		w.net.SetPartitioned(daemon, other, true)
-		time.Sleep(one.length)
+		time.Sleep(injected.length)
 		w.net.SetPartitioned(daemon, other, false)
 	case "cut-platform":
 		w.net.SetPartitioned(daemon, "platform", true)
-		time.Sleep(one.length)
+		time.Sleep(injected.length)
 		w.net.SetPartitioned(daemon, "platform", false)
 	case "freeze":
 		w.net.SetFrozen(daemon, true)
-		time.Sleep(one.length)
+		time.Sleep(injected.length)
 		w.net.SetFrozen(daemon, false)
 	case "drain":
 		for _, backend := range backends {
 			backend.Stub.SetDraining(true)
 		}
-		time.Sleep(one.length)
+		time.Sleep(injected.length)
 		for _, backend := range backends {
 			backend.Stub.SetDraining(false)
 		}
 	case "race":
-		w.raceOperators(one.count)
+		w.raceOperators(injected.count)
 	case "frozen-backend":
-		w.breakBackends(backends, backendstub.FaultFreeze, one.length)
+		w.breakBackends(backends, backendstub.FaultFreeze, injected.length)
 	default:
-		w.breakBackends(backends, backendstub.Fault(one.kind), one.length)
+		w.breakBackends(backends, backendstub.Fault(injected.kind), injected.length)
 	}
 }
 
@@ -259,10 +259,10 @@
 	w := &faultRun{ctx: ctx, net: net, site: running, stopped: make(map[string]bool)}
 	watch := recordRevisionRegressions(w)
 	begun := time.Now()
-	for _, one := range faults {
+	for _, injected := range faults {
 		w.injections.Go(func() {
-			time.Sleep(one.at)
-			w.inject(one)
+			time.Sleep(injected.at)
+			w.inject(injected)
 		})
 	}
 	result := w.sendLoad(1, scheduleLength)
@@ -351,7 +351,7 @@
 // TestCheckersCanFail violates each guarantee on purpose and checks that its checker
 // reports it.
 func TestCheckersCanFail(t *testing.T) {
-	for _, one := range []struct {
+	for _, test := range []struct {
 		name    string
 		violate func(w *faultRun, result *load.Result)
 	}{
@@ -388,14 +388,14 @@
 			}
 		}},
 	} {
-		t.Run(one.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			runVirtual(t, smallSite(), func(ctx context.Context, net *fakenet.Net, running *site.Site) {
 				w := &faultRun{ctx: ctx, net: net, site: running, stopped: make(map[string]bool)}
 				result := w.sendLoad(1, 5*time.Second)
 				w.checkResult(result)
 				w.checkProbes()
 				require.Empty(t, w.problems)
-				one.violate(w, result)
+				test.violate(w, result)
 				w.checkResult(result)
 				w.checkProbes()
 				require.NotEmpty(t, w.problems)
--- a/lab/site/watch_test.go
+++ b/lab/site/watch_test.go
@@ -49,12 +49,12 @@
 				return
 			case <-ticker.C:
 			}
-			for name, one := range running.Daemons() {
-				revision := one.Document().Revision
-				if revision < seen[one] {
-					report(name, seen[one], revision)
+			for name, member := range running.Daemons() {
+				revision := member.Document().Revision
+				if revision < seen[member] {
+					report(name, seen[member], revision)
 				}
-				seen[one] = revision
+				seen[member] = revision
 			}
 		}
 	})
