--- a/lab/objectstub/limit_test.go
+++ b/lab/objectstub/limit_test.go
@@ -79,7 +79,7 @@
 	return load
 }
 
-// randomLoad is a load that can be interrupted.
+// randomLoad is a load that can be paused.
 type randomLoad struct {
 	backgroundLoad
 	fleet         *fleet
--- a/lab/site/site.go
+++ b/lab/site/site.go
@@ -63,7 +63,7 @@
 type Site struct {
 	options     Options
 	Platform    *platformstub.Stub
-	platformURL string // URL
+	platformURL string
 	Backends    []*Backend
 
 	mutex   sync.Mutex
@@ -336,8 +336,8 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	running := make(map[string]*daemon.Daemon, len(s.daemons))
-	for name, one := range s.daemons {
-		running[name] = one
+	for name, member := range s.daemons {
+		running[name] = member
 	}
 	return running
 }
