--- a/lab/site/schedule_test.go
+++ b/lab/site/schedule_test.go
@@ -189,7 +189,7 @@
 	}
 }
 
-// plannedStop performs a planned stop of a daemon and starts it again.
+// plannedStop performs a planned stop of a daemon, which must not cut requests, and starts it again.
 func (w *faultRun) plannedStop(name string, length time.Duration) {
 	if !w.markStopped(name) {
 		return
