--- a/lab/datapath/datapath.go
+++ b/lab/datapath/datapath.go
@@ -81,7 +81,7 @@
 
 func measure(ctx context.Context, one way, options Options) (Result, error) {
 	running, err := site.Start(ctx, site.Options{
-		Zones: []string{"zone-a"}, Daemons: 1, Decisions: one.decisions, LogLevel: "info", LogOutput: io.Discard,
+		Zones: []string{"zone-a"}, Daemons: 1, LogDecisions: one.decisions, LogLevel: "info", LogOutput: io.Discard,
 		Services: []site.Service{{
 			Config: config.Service{Name: "work", Slots: 64}, Backends: one.backends, Backend: backendstub.Options{Slots: 64, FixedServiceTime: true},
 		}},
--- a/lab/labcommand/site.go
+++ b/lab/labcommand/site.go
@@ -91,7 +91,7 @@
 	fmt.Fprintf(c.out, "starting: platform, 3 zones, 4 daemons, %d back ends\n", chosen.readers+chosen.changers+chosen.keepers)
 	options := site.Options{Zones: []string{"zone-a", "zone-b", "zone-c"}, Daemons: 4, Services: chosen.services(), StopNotice: 500 * time.Millisecond}
 	if c.Verbose {
-		options.LogOutput, options.LogLevel, options.Decisions = c.out, "info", true
+		options.LogOutput, options.LogLevel, options.LogDecisions = c.out, "info", true
 	}
 	running, err := site.Start(ctx, options)
 	if err != nil {
--- a/lab/site/site.go
+++ b/lab/site/site.go
@@ -45,8 +45,8 @@
 	LogOutput  io.Writer
 	LogLevel   string
 	StopNotice time.Duration // notice of a planned stop
-	// Decisions enables the log line of each routing decision.
-	Decisions bool
+	// LogDecisions enables the log line of each routing decision.
+	LogDecisions bool
 }
 
 // Backend is a running back end.
@@ -188,7 +188,7 @@
 		Listen:   settings.Listen{Caller: address, Peer: address, Forward: address, Admin: address},
 		Platform: settings.Platform{Address: s.platformURL},
 		Stop:     settings.Stop{Notice: config.Duration(s.options.StopNotice)},
-		Log:      settings.Log{Level: s.options.LogLevel, Decisions: s.options.Decisions},
+		Log:      settings.Log{Level: s.options.LogLevel, Decisions: s.options.LogDecisions},
 	}
 	daemonSettings.SetDefaults()
 	if err := daemonSettings.Validate(); err != nil {
--- a/logging/bound.go
+++ b/logging/bound.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// HasDropped receives when lines have been left out.
-func (b *Limiter) HasDropped() <-chan struct{} {
+// DroppedSignal receives when lines have been left out.
+func (b *Limiter) DroppedSignal() <-chan struct{} {
 	return b.pending
 }
 
--- a/logging/leftout.go
+++ b/logging/leftout.go
@@ -24,7 +24,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-bound.HasDropped():
+		case <-bound.DroppedSignal():
 		}
 		wait.Sleep(ctx, reportInterval)
 		for kind, lines := range bound.TakeDropped() {
