--- a/lab/datapath/datapath.go
+++ b/lab/datapath/datapath.go
@@ -81,7 +81,7 @@
 
 func measure(ctx context.Context, work workload, options Options) (Result, error) {
 	deployment, err := site.Start(ctx, site.Options{
-		Zones: []string{"zone-a"}, Daemons: 1, Decisions: work.logDecisions, LogLevel: "info", LogOutput: io.Discard,
+		Zones: []string{"zone-a"}, Daemons: 1, LogDecisions: work.logDecisions, LogLevel: "info", LogOutput: io.Discard,
 		Services: []site.Service{{
 			Config: config.Service{Name: "work", Slots: 64}, Backends: work.backends, Backend: backendstub.Options{Slots: 64, FixedServiceTime: true},
 		}},
--- a/lab/labcommand/site.go
+++ b/lab/labcommand/site.go
@@ -92,7 +92,7 @@
 	fmt.Fprintf(c.out, "starting: platform, 3 zones, 4 daemons, %d back ends\n", selected.readBackends+selected.changeBackends+selected.archiveBackends)
 	options := site.Options{Zones: []string{"zone-a", "zone-b", "zone-c"}, Daemons: 4, Services: selected.services(), StopNotice: 500 * time.Millisecond}
 	if c.Verbose {
-		options.LogOutput, options.LogLevel, options.Decisions = c.out, "info", true
+		options.LogOutput, options.LogLevel, options.LogDecisions = c.out, "info", true
 	}
 	running, err := site.Start(ctx, options)
 	if err != nil {
--- a/lab/objectstub/older_rollout_test.go
+++ b/lab/objectstub/older_rollout_test.go
@@ -11,63 +11,63 @@
 	"github.com/tuliphall/tuliphall/lab/objectstub"
 )
 
-// TestRolledBackVersionStaysBackWhenStoreComesBackOlder lets the store lose that a bad version was taken back, or the whole order for it: it gets
-// nothing again, and the decision is recorded again.
+// TestRolledBackVersionStaysBackWhenStoreComesBackOlder loses the rollback of a bad version, or the whole order for
+// it, in a rollback of the store: the version gets no more requests, and the decision is recorded again.
 func TestRolledBackVersionStaysBackWhenStoreComesBackOlder(t *testing.T) {
 	var count atomic.Int64
 	half := func(*http.Request) bool { return count.Add(1)%2 == 0 }
-	for _, one := range []struct {
+	for _, test := range []struct {
 		name string
-		// copied is how long after the order the copy is taken; 0: right before it.
-		copied time.Duration
+		// snapshotDelay is the time after the order at which the snapshot is taken; 0: right before the order.
+		snapshotDelay time.Duration
 		// writes: the operator writes the order again.
 		writes bool
 	}{
 		{name: "the order was lost and is written again", writes: true},
-		{name: "the decision was lost", copied: time.Second},
-		{name: "the decision was lost, and the order is written again", copied: time.Second, writes: true},
+		{name: "the decision was lost", snapshotDelay: time.Second},
+		{name: "the decision was lost, and the order is written again", snapshotDelay: time.Second, writes: true},
 	} {
-		t.Run(one.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			runRollouts(t, func(f *fleet) {
-				stop := f.steadyLoad(100)
+				stop := f.startSteadyLoad(100)
 				defer stop()
 				time.Sleep(time.Second)
-				copied := f.store.Snapshot()
-				started := f.newVersion(half)
-				if one.copied > 0 {
-					time.Sleep(one.copied)
-					copied = f.store.Snapshot()
+				snapshot := f.store.Snapshot()
+				started := f.startNewVersion(half)
+				if test.snapshotDelay > 0 {
+					time.Sleep(test.snapshotDelay)
+					snapshot = f.store.Snapshot()
 				}
 				f.awaitState("rolled_back")
 				time.Sleep(2 * time.Second)
 				exposed := f.totalOf(started)
-				f.storeComesBackWith(copied, started)
-				if one.writes {
-					time.Sleep(writtenAgain)
-					f.orderVersion()
+				f.restoreStoreAndEntries(snapshot, started)
+				if test.writes {
+					time.Sleep(rewriteDelay)
+					f.startRollout()
 				}
 				f.awaitState("rolled_back")
-				time.Sleep(rolloutTime)
+				time.Sleep(rolloutDuration)
 				require.Equal(t, exposed, f.totalOf(started), "it got requests again")
 			})
 		})
 	}
 }
 
-// awaitState waits until the system has written a state of the rollout.
+// awaitState waits until the rollout has a state in the store.
 func (f *fleet) awaitState(state string) {
 	begun := time.Now()
-	for f.state() != state {
-		require.Less(f.t, time.Since(begun), 2*rolloutTime)
+	for f.rolloutState() != state {
+		require.Less(f.t, time.Since(begun), 2*rolloutDuration)
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// storeComesBackWith lets the store come back from a copy, to which back ends then write their entries again.
-func (f *fleet) storeComesBackWith(copied objectstub.Snapshot, again []*worker) {
-	f.storeComesBack(copied)
+// restoreStoreAndEntries restores a snapshot of the store, after which back ends rewrite their entries.
+func (f *fleet) restoreStoreAndEntries(snapshot objectstub.Snapshot, again []*worker) {
+	f.restoreStore(snapshot)
 	time.Sleep(time.Second)
-	for _, one := range again {
-		f.announce(one, "ready")
+	for _, worker := range again {
+		f.writeEntry(worker, "ready")
 	}
 }
