--- a/lab/objectstub/rollout_test.go
+++ b/lab/objectstub/rollout_test.go
@@ -133,7 +133,7 @@
 	}{
 		{"fails half", half, func(*fleet) {}},
 		{"fails what may not be repeated", func(r *http.Request) bool { return r.Method == http.MethodPost }, func(*fleet) {}},
-		{"fails half, store down", half, func(f *fleet) {
+		{"fails half with the store down", half, func(f *fleet) {
 			time.Sleep(500 * time.Millisecond)
 			f.store.SetFaults(objectstub.Faults{Down: true})
 			time.Sleep(6 * time.Second)
