--- a/docs/capacity_test.go
+++ b/docs/capacity_test.go
@@ -1,4 +1,5 @@
-// Package docs holds no code; its test keeps the pages true to the results.
+// Package docs contains only tests, which check the documentation pages against
+// the recorded results.
 package docs
 
 import (
@@ -14,64 +15,67 @@
 	"github.com/stretchr/testify/require"
 )
 
-// figure finds a number with its source, such as 2683 [claims:1000:operations_per_second].
-var figure = regexp.MustCompile(`(-?[0-9][0-9,.]*) \[([a-z-]+):([^:\]]+):([a-z0-9_]+)\]`)
+// figurePattern matches a number followed by its source (file, row and field), such as
+// 2683 [claims:1000:operations_per_second].
+var figurePattern = regexp.MustCompile(`(-?[0-9][0-9,.]*) \[([a-z-]+):([^:\]]+):([a-z0-9_]+)\]`)
 
-type row map[string]any
+// resultRow is one row of a results file, keyed by field name.
+type resultRow map[string]any
 
-// read returns the rows of a results file, by what names them on the page.
-func read(t *testing.T, name string) map[string]row {
+// readResults returns the rows of a results file, keyed by the row name used on the page.
+func readResults(t *testing.T, name string) map[string]resultRow {
 	t.Helper()
 	data, err := os.ReadFile("results/" + name + ".json")
 	require.NoError(t, err)
-	rows := make(map[string]row)
+	rows := make(map[string]resultRow)
 	switch name {
 	case "claims":
-		var results []row
+		var results []resultRow
 		require.NoError(t, json.Unmarshal(data, &results))
-		for _, one := range results {
-			rows[fmt.Sprint(one["callers"])] = one
+		for _, result := range results {
+			rows[fmt.Sprint(result["callers"])] = result
 		}
 	case "data-path":
-		var results []row
+		var results []resultRow
 		require.NoError(t, json.Unmarshal(data, &results))
-		for _, one := range results {
-			rows[fmt.Sprintf("%v/%v/%v", one["load"], one["backends"], one["log_decisions"])] = one
+		for _, result := range results {
+			rows[fmt.Sprintf("%v/%v/%v", result["load"], result["backends"], result["log_decisions"])] = result
 		}
 	}
 	return rows
 }
 
-// TestCapacityFigures checks that each figure on CAPACITY.md stands in the results
-// file, to the digits that the page gives.
+// TestCapacityFigures checks that each sourced figure in CAPACITY.md equals the value in its
+// results file, rounded to the number of decimals that the page shows.
 func TestCapacityFigures(t *testing.T) {
 	page, err := os.ReadFile("CAPACITY.md")
 	require.NoError(t, err)
-	files := make(map[string]map[string]row)
-	found := figure.FindAllStringSubmatch(string(page), -1)
-	require.Greater(t, len(found), 20)
-	for _, match := range found {
+	files := make(map[string]map[string]resultRow)
+	figures := figurePattern.FindAllStringSubmatch(string(page), -1)
+	require.Greater(t, len(figures), 20)
+	for _, match := range figures {
 		if files[match[2]] == nil {
-			files[match[2]] = read(t, match[2])
+			files[match[2]] = readResults(t, match[2])
 		}
-		one, known := files[match[2]][match[3]]
-		require.True(t, known, "no row %s in %s", match[3], match[2])
-		value, known := one[match[4]].(float64)
-		require.True(t, known, "no figure %s in row %s", match[4], match[3])
+		row, known := files[match[2]][match[3]]
+		require.True(t, known, "results file %s has no row %s", match[2], match[3])
+		value, isNumber := row[match[4]].(float64)
+		require.True(t, isNumber, "row %s of results file %s has no numeric field %s", match[3], match[2], match[4])
 		text := strings.ReplaceAll(match[1], ",", "")
-		digits := 0
+		decimals := 0
 		if _, fraction, has := strings.Cut(text, "."); has {
-			digits = len(fraction)
+			decimals = len(fraction)
 		}
-		require.Equal(t, strconv.FormatFloat(value, 'f', digits, 64), text, match[0])
+		require.Equal(t, strconv.FormatFloat(value, 'f', decimals, 64), text, match[0])
 	}
 }
 
-// section returns what stands below a heading, up to the next one of its level or above.
+// section returns the text below a heading, up to the next heading of the same or a higher
+// level.
 func section(t *testing.T, page, heading string) string {
 	t.Helper()
 	_, rest, found := strings.Cut(page, heading)
-	require.True(t, found, heading)
+	require.True(t, found, "page has no heading %q", heading)
 	level, _, _ := strings.Cut(heading, " ")
 	for line := range strings.SplitSeq(rest, "\n") {
 		if hashes, _, _ := strings.Cut(line, " "); hashes != "" && strings.Trim(hashes, "#") == "" && len(hashes) <= len(level) {
@@ -82,9 +86,9 @@
 	return rest
 }
 
-// rowsOf returns the cells of the rows of the table below a heading of a page, without its
-// head.
-func rowsOf(t *testing.T, page, heading string) [][]string {
+// tableRows returns the cells of each row of the table below a heading, without the table's
+// header and delimiter rows.
+func tableRows(t *testing.T, page, heading string) [][]string {
 	t.Helper()
 	var rows [][]string
 	for line := range strings.SplitSeq(section(t, page, heading), "\n") {
@@ -96,8 +100,9 @@
 	return rows[2:]
 }
 
-// sweeps are the deployments that were swept, by the file that keeps what was printed.
-var sweeps = map[string]string{
+// sweepHeadings maps the file with the output of a sweep to the heading of its deployment in
+// CAPACITY.md.
+var sweepHeadings = map[string]string{
 	"sweep-large":     "### The large deployment",
 	"sweep-shifted":   "### The shifted deployment",
 	"sweep-kingston":  "### Kingston",
@@ -105,36 +110,37 @@
 	"sweep-southeast": "### Southeast",
 }
 
-// TestSweepFigures checks that each row of a sweep's table stands as it is in what the sweep
-// printed, and that no sweep broke a rule.
+// TestSweepFigures checks that the compared columns of each row of a sweep's table match a
+// line of the sweep's output, and that no sweep reported a broken rule.
 func TestSweepFigures(t *testing.T) {
 	page, err := os.ReadFile("CAPACITY.md")
 	require.NoError(t, err)
-	for file, heading := range sweeps {
-		printed, err := os.ReadFile("results/" + file + ".txt")
+	for file, heading := range sweepHeadings {
+		output, err := os.ReadFile("results/" + file + ".txt")
 		require.NoError(t, err)
-		require.NotContains(t, string(printed), "BROKEN", file)
-		var known []string // the figures of a line, by single spaces
-		for line := range strings.SplitSeq(string(printed), "\n") {
-			known = append(known, strings.Join(strings.Fields(line), " "))
+		require.NotContains(t, string(output), "BROKEN", file)
+		var outputLines []string // with each run of white space replaced by one space
+		for line := range strings.SplitSeq(string(output), "\n") {
+			outputLines = append(outputLines, strings.Join(strings.Fields(line), " "))
 		}
-		rows := rowsOf(t, string(page), heading)
+		rows := tableRows(t, string(page), heading)
 		require.GreaterOrEqual(t, len(rows), 8, heading)
 		for _, cells := range rows {
-			const sizes, power, most = 3, 4, 6
-			figures := append(slices.Clone(cells[1:1+sizes]), cells[power], cells[most])
+			// The column "at 850" (5) is not compared.
+			const sizeColumns, powerColumn, largestSizeColumn = 3, 4, 6
+			figures := append(slices.Clone(cells[1:1+sizeColumns]), cells[powerColumn], cells[largestSizeColumn])
 			want := strings.Join(strings.Fields(strings.Join(figures, " ")), " ")
-			require.True(t, slices.ContainsFunc(known, func(line string) bool { return strings.HasSuffix(line, want) }), "%s, %s: %s", heading, cells[0], want)
+			require.True(t, slices.ContainsFunc(outputLines, func(line string) bool { return strings.HasSuffix(line, want) }), "%s, row %s: no line of the sweep output ends in %q", heading, cells[0], want)
 		}
 	}
 }
 
-// TestCapacityRows checks that every row of the roles names a slope, a mechanism and
-// a bound.
+// TestCapacityRows checks that every row of the table of roles fills in all of its columns,
+// including the mechanism and the slope and bound.
 func TestCapacityRows(t *testing.T) {
 	page, err := os.ReadFile("CAPACITY.md")
 	require.NoError(t, err)
-	rows := rowsOf(t, string(page), "## Roles")
+	rows := tableRows(t, string(page), "## Roles")
 	for _, cells := range rows {
 		require.Len(t, cells, 7)
 		for _, cell := range cells {
