--- a/docs/capacity_test.go
+++ b/docs/capacity_test.go
@@ -58,9 +58,9 @@
 			files[match[2]] = readResults(t, match[2])
 		}
 		row, known := files[match[2]][match[3]]
-		require.True(t, known, "results file %s has no row %s", match[2], match[3])
+		require.True(t, known, "no row %s in %s", match[3], match[2])
 		value, isNumber := row[match[4]].(float64)
-		require.True(t, isNumber, "row %s of results file %s has no numeric field %s", match[3], match[2], match[4])
+		require.True(t, isNumber, "no figure %s in row %s", match[4], match[3])
 		text := strings.ReplaceAll(match[1], ",", "")
 		decimals := 0
 		if _, fraction, has := strings.Cut(text, "."); has {
@@ -75,7 +75,7 @@
 func section(t *testing.T, page, heading string) string {
 	t.Helper()
 	_, rest, found := strings.Cut(page, heading)
-	require.True(t, found, "page has no heading %q", heading)
+	require.True(t, found, heading)
 	level, _, _ := strings.Cut(heading, " ")
 	for line := range strings.SplitSeq(rest, "\n") {
 		if hashes, _, _ := strings.Cut(line, " "); hashes != "" && strings.Trim(hashes, "#") == "" && len(hashes) <= len(level) {
