--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// benchSizes are numbers of back ends of a service, up to more than the fleet is designed for.
+// benchSizes are the numbers of back ends to measure with, up to more than a service is designed to
+// have.
 var benchSizes = []int{10, 100, 415, 1000}
 
 // benchZones is the number of zones of the back ends and daemons.
@@ -16,17 +17,17 @@
 func newBenchGroup(count int) *Group {
 	var backends []Backend
 	for number := range count {
-		backends = append(backends, Backend{ID: fmt.Sprint(number), Zone: zoneOf(number), Slots: 6, Window: 6, Warm: true})
+		backends = append(backends, Backend{ID: fmt.Sprint(number), Zone: benchZone(number), Slots: 6, Window: 6, Warm: true})
 	}
 	group := newTestGroup(backends...)
 	for number, state := range group.states {
-		group.RecordReport(state, reportOf(number), false, start)
+		group.RecordReport(state, benchReport(number), false, start)
 	}
 	return group
 }
 
-// reportOf is the load report of a back end; one in ten is disturbed.
-func reportOf(number int) Report {
+// benchReport returns the load report of a back end; one in ten is disturbed.
+func benchReport(number int) Report {
 	report := Report{InFlight: 1, Slowdown: 1 + float64(number%97)/500}
 	if number%10 == 0 {
 		report.Slowdown *= 3
@@ -34,13 +35,15 @@
 	return report
 }
 
-func zoneOf(number int) string {
+// benchZone returns the zone of the back end or daemon with a number.
+func benchZone(number int) string {
 	return fmt.Sprint("zone ", number%benchZones)
 }
 
-// requestFrom is the request of a daemon in one of the zones.
-func requestFrom(number int) Request {
-	return Request{Zone: zoneOf(number), Repeatable: number%2 == 0}
+// benchRequest returns a request from a daemon in one of the zones, repeatable for every other
+// number.
+func benchRequest(number int) Request {
+	return Request{Zone: benchZone(number), Repeatable: number%2 == 0}
 }
 
 // BenchmarkPickAndFinish measures the cost of a request for its dispatcher, with back ends that
@@ -49,36 +52,36 @@
 	for _, count := range benchSizes {
 		b.Run(fmt.Sprintf("%d back ends", count), func(b *testing.B) {
 			group, now, number := newBenchGroup(count), start, 0
-			var held []PickResult
+			var inFlight []PickResult
 			b.ReportAllocs()
 			for b.Loop() {
 				now = now.Add(time.Millisecond)
 				number++
-				if picked, ok := group.Pick(now, requestFrom(number)); ok {
-					held = append(held, picked)
+				if picked, ok := group.Pick(now, benchRequest(number)); ok {
+					inFlight = append(inFlight, picked)
 				}
-				if len(held) > 2*count {
-					group.RecordReport(held[0].Backend, reportOf(number), false, now)
-					group.Done(held[0], now, Success, serviceTime)
-					held = held[1:]
+				if len(inFlight) > 2*count {
+					group.RecordReport(inFlight[0].Backend, benchReport(number), false, now)
+					group.Done(inFlight[0], now, Success, serviceTime)
+					inFlight = inFlight[1:]
 				}
 			}
 		})
 	}
 }
 
-// BenchmarkNoPlace measures the cost of looking for a back end while all are full, as is done for
-// the first waiting request whenever anything changes.
-func BenchmarkNoPlace(b *testing.B) {
+// BenchmarkPickWithoutCapacity measures the cost of a pick while all back ends are full. The first
+// waiting request causes one whenever the state of a back end changes.
+func BenchmarkPickWithoutCapacity(b *testing.B) {
 	for _, count := range benchSizes {
 		b.Run(fmt.Sprintf("%d back ends", count), func(b *testing.B) {
 			group := newBenchGroup(count)
 			for ok := true; ok; {
-				_, ok = group.Pick(start, requestFrom(0))
+				_, ok = group.Pick(start, benchRequest(0))
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, ok := group.Pick(start, requestFrom(1)); ok {
+				if _, ok := group.Pick(start, benchRequest(1)); ok {
 					b.Fatal("a back end had free capacity")
 				}
 			}
@@ -86,22 +89,21 @@
 	}
 }
 
-// BenchmarkStaleTarget measures the cost of finding the target of a load probe, with requests from
-// every zone.
+// BenchmarkStaleTarget measures the cost of LoadProbeTarget with requests from every zone.
 func BenchmarkStaleTarget(b *testing.B) {
 	for _, count := range benchSizes {
 		b.Run(fmt.Sprintf("%d back ends", count), func(b *testing.B) {
-			group, now, asked := newBenchGroup(count), start, 0
+			group, now, probes := newBenchGroup(count), start, 0
 			for number := range 2 * benchZones {
-				group.Pick(now, requestFrom(number))
+				group.Pick(now, benchRequest(number))
 			}
 			b.ReportAllocs()
 			for b.Loop() {
 				now = now.Add(time.Millisecond)
 				group.probeCredit = maxProbeCredit
 				if target, wanted := group.LoadProbeTarget(now, 25*time.Millisecond, 0); wanted {
-					asked++
-					group.RecordLoadProbe(now, target, reportOf(asked))
+					probes++
+					group.RecordLoadProbe(now, target, benchReport(probes))
 				}
 			}
 		})
--- a/routing/exclusion_test.go
+++ b/routing/exclusion_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against requests to a back end that the request's daemon must not use, in every way in
+// Guards against sending a request to a back end that it is excluded from, whatever the reason for
 // which a back end is chosen.
 func TestExcludedBackendsAreNotReached(t *testing.T) {
 	excluded := Backend{ID: "excluded", Slots: 2, Warm: true}
@@ -18,22 +18,22 @@
 		request  Request
 		prepare  func(group *Group)
 	}{
-		"beside another":        {backends: []Backend{other, excluded}},
-		"the only one":          {backends: []Backend{excluded}},
-		"a retry":               {backends: []Backend{other, excluded}, request: Request{Tried: []string{"other"}, Repeatable: true}},
-		"bound to it":           {backends: []Backend{excluded}, request: Request{Session: "a"}},
-		"it has had no request": {backends: []Backend{other, excluded}, prepare: func(group *Group) { group.State("excluded").used = false }},
-		"its trial is due": {backends: []Backend{excluded}, request: Request{Repeatable: true}, prepare: func(group *Group) {
+		"one of two back ends": {backends: []Backend{other, excluded}},
+		"only back end":        {backends: []Backend{excluded}},
+		"retry":                {backends: []Backend{other, excluded}, request: Request{Tried: []string{"other"}, Repeatable: true}},
+		"session bound to it":  {backends: []Backend{excluded}, request: Request{Session: "a"}},
+		"first request":        {backends: []Backend{other, excluded}, prepare: func(group *Group) { group.State("excluded").used = false }},
+		"trial due": {backends: []Backend{excluded}, request: Request{Repeatable: true}, prepare: func(group *Group) {
 			group.State("excluded").health.RecordExit(start)
 		}},
-		"many are ejected": {backends: []Backend{other, excluded}, prepare: func(group *Group) {
+		"both have failed": {backends: []Backend{other, excluded}, prepare: func(group *Group) {
 			for _, state := range group.States() {
 				for range 5 {
 					state.health.RecordFailure(start)
 				}
 			}
 		}},
-		"of another region": {backends: []Backend{{ID: "excluded", Slots: 2, Warm: true, OtherRegion: true}}},
+		"in another region": {backends: []Backend{{ID: "excluded", Slots: 2, Warm: true, OtherRegion: true}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			group := newSlowStartGroup(1, test.backends...)
@@ -51,12 +51,12 @@
 			}
 			request.Excluded = nil
 			total, _ = countPicks(group, "excluded", 15*time.Second, request)
-			require.Positive(t, total, "others may reach it")
+			require.Positive(t, total, "requests without the exclusion get the back end")
 		})
 	}
 }
 
-// A waiting request can be sent to the back end once the exclusion has ended.
+// A request can be sent to the back end once its exclusion has ended.
 func TestExpiredExclusionPermitsRequest(t *testing.T) {
 	group := newSlowStartGroup(1, Backend{ID: "a", Slots: 2, Warm: true})
 	request := Request{Excluded: []Exclusion{{Backend: "a", Until: start.Add(time.Second)}}}
@@ -71,9 +71,10 @@
 	require.False(t, all)
 }
 
-// AllExcluded returns the earliest end of an exclusion, of the back ends that take requests.
+// AllExcluded returns the earliest end of the exclusions from back ends that take requests; draining
+// ones do not count.
 func TestAllExcluded(t *testing.T) {
-	group := newSlowStartGroup(1, Backend{ID: "a", Slots: 2}, Backend{ID: "b", Slots: 2}, Backend{ID: "leaves", Slots: 2, Drained: true})
+	group := newSlowStartGroup(1, Backend{ID: "a", Slots: 2}, Backend{ID: "b", Slots: 2}, Backend{ID: "draining", Slots: 2, Drained: true})
 	after := func(id string, seconds int) Exclusion {
 		return Exclusion{Backend: id, Until: start.Add(time.Duration(seconds) * time.Second)}
 	}
@@ -82,11 +83,11 @@
 		all      bool
 		until    time.Time
 	}{
-		"none":                 {},
-		"one of two":           {excluded: []Exclusion{after("a", 3)}},
-		"both":                 {excluded: []Exclusion{after("a", 5), after("b", 3), after("leaves", 1)}, all: true, until: start.Add(3 * time.Second)},
-		"one of them for good": {excluded: []Exclusion{{Backend: "a"}, after("b", 3)}, all: true, until: start.Add(3 * time.Second)},
-		"both for good":        {excluded: []Exclusion{{Backend: "a"}, {Backend: "b"}}, all: true},
+		"no exclusion":             {},
+		"one of two back ends":     {excluded: []Exclusion{after("a", 3)}},
+		"both back ends":           {excluded: []Exclusion{after("a", 5), after("b", 3), after("draining", 1)}, all: true, until: start.Add(3 * time.Second)},
+		"both, one without an end": {excluded: []Exclusion{{Backend: "a"}, after("b", 3)}, all: true, until: start.Add(3 * time.Second)},
+		"both without an end":      {excluded: []Exclusion{{Backend: "a"}, {Backend: "b"}}, all: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			until, all := group.AllExcluded(start, Request{Excluded: test.excluded})
@@ -96,7 +97,7 @@
 	}
 }
 
-// A back end that asked this daemon for a pause gets no probes from it until the end of the pause.
+// A back end that asked this daemon for a pause gets no probes from it until the pause has ended.
 func TestPausedBackendsAreNotProbed(t *testing.T) {
 	group := newSlowStartGroup(1, Backend{ID: "a", Slots: 2, Warm: true})
 	group.SetPause("a", start.Add(time.Minute))
@@ -113,8 +114,8 @@
 	require.True(t, wanted)
 }
 
-// BenchmarkPickWithExclusions measures a pick for a request that is excluded from 64 of 256 back
-// ends.
+// BenchmarkPickWithExclusions measures the cost of a pick for a request that is excluded from 64 of
+// 256 back ends.
 func BenchmarkPickWithExclusions(b *testing.B) {
 	var backends []Backend
 	request := Request{}
--- a/routing/learning_test.go
+++ b/routing/group_test.go
@@ -25,9 +25,8 @@
 	return picked
 }
 
-// Requests avoid a back end that has just reported a disturbance, and return to it once the report
-// is old.
-func TestSlowdownIsAvoidedWhileFresh(t *testing.T) {
+// Requests avoid a back end that has just reported a disturbance, until the report is old.
+func TestDisturbedBackendIsAvoidedWhileReportIsFresh(t *testing.T) {
 	group := newTestGroup(Backend{ID: "a", Slots: 3, Window: 3}, Backend{ID: "b", Slots: 3, Window: 3})
 	a, b := group.byID["a"], group.byID["b"]
 	for range 50 {
@@ -40,11 +39,11 @@
 	}
 	later := start.Add(2 * time.Second)
 	require.InDelta(t, 2, a.slowdown.expected(later), 0.2)
-	require.Equal(t, "a", mustPick(t, group, later, "").Backend.ID, "the report is old, a holds fewer requests")
+	require.Equal(t, "a", mustPick(t, group, later, "").Backend.ID, "the report is old, and a has fewer requests in flight")
 }
 
-// The own zone is preferred among equal back ends, but not a disturbed back end in it.
-func TestOwnZoneFirst(t *testing.T) {
+// Of equal back ends the one in the request's zone is picked, but not if it is disturbed.
+func TestOwnZoneIsPreferredUnlessDisturbed(t *testing.T) {
 	group := newTestGroup(Backend{ID: "a", Zone: "here", Slots: 3, Window: 3}, Backend{ID: "b", Zone: "there", Slots: 3, Window: 3})
 	group.RecordReport(group.byID["a"], Report{Slowdown: 1}, false, start)
 	group.RecordReport(group.byID["b"], Report{Slowdown: 1}, false, start)
@@ -57,35 +56,35 @@
 	require.Equal(t, "b", mustPick(t, group, start, "here").Backend.ID)
 }
 
-// measureConcurrency serves requests from a back end with so many slots, as many at a time as the
-// group permits, and returns the mean number in flight over the last rounds. With more than kneeAt
-// in flight, each request takes slowdown times as long.
+// measureConcurrency simulates a back end that always has as many requests in flight as the group
+// permits, and returns their mean number over the last rounds. With more than kneeAt in flight, each
+// request takes slowdown times as long.
 func measureConcurrency(slots, kneeAt int, slowdown float64) float64 {
 	group := newTestGroup(Backend{ID: "a", Slots: slots, Window: slots})
 	const rounds, measured = 600, 400
 	now, sum := start, 0
 	for round := range rounds {
-		var held []PickResult
+		var picks []PickResult
 		for picked, ok := group.Pick(now, Request{}); ok; picked, ok = group.Pick(now, Request{}) {
-			held = append(held, picked)
+			picks = append(picks, picked)
 		}
 		if round >= rounds-measured {
-			sum += len(held)
+			sum += len(picks)
 		}
 		latency := serviceTime
-		if len(held) > kneeAt {
+		if len(picks) > kneeAt {
 			latency = time.Duration(slowdown * float64(serviceTime))
 		}
 		now = now.Add(latency)
-		for _, picked := range held {
+		for _, picked := range picks {
 			group.Done(picked, now, Success, latency)
 		}
 	}
 	return float64(sum) / measured
 }
 
-// As many requests are kept in flight at a back end as it has the highest throughput with, apart
-// from occasional trials of other numbers.
+// A back end gets as many requests in flight as it has the highest throughput with, apart from the
+// occasional exploration of other numbers.
 func TestConcurrencyIsLearned(t *testing.T) {
 	for _, test := range []struct {
 		slots, kneeAt int
@@ -94,10 +93,10 @@
 	}{
 		{3, 3, 1, 3},
 		{3, 2, 1.7, 2},
-		{3, 2, 1.2, 3}, // slower, but with more throughput
+		{3, 2, 1.2, 3}, // slower, but with a higher throughput
 		{6, 6, 1, 6},
 		{6, 4, 1.7, 4},
-		{6, 3, 2.5, 3}, // starting from half of its slots
+		{6, 3, 2.5, 3}, // half of the slots is the lower bound
 		{16, 8, 2.5, 8},
 	} {
 		measured := measureConcurrency(test.slots, test.kneeAt, test.slowdown)
@@ -105,8 +104,9 @@
 	}
 }
 
-// A slowdown reported by back ends is not attributed to the number of requests in flight.
-func TestConcurrencyOutlivesDisturbance(t *testing.T) {
+// A slowdown that back ends report is not attributed to the number of requests in flight, so that
+// disturbances do not lower the learned concurrency.
+func TestConcurrencyEstimateIgnoresReportedSlowdown(t *testing.T) {
 	group := newTestGroup(Backend{ID: "a", Slots: 4, Window: 4}, Backend{ID: "b", Slots: 4, Window: 4})
 	random := rand.New(rand.NewPCG(3, 4))
 	type running struct {
@@ -145,8 +145,8 @@
 	require.Equal(t, 4, group.concurrency.bySlots[4].best)
 }
 
-// A back end never gets more requests than its declared window, whatever it reports.
-func TestWindowIsKept(t *testing.T) {
+// A back end never has more requests in flight than its declared window, whatever it reports.
+func TestDeclaredWindowIsNotExceeded(t *testing.T) {
 	group := newTestGroup(Backend{ID: "a", Slots: 3, Window: 2})
 	for range 100 {
 		group.RecordReport(group.byID["a"], Report{InFlight: 0}, true, start)
@@ -157,44 +157,44 @@
 	require.False(t, ok)
 }
 
-// A back end that accepts requests and never answers gets hardly any, although it looks idle
-// whenever a request is abandoned.
-func TestSilentBackendIsLeftOut(t *testing.T) {
-	group := newTestGroup(Backend{ID: "silent", Slots: 3, Window: 3}, Backend{ID: "well", Slots: 3, Window: 3})
+// Guards against sending many requests to a back end that accepts them and never responds. It appears
+// idle whenever a request is abandoned.
+func TestSilentBackendGetsFewRequests(t *testing.T) {
+	group := newTestGroup(Backend{ID: "silent", Slots: 3, Window: 3}, Backend{ID: "responsive", Slots: 3, Window: 3})
 	for _, state := range group.states {
 		group.RecordReport(state, Report{Slowdown: 1}, false, start)
 		state.recordLatency(serviceTime, 1)
 	}
-	now, toSilent := start, 0
+	now, silentPicks := start, 0
 	for range 200 {
 		picked := mustPick(t, group, now, "")
 		if picked.Backend.ID == "silent" {
-			toSilent++
+			silentPicks++
 			now = now.Add(5 * serviceTime)
 			group.Done(picked, now, Canceled, 0)
 			continue
 		}
 		now = now.Add(serviceTime)
 		group.Done(picked, now, Success, serviceTime)
-		group.RecordReport(group.byID["well"], Report{Slowdown: 1}, false, now)
+		group.RecordReport(group.byID["responsive"], Report{Slowdown: 1}, false, now)
 	}
-	require.Less(t, toSilent, 20)
+	require.Less(t, silentPicks, 20)
 }
 
-// A request goes to a back end that has just reported no disturbance rather than to one that has
-// not reported yet. Among back ends without a recent report, a new one gets its turn.
-func TestUnknownIsNotPreferred(t *testing.T) {
-	group := newTestGroup(Backend{ID: "well", Slots: 3, Window: 3}, Backend{ID: "new", Slots: 3, Window: 3})
-	group.RecordReport(group.byID["well"], Report{Slowdown: 1}, false, start)
+// A back end that has just reported no disturbance is preferred to one that has not reported yet.
+// Without a recent report of either, the one with fewer requests in flight is picked.
+func TestUndisturbedIsPreferredToUnreported(t *testing.T) {
+	group := newTestGroup(Backend{ID: "undisturbed", Slots: 3, Window: 3}, Backend{ID: "new", Slots: 3, Window: 3})
+	group.RecordReport(group.byID["undisturbed"], Report{Slowdown: 1}, false, start)
 	first := mustPick(t, group, start.Add(5*time.Millisecond), "")
-	require.Equal(t, "well", first.Backend.ID)
+	require.Equal(t, "undisturbed", first.Backend.ID)
 	later := start.Add(2 * time.Second)
-	require.Equal(t, "new", mustPick(t, group, later, "").Backend.ID, "well holds a request, and its report is old")
+	require.Equal(t, "new", mustPick(t, group, later, "").Backend.ID, "the other has a request in flight, and its report is old")
 }
 
-// The slowdown expected of a back end whose only report is old is the one that the back ends of the
-// service usually report.
-func TestUsualIsThatOfAll(t *testing.T) {
+// The slowdown expected of a back end whose only report is old is the average of what the back ends
+// of the service report.
+func TestOldReportDecaysToCommonSlowdown(t *testing.T) {
 	var backends []Backend
 	for number := range 20 {
 		backends = append(backends, Backend{ID: string(rune('a' + number)), Slots: 3, Window: 3})
@@ -212,9 +212,10 @@
 	}
 }
 
-// A request that may run only once goes to another zone if a back end there is certainly
-// undisturbed; one that can be hedged goes to a back end of its own zone that probably is.
-func TestOnceOnlyGoesFarther(t *testing.T) {
+// A request that may run only once goes to another zone if a back end there has just reported that
+// it is undisturbed. A repeatable one, which can be hedged, goes to a back end of its own zone whose
+// report is 40 ms old.
+func TestNonRepeatableRequestLeavesZoneForUndisturbedBackend(t *testing.T) {
 	for _, repeatable := range []bool{true, false} {
 		group := newTestGroup(Backend{ID: "near", Zone: "here", Slots: 3, Window: 3}, Backend{ID: "far", Zone: "there", Slots: 3, Window: 3})
 		for _, state := range group.states {
@@ -231,8 +232,8 @@
 	}
 }
 
-// A request that is held for as long as it normally takes is no sign of a disturbance, although the
-// back ends of the service are usually slower than this one; a request held twice as long is.
+// A back end without a response for its usual latency does not count as stalled, although the other
+// back ends of the service are slower on average; after twice that latency it does.
 func TestBusyIsNotStalled(t *testing.T) {
 	group := newTestGroup(Backend{ID: "busy", Slots: 3, Window: 3}, Backend{ID: "other", Slots: 3, Window: 3})
 	busy := group.byID["busy"]
@@ -248,19 +249,19 @@
 }
 
 // While the other back ends could serve all requests, a new one gets its first request within one
-// second if it is known to be undisturbed, within two if it is not, and within three if no request
-// can be hedged.
-func TestNewcomersGetRequests(t *testing.T) {
+// second if it has reported that it is undisturbed, otherwise within two, or within three if no
+// request can be hedged.
+func TestNewBackendGetsFirstRequest(t *testing.T) {
 	for _, test := range []struct {
 		name       string
 		repeatable bool
-		reported   float64 // slowdown that a probe reports before firstRequestDelay; 0: none
+		reported   float64 // slowdown reported shortly before firstRequestDelay; 0: no report
 		within     time.Duration
 	}{
-		{"known to be well", false, 1, firstRequestDelay + 10*time.Millisecond},
-		{"known to be disturbed", true, 5, firstRequestHedgeableDelay + 10*time.Millisecond},
-		{"unknown", true, 0, firstRequestHedgeableDelay + 10*time.Millisecond},
-		{"unknown, no request can be hedged", false, 0, firstRequestMaxDelay + 10*time.Millisecond},
+		{"undisturbed", false, 1, firstRequestDelay + 10*time.Millisecond},
+		{"disturbed", true, 5, firstRequestHedgeableDelay + 10*time.Millisecond},
+		{"no report", true, 0, firstRequestHedgeableDelay + 10*time.Millisecond},
+		{"no report, requests not repeatable", false, 0, firstRequestMaxDelay + 10*time.Millisecond},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			group := newTestGroup(Backend{ID: "a", Slots: 3, Window: 3})
@@ -285,51 +286,53 @@
 	}
 }
 
-// No request begins at a back end that has just reported a disturbance while others hold requests.
-// One begins once the report is old, or at once if no other back end will get free capacity.
-func TestDisturbedIsHeldBack(t *testing.T) {
-	group := newTestGroup(Backend{ID: "well", Slots: 1, Window: 1}, Backend{ID: "disturbed", Slots: 1, Window: 1})
+// A request is deferred while the only back end with free capacity has just reported a disturbance,
+// until the report is old. It is not deferred if no other back end can get free capacity.
+func TestRequestsAreDeferredWhileBackendIsDisturbed(t *testing.T) {
+	group := newTestGroup(Backend{ID: "undisturbed", Slots: 1, Window: 1}, Backend{ID: "disturbed", Slots: 1, Window: 1})
 	for range 50 {
 		for _, state := range group.states {
 			group.RecordReport(state, Report{Slowdown: 2}, false, start)
 		}
 	}
-	group.RecordReport(group.byID["well"], Report{Slowdown: 1}, false, start)
+	group.RecordReport(group.byID["undisturbed"], Report{Slowdown: 1}, false, start)
 	group.RecordReport(group.byID["disturbed"], Report{Slowdown: 5}, false, start)
-	require.Equal(t, "well", mustPick(t, group, start, "").Backend.ID)
+	require.Equal(t, "undisturbed", mustPick(t, group, start, "").Backend.ID)
 	_, ok := group.Pick(start.Add(20*time.Millisecond), Request{})
 	require.False(t, ok)
 	picked := mustPick(t, group, start.Add(300*time.Millisecond), "")
 	require.Equal(t, "disturbed", picked.Backend.ID)
 
-	alone := newTestGroup(Backend{ID: "disturbed", Slots: 3, Window: 3})
-	alone.RecordReport(alone.byID["disturbed"], Report{Slowdown: 1}, false, start)
-	alone.RecordReport(alone.byID["disturbed"], Report{Slowdown: 9}, false, start)
-	require.Equal(t, "disturbed", mustPick(t, alone, start, "").Backend.ID)
+	single := newTestGroup(Backend{ID: "disturbed", Slots: 3, Window: 3})
+	single.RecordReport(single.byID["disturbed"], Report{Slowdown: 1}, false, start)
+	single.RecordReport(single.byID["disturbed"], Report{Slowdown: 9}, false, start)
+	require.Equal(t, "disturbed", mustPick(t, single, start, "").Backend.ID)
 }
 
-// One request more than is known to be good is put in flight only if no back end has free capacity.
-func TestOthersAreTriedWhilePlacesAreShort(t *testing.T) {
+// A back end gets one request more in flight than its initial bound only if no back end has free
+// capacity.
+func TestConcurrencyIsExploredOnlyWhenCapacityIsShort(t *testing.T) {
 	group := newTestGroup(Backend{ID: "a", Slots: 6, Window: 6}, Backend{ID: "b", Slots: 6, Window: 6})
 	for range 2 * 4 {
 		mustPick(t, group, start, "")
 	}
-	require.Equal(t, []int{4, 4}, []int{group.byID["a"].InFlight, group.byID["b"].InFlight}, "two thirds of the slots first")
+	require.Equal(t, []int{4, 4}, []int{group.byID["a"].InFlight, group.byID["b"].InFlight}, "the initial bound is two thirds of the slots")
 	added := 0
 	for range 10 {
 		if _, ok := group.Pick(start, Request{}); ok {
 			added++
 		}
 	}
-	require.LessOrEqual(t, added, 2, "one more each")
+	require.LessOrEqual(t, added, 2, "one more at each back end")
 }
 
-// A hint from another daemon applies until this daemon has enough samples.
-func TestAdviceCounts(t *testing.T) {
+// The concurrency hint of another daemon applies until this daemon has enough samples. Hints for
+// unknown back ends or outside the range of slots are ignored.
+func TestConcurrencyHintAppliesUntilLearned(t *testing.T) {
 	group := newTestGroup(Backend{ID: "a", Slots: 3, Window: 3})
 	group.SetConcurrencyHint("a", 3)
 	require.Equal(t, 3, group.BestInFlight("a"))
-	group.SetConcurrencyHint("gone", 1)
+	group.SetConcurrencyHint("unknown", 1)
 	group.SetConcurrencyHint("a", 0)
 	group.SetConcurrencyHint("a", 4)
 	require.Equal(t, 3, group.BestInFlight("a"))
--- a/routing/limit_test.go
+++ b/routing/limit_test.go
@@ -14,8 +14,8 @@
 	return backendlimit.Limit{Limited: true, PerSecond: perSecond}
 }
 
-// countPicks picks every few milliseconds for some time and ends each request at once. It returns
-// how many requests a back end got, and the most in any window of one second.
+// countPicks picks a back end every 5 ms for a duration and ends each request at once. It returns how
+// many requests a back end got, in all and at most in any second.
 func countPicks(group *Group, id string, duration time.Duration, request Request) (total, maxPerSecond int) {
 	var sent []time.Time
 	for now := start; now.Before(start.Add(duration)); now = now.Add(5 * time.Millisecond) {
@@ -37,9 +37,9 @@
 	return total, maxPerSecond
 }
 
-// A limited back end gets nearly as many requests as its limit permits and never more, in every way
-// in which it can be chosen.
-func TestLimitedBackendsGetWhatTheyTake(t *testing.T) {
+// A limited back end gets nearly as many requests as its limit permits and never more, whatever the
+// reason for which it is chosen.
+func TestRequestLimitIsUsedButNotExceeded(t *testing.T) {
 	const seconds = 60
 	limited := Backend{ID: "limited", Slots: 2, Warm: true}
 	other := Backend{ID: "other", Slots: 2, Warm: true}
@@ -48,13 +48,13 @@
 		request  Request
 		prepare  func(group *Group)
 	}{
-		"beside another":          {backends: []Backend{other, limited}},
-		"the only one":            {backends: []Backend{limited}},
-		"a retry":                 {backends: []Backend{other, limited}, request: Request{Tried: []string{"other"}, Repeatable: true}},
-		"bound to it":             {backends: []Backend{limited}, request: Request{Session: "a"}},
-		"it has had no request":   {backends: []Backend{other, limited}, prepare: func(group *Group) { group.State("limited").used = false }},
-		"it is ejected, and back": {backends: []Backend{limited}, request: Request{Repeatable: true}, prepare: func(group *Group) { group.State("limited").health.RecordExit(start) }},
-		"its window is declared": {
+		"one of two back ends":    {backends: []Backend{other, limited}},
+		"only back end":           {backends: []Backend{limited}},
+		"retry":                   {backends: []Backend{other, limited}, request: Request{Tried: []string{"other"}, Repeatable: true}},
+		"session bound to it":     {backends: []Backend{limited}, request: Request{Session: "a"}},
+		"first request":           {backends: []Backend{other, limited}, prepare: func(group *Group) { group.State("limited").used = false }},
+		"trial after an ejection": {backends: []Backend{limited}, request: Request{Repeatable: true}, prepare: func(group *Group) { group.State("limited").health.RecordExit(start) }},
+		"declared window": {
 			backends: []Backend{other, {ID: "limited", Slots: 2, Window: 2, Warm: true}},
 		},
 	} {
@@ -74,9 +74,9 @@
 	}
 }
 
-// A back end whose limit is close to zero gets a request every 5 s, as otherwise nothing would show
+// A back end whose limit is close to zero gets a request every 5 s, because only a response shows
 // that the limit has ended.
-func TestLimitBelowOneRequest(t *testing.T) {
+func TestLimitNearZeroStillGetsRequests(t *testing.T) {
 	for _, limit := range []float64{0, 1e-300, 0.1} {
 		group := newSlowStartGroup(1, Backend{ID: "limited", Slots: 2, Warm: true})
 		group.SetLimit(start, "limited", limitOf(limit))
@@ -87,7 +87,7 @@
 }
 
 // A limit above the load has no effect.
-func TestHugeLimitHasNoEffect(t *testing.T) {
+func TestLimitAboveLoadHasNoEffect(t *testing.T) {
 	group := newSlowStartGroup(1, Backend{ID: "limited", Slots: 2, Warm: true})
 	unlimited, _ := countPicks(group, "limited", time.Second, Request{})
 	group.SetLimit(start, "limited", limitOf(1e300))
@@ -95,13 +95,13 @@
 	require.Equal(t, unlimited, limited)
 }
 
-// The dispatcher of a service and the daemons that cannot reach it, or all daemons independently,
-// pick at the same time and together never exceed the limit of the back end.
-func TestSendersShareALimit(t *testing.T) {
+// Independent daemons that send to a limited back end together keep its limit, and so do a dispatcher
+// and the daemons that cannot reach it.
+func TestDaemonsTogetherKeepRequestLimit(t *testing.T) {
 	const daemons, limit, seconds = 18, 3.2, 60
-	for name, parts := range map[string]func(daemon int) float64{
-		"each by itself": func(int) float64 { return 1.0 / daemons },
-		"a dispatcher and those that do not reach it": func(daemon int) float64 {
+	for name, shareOf := range map[string]func(daemon int) float64{
+		"independent daemons": func(int) float64 { return 1.0 / daemons },
+		"a dispatcher and daemons that cannot reach it": func(daemon int) float64 {
 			if daemon == 0 {
 				return 0.97
 			}
@@ -115,14 +115,14 @@
 				group := newSlowStartGroup(uint64(daemon), Backend{ID: "limited", Slots: 2, Warm: true})
 				group.SetLimit(start, "limited", limitOf(limit))
 				for now := start; now.Before(start.Add(seconds * time.Second)); now = now.Add(10 * time.Millisecond) {
-					if picked, ok := group.Pick(now, Request{IndependentDaemons: daemons, LimitShare: Share{Fraction: parts(daemon)}}); ok {
+					if picked, ok := group.Pick(now, Request{IndependentDaemons: daemons, LimitShare: Share{Fraction: shareOf(daemon)}}); ok {
 						group.Done(picked, now, Success, serviceTime)
 						total++
 						perSecond[int(now.Sub(start)/time.Second)]++
 					}
 				}
 			}
-			t.Logf("%d of %.0f taken", total, limit*seconds)
+			t.Logf("%d of %.0f permitted requests sent", total, limit*seconds)
 			require.LessOrEqual(t, float64(total), limit*seconds*1.05)
 			require.GreaterOrEqual(t, float64(total), limit*seconds*0.85)
 			for second, count := range perSecond {
@@ -132,16 +132,16 @@
 	}
 }
 
-// A back end whose limit has ended gets one request at first and one more with each response,
-// because otherwise all waiting requests would be sent to it at once.
-func TestLimitLifted(t *testing.T) {
+// A back end whose limit has ended gets one request at first and one more with each response.
+// Otherwise all waiting requests would be sent to it at once.
+func TestSlowStartAfterLimitEnds(t *testing.T) {
 	group := newSlowStartGroup(1, Backend{ID: "limited", Slots: 8, Warm: true})
 	group.SetLimit(start, "limited", limitOf(0.5))
 	group.SetLimit(start, "limited", backendlimit.Limit{})
 	first, ok := group.Pick(start, Request{})
 	require.True(t, ok)
 	_, ok = group.Pick(start, Request{})
-	require.False(t, ok, "one at a time")
+	require.False(t, ok, "slow start begins with one request")
 	group.Done(first, start, Success, serviceTime)
 	for range 2 {
 		_, ok = group.Pick(start, Request{})
@@ -151,7 +151,7 @@
 	require.False(t, ok)
 }
 
-// The limit that an earlier run of a back end announced does not apply after a restart.
+// The limit that a back end announced does not apply after its restart.
 func TestRestartClearsLimit(t *testing.T) {
 	backend := Backend{ID: "limited", Slots: 2, Warm: true, Started: 1, Limit: limitOf(0.5)}
 	group := newSlowStartGroup(1, backend)
@@ -161,8 +161,8 @@
 	require.Nil(t, group.State("limited").Limit(start))
 }
 
-// The expected service interval accounts for limits, so that requests that cannot be served are
-// refused at once.
+// The expected service interval accounts for limits, so that requests that cannot be served in time
+// are refused at once.
 func TestServiceIntervalOfLimitedBackends(t *testing.T) {
 	group := newSlowStartGroup(1, Backend{ID: "a", Slots: 2, Warm: true}, Backend{ID: "b", Slots: 2, Warm: true})
 	group.SetLimit(start, "a", limitOf(2))
@@ -171,9 +171,9 @@
 	require.Equal(t, "2 of 2 "+PhraseLimited, group.RestrictionSummary(start))
 }
 
-// Probes count against the limit as at the back end: no load probes are made, and health probes of
-// silent or ejected back ends only when a request could be sent.
-func TestProbesSpareLimitedBackends(t *testing.T) {
+// Probes count against the limit of a back end: it gets no load probes, and a health probe only when
+// a request could be sent.
+func TestProbesCountAgainstRequestLimit(t *testing.T) {
 	group := newSlowStartGroup(1, Backend{ID: "a", Slots: 2, Warm: true})
 	picked, ok := group.Pick(start, Request{})
 	require.True(t, ok)
@@ -187,12 +187,13 @@
 	require.True(t, wanted)
 	group.RecordHealthProbeStart(start.Add(2*time.Second), "a")
 	_, ok = group.Pick(start.Add(3*time.Second), Request{})
-	require.False(t, ok, "the probe counts")
+	require.False(t, ok, "the probe counts against the limit")
 	_, ok = group.Pick(start.Add(4*time.Second), Request{})
 	require.True(t, ok)
 }
 
-// A limited back end counts neither as failing nor as silent nor as cold.
+// A limited back end counts neither as failing nor as silent nor as cold, although it gets few
+// requests.
 func TestLimitedBackendIsNotEjected(t *testing.T) {
 	group := newSlowStartGroup(1, Backend{ID: "limited", Slots: 2, Warm: true}, Backend{ID: "other", Slots: 2, Warm: true})
 	group.SetLimit(start, "limited", limitOf(0.5))
@@ -204,18 +205,17 @@
 	require.Zero(t, state.silence(now))
 }
 
-// After other daemons that may have sent to a limited back end independently are reachable again,
-// the back end gets neither requests nor probes for a whole interval, and as many as before after
-// that.
-func TestFoundDaemonsMayHaveSent(t *testing.T) {
+// After a partition other daemons may have sent requests to a limited back end independently. It gets
+// neither requests nor probes from this daemon for one interval, and as many as before after that.
+func TestLimitedBackendGetsNothingForIntervalAfterPartition(t *testing.T) {
 	const limit = 0.8
 	group := newSlowStartGroup(1, Backend{ID: "limited", Slots: 2, Warm: true})
 	group.SetLimit(start, "limited", limitOf(limit))
 	_, sent := group.Pick(start.Add(2*time.Second), Request{})
 	require.True(t, sent)
-	found := start.Add(6 * time.Second)
-	request := Request{Session: "a", LimitShare: Share{Fraction: 1, Since: found}}
-	for now := found; now.Sub(found) < sendInterval(limit); now = now.Add(50 * time.Millisecond) {
+	rejoined := start.Add(6 * time.Second)
+	request := Request{Session: "a", LimitShare: Share{Fraction: 1, Since: rejoined}}
+	for now := rejoined; now.Sub(rejoined) < sendInterval(limit); now = now.Add(50 * time.Millisecond) {
 		_, sent := group.Pick(now, request)
 		require.False(t, sent)
 		_, wanted := group.HealthProbeTarget(now, time.Second)
@@ -223,7 +223,7 @@
 	}
 	next, bound := group.SessionBlockedUntil(start, request)
 	require.True(t, bound)
-	require.Equal(t, found.Add(sendInterval(limit)), next)
+	require.Equal(t, rejoined.Add(sendInterval(limit)), next)
 	_, sent = group.Pick(next, request)
 	require.True(t, sent)
 }
--- a/routing/probe_test.go
+++ b/routing/probe_test.go
@@ -11,48 +11,49 @@
 )
 
 const (
-	freshness = 25 * time.Millisecond
-	spacing   = 20 * time.Millisecond
+	testMaxReportAge  = 25 * time.Millisecond
+	testProbeInterval = 20 * time.Millisecond
 )
 
-// A load probe goes to the back end that the next request would be sent to if its report is old,
-// and to no other.
-func TestStaleTargetIsTheNextChoice(t *testing.T) {
+// Only the back end that the next request would be sent to gets a load probe, and only if its last
+// report is old.
+func TestLoadProbeTargetIsNextPickWithOldReport(t *testing.T) {
 	group := newTestGroup(Backend{ID: "a", Zone: "here", Slots: 3, Window: 3}, Backend{ID: "b", Zone: "there", Slots: 3, Window: 3})
 	for _, id := range []string{"a", "b"} {
 		group.RecordReport(group.byID[id], Report{Slowdown: 1}, false, start)
 	}
-	_, wanted := group.LoadProbeTarget(start.Add(time.Second), freshness, spacing)
-	require.False(t, wanted, "no requests come")
+	_, wanted := group.LoadProbeTarget(start.Add(time.Second), testMaxReportAge, testProbeInterval)
+	require.False(t, wanted, "there have been no requests")
 	picked := mustPick(t, group, start, "here")
 	group.Done(picked, start, Canceled, 0)
 
-	_, wanted = group.LoadProbeTarget(start.Add(freshness-1), freshness, spacing)
+	_, wanted = group.LoadProbeTarget(start.Add(testMaxReportAge-1), testMaxReportAge, testProbeInterval)
 	require.False(t, wanted, "the report is fresh")
-	later := start.Add(freshness)
-	target, wanted := group.LoadProbeTarget(later, freshness, spacing)
+	later := start.Add(testMaxReportAge)
+	target, wanted := group.LoadProbeTarget(later, testMaxReportAge, testProbeInterval)
 	require.True(t, wanted)
 	require.Equal(t, "a", target)
-	_, wanted = group.LoadProbeTarget(later.Add(time.Second), freshness, spacing)
-	require.False(t, wanted, "a probe is under way")
+	_, wanted = group.LoadProbeTarget(later.Add(time.Second), testMaxReportAge, testProbeInterval)
+	require.False(t, wanted, "a probe is in progress")
 
 	group.RecordLoadProbe(later, "a", Report{Slowdown: 5})
-	target, wanted = group.LoadProbeTarget(later, freshness, spacing)
+	target, wanted = group.LoadProbeTarget(later, testMaxReportAge, testProbeInterval)
 	require.True(t, wanted)
-	require.Equal(t, "b", target, "a disturbed back end is not the next choice")
+	require.Equal(t, "b", target, "a disturbed back end is not picked next")
 	group.RecordLoadProbeFailure("b")
-	_, wanted = group.LoadProbeTarget(later.Add(spacing-1), freshness, spacing)
-	require.False(t, wanted, "it was probed just now")
+	_, wanted = group.LoadProbeTarget(later.Add(testProbeInterval-1), testMaxReportAge, testProbeInterval)
+	require.False(t, wanted, "the interval has not passed")
 }
 
-// With requests and probe results in any order there are never more load probes than requests earn,
-// nor two of the same back end within the interval.
-func TestProbesAreEarnedAndSpaced(t *testing.T) {
+// With requests and probe results in any order, there are never more load probes than requests have
+// earned, nor two probes of a back end within the interval. The names of the actions determine the
+// order in which rapid draws them.
+func TestLoadProbesKeepCreditAndInterval(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		group := newTestGroup(Backend{ID: "a", Slots: 3, Window: 3}, Backend{ID: "b", Slots: 3, Window: 3}, Backend{ID: "c", Slots: 3, Window: 3})
 		now, picks, probes := start, 0, 0
-		last := make(map[string]time.Time)
-		underWay := make(map[string]bool)
+		lastProbe := make(map[string]time.Time)
+		inProgress := make(map[string]bool)
 		ids := rapid.SampledFrom([]string{"a", "b", "c"})
 		t.Repeat(map[string]func(*rapid.T){
 			"request": func(t *rapid.T) {
@@ -64,21 +65,21 @@
 				group.Done(picked, now, Canceled, 0)
 			},
 			"probe": func(t *rapid.T) {
-				target, wanted := group.LoadProbeTarget(now, freshness, spacing)
+				target, wanted := group.LoadProbeTarget(now, testMaxReportAge, testProbeInterval)
 				if !wanted {
 					return
 				}
 				probes++
-				require.False(t, underWay[target])
-				if before, probed := last[target]; probed {
-					require.GreaterOrEqual(t, now.Sub(before), spacing)
+				require.False(t, inProgress[target])
+				if before, probed := lastProbe[target]; probed {
+					require.GreaterOrEqual(t, now.Sub(before), testProbeInterval)
 				}
-				last[target], underWay[target] = now, true
+				lastProbe[target], inProgress[target] = now, true
 			},
 			"probe ends": func(t *rapid.T) {
 				id := ids.Draw(t, "back end")
-				underWay[id] = false
-				if rapid.Bool().Draw(t, "told") {
+				inProgress[id] = false
+				if rapid.Bool().Draw(t, "reported") {
 					group.RecordLoadProbe(now, id, Report{Slowdown: rapid.Float64Range(0.5, 6).Draw(t, "slowdown")})
 					return
 				}
@@ -94,32 +95,32 @@
 	})
 }
 
-// Back ends that have not reported yet are asked for a first report every other time, up to
-// maxIntroductions times.
-func TestNewBackendsAreIntroduced(t *testing.T) {
+// Every other load probe asks a back end that has not reported yet for its first report, up to
+// maxIntroductions times each.
+func TestUnreportedBackendsAreProbedForFirstReport(t *testing.T) {
 	group := newTestGroup(Backend{ID: "a", Slots: 3, Window: 3}, Backend{ID: "b", Slots: 3, Window: 3}, Backend{ID: "c", Slots: 3, Window: 3})
 	group.RecordReport(group.byID["a"], Report{Slowdown: 1}, false, start)
-	now, asked := start, make(map[string]int)
+	now, probes := start, make(map[string]int)
 	for range 60 {
 		now = now.Add(time.Second)
 		picked := mustPick(t, group, now, "")
 		group.Done(picked, now, Canceled, 0)
 		for range 2 {
-			target, wanted := group.LoadProbeTarget(now, freshness, spacing)
+			target, wanted := group.LoadProbeTarget(now, testMaxReportAge, testProbeInterval)
 			if !wanted {
 				continue
 			}
-			asked[target]++
+			probes[target]++
 			if target == "c" {
 				group.RecordLoadProbeFailure(target)
 				continue
 			}
 			group.RecordLoadProbe(now, target, Report{Slowdown: 1})
 		}
-		now = now.Add(spacing)
+		now = now.Add(testProbeInterval)
 	}
-	require.Positive(t, asked["b"])
-	require.GreaterOrEqual(t, asked["c"], maxIntroductions)
+	require.Positive(t, probes["b"])
+	require.GreaterOrEqual(t, probes["c"], maxIntroductions)
 	require.Equal(t, maxIntroductions, group.byID["c"].introductions)
 	require.False(t, group.byID["b"].reportedAt.IsZero())
 }
--- a/routing/region_test.go
+++ b/routing/region_test.go
@@ -10,21 +10,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-// regionDispatcher is the dispatcher of one region in a simulation of several regions that share
-// all back ends.
+// regionDispatcher is the dispatcher of one region in a simulation of regions that share all back
+// ends.
 type regionDispatcher struct {
 	group *Group
-	// waiting are the arrival times of the requests without a back end.
+	// waiting holds the arrival times of the waiting requests.
 	waiting []time.Time
-	// borrowed is how many of the sent requests went to other regions.
+	// borrowed counts the sent requests that went to back ends of other regions.
 	borrowed, sent int
 }
 
 // sharedBackend is a back end that serves three requests at a time, in order of arrival.
 type sharedBackend struct {
 	region  int
-	ends    []time.Time // of the requests that it holds
-	maxHeld int
+	ends    []time.Time // when each request in flight ends
+	maxHeld int         // maximum number of requests in flight
 }
 
 // add adds a request and returns when it ends.
@@ -42,7 +42,7 @@
 	return end
 }
 
-// maxWait is how long a request waits for a permit.
+// maxWait is how long a request waits for a permit before it is given up.
 const maxWait = serviceTime
 
 // simulateRegions lets the dispatchers of three regions send requests to the same back ends, at the
@@ -81,9 +81,9 @@
 			}
 			var number int
 			fmt.Sscan(request.picked.Backend.ID, &number)
-			holds := len(slices.DeleteFunc(slices.Clone(backends[number].ends), func(at time.Time) bool { return !at.After(now) }))
+			remaining := len(slices.DeleteFunc(slices.Clone(backends[number].ends), func(at time.Time) bool { return !at.After(now) }))
 			group := regions[request.region].group
-			group.RecordReport(request.picked.Backend, Report{InFlight: holds + 1, Slowdown: 1}, false, now)
+			group.RecordReport(request.picked.Backend, Report{InFlight: remaining + 1, Slowdown: 1}, false, now)
 			group.Done(request.picked, now, Success, serviceTime)
 			inFlight = slices.Delete(inFlight, index, index+1)
 			index--
@@ -112,7 +112,7 @@
 	return regions, backends
 }
 
-// maxHeld is the maximum number of requests that any back end held.
+// maxHeld returns the maximum number of requests in flight at any back end.
 func maxHeld(backends []*sharedBackend) int {
 	highest := 0
 	for _, backend := range backends {
@@ -121,38 +121,36 @@
 	return highest
 }
 
-// Guards against dispatchers of several regions overfilling the back ends that they share. Each
-// dispatcher used all slots of all back ends as if it were alone: with more requests than all could
-// serve, back ends with three slots held up to nine, and requests waited there until they were late
-// instead of being refused or sent to another back end. On a day of three regions this lost 0.16 of
-// the worth, and 0.1 by requests that failed at their deadline. The responses showed it: usually 2
-// in flight at a time, at most 9.
-//
-//	frontend: answered backend_in_flight=9 (448 times), 8 (667), 7 (1,154), 6 (1,957)
-//
-// A region now uses only slots that a back end of another region has recently reported free: the
-// maximum held fell from 9 to 5.
+// Guards against dispatchers of several regions overloading the back ends that they share. When each
+// used all slots of all back ends as if it were the only one, at twice the load that all could serve,
+// back ends with three slots had up to nine requests in flight, and requests were late there instead
+// of being refused or sent to another back end. On a day of three regions this lost 0.16 of the worth
+// and another 0.1 by requests that failed at their deadline; the responses usually reported 2 requests
+// in flight, but 9 of them 448 times, 8 667 times, 7 1,154 times and 6 1,957 times. Since a region
+// uses only slots that a back end of another region has recently reported free, the maximum is 5
+// instead of 9.
 func TestRegionsShareSlots(t *testing.T) {
 	regions, backends := simulateRegions([3]float64{240, 240, 240}) // twice what all back ends can serve
-	t.Logf("a back end held up to %d", maxHeld(backends))
-	require.LessOrEqual(t, maxHeld(backends), 3+2, "three slots, and one that each other region may try")
+	t.Logf("at most %d requests in flight at a back end", maxHeld(backends))
+	require.LessOrEqual(t, maxHeld(backends), 3+2, "three slots, and one request from each other region that tries the back end")
 	for _, dispatcher := range regions {
-		require.Greater(t, dispatcher.sent, 20*120*8/10, "the region's own back ends are fully used")
+		require.Greater(t, dispatcher.sent, 20*120*8/10, "the region's own back ends must be fully used")
 	}
 }
 
-// Back ends of other regions serve what the region's own ones cannot, while they have free slots.
-func TestRegionsLend(t *testing.T) {
+// Requests that a region's own back ends cannot serve go to back ends of other regions that have free
+// slots.
+func TestBusyRegionBorrowsFreeSlots(t *testing.T) {
 	regions, backends := simulateRegions([3]float64{200, 20, 20})
-	t.Logf("%d of %d went to other regions, a back end held up to %d", regions[0].borrowed, regions[0].sent, maxHeld(backends))
+	t.Logf("%d of %d went to other regions, at most %d in flight at a back end", regions[0].borrowed, regions[0].sent, maxHeld(backends))
 	require.Greater(t, regions[0].sent, 20*200*95/100)
 	require.Greater(t, regions[0].borrowed, 20*70)
-	require.Less(t, regions[1].borrowed, regions[1].sent/20, "regions with free slots use their own back ends")
+	require.Less(t, regions[1].borrowed, regions[1].sent/20, "regions with free slots must use their own back ends")
 }
 
-// Guards against never lending a back end with one slot, because that slot was reserved for its own
-// region: a region that had lost its back ends got one request per 250 ms from each of the others,
-// however idle they were.
+// Guards against reserving the only slot of a back end for its own region while the back end is idle.
+// A region that had lost its back ends could then send only one request per 250 ms to each back end
+// of the others.
 func TestIdleBackendLendsItsOnlySlot(t *testing.T) {
 	group := newSlowStartGroup(1, Backend{ID: "far", Slots: 1, Warm: true, OtherRegion: true})
 	now := start
--- a/routing/reportageestimator_test.go
+++ b/routing/reportageestimator_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// learnedReportAge simulates a service whose back ends report every 20 ms while a share of them is
-// disturbed, which is drawn again after each stateTime on average, and returns the learned maximum
-// age of a report.
+// learnedReportAge simulates a back end that reports every 20 ms, and returns the learned maximum age
+// of a report. Whether the back end is disturbed, with a probability of share, is drawn again every
+// stateTime on average.
 func learnedReportAge(stateTime time.Duration, share, slowdown float64, baseLatency, probeCost time.Duration) time.Duration {
 	random := rand.New(rand.NewPCG(1, 1))
 	estimator := reportAgeEstimator{baseLatency: baseLatency, probeCost: probeCost}
@@ -30,9 +30,9 @@
 	return estimator.maxAge(25 * time.Millisecond)
 }
 
-// Reports are fresher if back ends change quickly and by much and requests are long, older if a probe
-// is expensive, and hardly any probe is made if nothing changes.
-func TestProbesAreWorthTheirCost(t *testing.T) {
+// The maximum report age is lower if back ends change quickly or requests are long, higher if probes
+// are expensive or back ends change rarely, and maxReportAge if nothing changes.
+func TestMaxReportAgeBalancesProbeCost(t *testing.T) {
 	const baseLatency, probeCost = 120 * time.Millisecond, 6 * time.Millisecond
 	usual := learnedReportAge(150*time.Millisecond, 0.3, 5, baseLatency, probeCost)
 	require.Greater(t, usual, 4*time.Millisecond)
@@ -45,16 +45,16 @@
 	require.Equal(t, 25*time.Millisecond, new(reportAgeEstimator).maxAge(25*time.Millisecond), "no samples")
 }
 
-// The estimate follows back ends that become less variable.
-func TestDriftIsForgotten(t *testing.T) {
+// The maximum report age grows when the back ends become less variable.
+func TestMaxReportAgeFollowsDecreasingDrift(t *testing.T) {
 	estimator := reportAgeEstimator{baseLatency: 100 * time.Millisecond, probeCost: 5 * time.Millisecond}
 	for range 1000 {
 		estimator.recordReports(1, 2, 20*time.Millisecond)
 		estimator.recordReports(2, 1, 20*time.Millisecond)
 	}
-	disturbed := estimator.maxAge(0)
+	variable := estimator.maxAge(0)
 	for range 3000 {
 		estimator.recordReports(1, 1, 20*time.Millisecond)
 	}
-	require.Greater(t, estimator.maxAge(0), 10*disturbed)
+	require.Greater(t, estimator.maxAge(0), 10*variable)
 }
--- a/routing/warmup_test.go
+++ b/routing/warmup_test.go
@@ -11,8 +11,8 @@
 // testWarmUp is the rate of cold back ends in these tests: one request per 400 ms.
 var testWarmUp = WarmUp{Duration: 3 * time.Second, PerSecond: 2.5}
 
-// busiestSeconds picks at an interval for some time, ends each request after its service time, and
-// returns how many requests each back end got in its busiest second.
+// busiestSeconds picks a back end at each interval for a duration, ends each request after
+// serviceTime, and returns how many requests each back end got in its busiest second.
 func busiestSeconds(group *Group, from time.Time, duration, interval time.Duration, request Request) map[string]int {
 	type sent struct {
 		picked PickResult
@@ -47,46 +47,46 @@
 	return group
 }
 
-// Cold back ends get no more than their rate, whether they are half or all of the service, and the
-// full load once the cold phase has passed or they report that it has.
-func TestColdBackEndsAreSpared(t *testing.T) {
+// Cold back ends get no more than their warm-up rate, whether one or all back ends of the service are
+// cold, and full load after the warm-up.
+func TestColdBackendsGetOnlyWarmUpRate(t *testing.T) {
 	cold := Backend{ID: "cold", Slots: 2, Window: 2, WarmUp: testWarmUp}
 	for name, others := range map[string][]Backend{
-		"half joins":    {{ID: "warm", Slots: 2, Window: 2, Warm: true, WarmUp: testWarmUp}},
-		"all are cold":  {{ID: "other", Slots: 2, Window: 2, WarmUp: testWarmUp}},
-		"it is the one": nil,
+		"one of two is cold": {{ID: "warm", Slots: 2, Window: 2, Warm: true, WarmUp: testWarmUp}},
+		"both are cold":      {{ID: "other", Slots: 2, Window: 2, WarmUp: testWarmUp}},
+		"only back end":      nil,
 	} {
 		t.Run(name, func(t *testing.T) {
 			group := newSlowStartGroup(1, append(others, cold)...)
-			busiest := busiestSeconds(group, start, testWarmUp.Duration, 10*time.Millisecond, Request{})
-			require.Equal(t, 3, busiest["cold"], "every 400 ms")
-			warm := busiestSeconds(group, start.Add(testWarmUp.Duration), 2*time.Second, 10*time.Millisecond, Request{})
-			require.Greater(t, warm["cold"], 10, "it is warm")
+			duringWarmUp := busiestSeconds(group, start, testWarmUp.Duration, 10*time.Millisecond, Request{})
+			require.Equal(t, 3, duringWarmUp["cold"], "one request per 400 ms")
+			afterWarmUp := busiestSeconds(group, start.Add(testWarmUp.Duration), 2*time.Second, 10*time.Millisecond, Request{})
+			require.Greater(t, afterWarmUp["cold"], 10, "the back end is warm")
 		})
 	}
 }
 
-// A back end in use is limited to its rate as soon as its directory entry or a probe says that it
-// is cold, or its zone is restored.
-func TestTurnsCold(t *testing.T) {
+// A warm back end is limited to its warm-up rate as soon as its directory entry or a load probe shows
+// that it is cold, or its zone is restored.
+func TestWarmBackendTurnsCold(t *testing.T) {
 	warm := Backend{ID: "a", Slots: 2, Window: 2, Warm: true, WarmUp: testWarmUp}
-	for name, turn := range map[string]func(group *Group){
-		"its entry says so": func(group *Group) {
+	for name, turnCold := range map[string]func(group *Group){
+		"directory entry": func(group *Group) {
 			cold := warm
 			cold.Warm = false
 			group.SetBackends(start, []Backend{cold})
 		},
-		"a probe says so": func(group *Group) {
+		"load probe": func(group *Group) {
 			group.RecordLoadProbe(start, "a", Report{WarmUpLeft: testWarmUp.Duration})
 		},
-		"its zone is taken back": func(group *Group) {
+		"restored zone": func(group *Group) {
 			group.SetDraining(start, "a", true)
 			group.SetDraining(start, "a", false)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			group := newSlowStartGroup(1, warm)
-			turn(group)
+			turnCold(group)
 			require.True(t, group.State("a").Cold(start))
 			require.Equal(t, 3, busiestSeconds(group, start, testWarmUp.Duration, 10*time.Millisecond, Request{})["a"])
 			require.False(t, group.State("a").Cold(start.Add(testWarmUp.Duration)))
@@ -94,18 +94,18 @@
 	}
 }
 
-// Daemons that pick independently for a cold back end, as when their dispatcher is lost, together
-// hardly exceed its rate.
-func TestChoosersShareWhatIsBorne(t *testing.T) {
-	const independent, seconds = 40, 20
-	lasts := testWarmUp
-	lasts.Duration = time.Minute
+// Daemons that pick independently, as after the loss of their dispatcher, together hardly exceed the
+// warm-up rate of a cold back end.
+func TestIndependentDaemonsShareWarmUpRate(t *testing.T) {
+	const daemons, seconds = 40, 20
+	longWarmUp := testWarmUp
+	longWarmUp.Duration = time.Minute
 	sent := 0
 	perSecond := make(map[int]int)
-	for daemon := range independent {
-		group := newSlowStartGroup(uint64(daemon), Backend{ID: "cold", Slots: 2, Window: 2, WarmUp: lasts})
+	for daemon := range daemons {
+		group := newSlowStartGroup(uint64(daemon), Backend{ID: "cold", Slots: 2, Window: 2, WarmUp: longWarmUp})
 		for now := start; now.Before(start.Add(seconds * time.Second)); now = now.Add(20 * time.Millisecond) {
-			if picked, ok := group.Pick(now, Request{IndependentDaemons: independent}); ok {
+			if picked, ok := group.Pick(now, Request{IndependentDaemons: daemons}); ok {
 				group.Done(picked, now, Success, time.Millisecond)
 				sent++
 				perSecond[int(now.Sub(start)/time.Second)]++
@@ -118,14 +118,14 @@
 	}
 }
 
-// The expected service interval accounts for the rate of cold back ends.
+// The expected service interval accounts for the warm-up rate of cold back ends.
 func TestServiceIntervalOfColdBackends(t *testing.T) {
 	group := newSlowStartGroup(1, Backend{ID: "a", Slots: 2, Window: 2, WarmUp: testWarmUp})
 	require.Equal(t, 400*time.Millisecond, group.ServiceInterval(start))
 	require.Less(t, group.ServiceInterval(start.Add(testWarmUp.Duration)), 10*time.Millisecond)
 }
 
-// A cold back end gets no load probes between the requests that its rate permits.
+// A cold back end gets no load probes between the requests that its warm-up rate permits.
 func TestNoLoadProbesOfColdBackends(t *testing.T) {
 	group := newSlowStartGroup(1, Backend{ID: "a", Slots: 2, Window: 2, WarmUp: testWarmUp})
 	_, ok := group.Pick(start, Request{})
--- a/routing/workingset_test.go
+++ b/routing/workingset_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newLargeGroup returns a group with so many warm back ends of three slots in six zones.
+// newLargeGroup returns a group with a number of warm back ends of three slots each in six zones.
 func newLargeGroup(count int) (*Group, []Backend) {
 	group := NewGroup(Options{Picker: LeastLoad{}, Random: rand.New(rand.NewPCG(1, 1)), Overcommit: DefaultOvercommit, SlowStart: true})
 	var backends []Backend
@@ -20,35 +20,35 @@
 	return group, backends
 }
 
-// runLoad sends requests of a given latency at a rate and returns how often each back end was used.
+// runLoad sends requests of a given latency at a given rate and returns how many each back end got.
 func runLoad(t *testing.T, group *Group, from time.Time, perSecond int, latency, duration time.Duration) map[string]int {
 	t.Helper()
 	used := make(map[string]int)
-	var active []PickResult
+	var inFlight []PickResult
 	var ends []time.Time
 	for now := from; now.Sub(from) < duration; now = now.Add(time.Second / time.Duration(perSecond)) {
 		for len(ends) > 0 && !ends[0].After(now) {
-			group.Done(active[0], ends[0], Success, latency)
-			active, ends = active[1:], ends[1:]
+			group.Done(inFlight[0], ends[0], Success, latency)
+			inFlight, ends = inFlight[1:], ends[1:]
 		}
 		picked, ok := group.Pick(now, Request{Zone: "z-1"})
 		require.True(t, ok)
 		used[picked.Backend.ID]++
-		active, ends = append(active, picked), append(ends, now.Add(latency))
+		inFlight, ends = append(inFlight, picked), append(ends, now.Add(latency))
 	}
-	for index, picked := range active {
+	for index, picked := range inFlight {
 		group.Done(picked, ends[index], Success, latency)
 	}
 	return used
 }
 
-// Few of many back ends are used; their number grows when the load grows tenfold at once, and
-// shrinks afterwards.
+// Few of many back ends are used. Their number grows when the load increases tenfold at once, and
+// shrinks when it decreases again.
 func TestWorkingSetFollowsTheLoad(t *testing.T) {
 	group, _ := newLargeGroup(3000)
 	now := time.Unix(1001, 0)
-	calm := runLoad(t, group, now, 400, 120*time.Millisecond, 20*time.Second)
-	require.LessOrEqual(t, len(calm), minWorkingSet)
+	lightlyLoaded := runLoad(t, group, now, 400, 120*time.Millisecond, 20*time.Second)
+	require.LessOrEqual(t, len(lightlyLoaded), minWorkingSet)
 	now = now.Add(20 * time.Second)
 	loaded := runLoad(t, group, now, 4000, 120*time.Millisecond, 5*time.Second)
 	require.Greater(t, len(loaded), 1000)
@@ -64,8 +64,8 @@
 	require.Len(t, runLoad(t, group, time.Unix(1001, 0), 400, 120*time.Millisecond, 10*time.Second), minWorkingSet)
 }
 
-// Requests go to other back ends after most of the working set is drained, and after most back ends
-// are removed from the declaration.
+// Requests go to other back ends after the used ones are drained, and after most back ends are no
+// longer declared.
 func TestWorkingSetReplacesRemovedBackends(t *testing.T) {
 	group, backends := newLargeGroup(1000)
 	now := time.Unix(1001, 0)
@@ -75,7 +75,7 @@
 		group.SetDraining(now, id, true)
 	}
 	for id := range runLoad(t, group, now, 100, 120*time.Millisecond, 5*time.Second) {
-		require.Zero(t, used[id], "%s leaves", id)
+		require.Zero(t, used[id], "%s is draining", id)
 	}
 	now = now.Add(5 * time.Second)
 	group.SetBackends(now, backends[:100])
@@ -84,9 +84,9 @@
 	}
 }
 
-// Of a third more back ends that are added to many, each gets a request within ten seconds,
-// although the working set has room for few of them.
-func TestNewcomersOfManyGetRequests(t *testing.T) {
+// When 600 back ends are added to 2,000, each new one gets a request within ten seconds, although the
+// working set has room for few of them.
+func TestNewBackendsGetFirstRequestDespiteWorkingSet(t *testing.T) {
 	group, backends := newLargeGroup(2000)
 	now := time.Unix(1001, 0)
 	runLoad(t, group, now, 540, 120*time.Millisecond, 10*time.Second)
@@ -104,8 +104,8 @@
 	}
 }
 
-// The cost of a request with 10,000 back ends is compared to that with 1,000 at the same load.
-func TestPickGrowsSlowly(t *testing.T) {
+// A request with 10,000 back ends costs less than three times as much as with 1,000 at the same load.
+func TestPickCostGrowsSublinearly(t *testing.T) {
 	cost := func(count int) float64 {
 		group, _ := newLargeGroup(count)
 		now := time.Unix(1001, 0)
@@ -123,6 +123,6 @@
 		return float64(result.NsPerOp())
 	}
 	few, many := cost(1000), cost(10_000)
-	t.Logf("1,000 back ends: %.1f us a request; 10,000: %.1f us", few/1000, many/1000)
+	t.Logf("%.1f µs per request with 1,000 back ends, %.1f µs with 10,000", few/1000, many/1000)
 	require.Less(t, many, 3*few, "ten times as many back ends")
 }
