--- a/admission/contention_test.go
+++ b/admission/contention_test.go
@@ -12,8 +12,8 @@
 	_ "github.com/tuliphall/tuliphall/internal/testseed"
 )
 
-// simulateWalk simulates the two Poisson processes and reports whether a request with this
-// many others ahead of it gets a permit within a time.
+// simulateWalk simulates the two Poisson processes once and reports whether a request with this many
+// others ahead of it gets a permit within a time.
 func simulateWalk(random *rand.Rand, rates contention, ahead int, within time.Duration) bool {
 	distance, remaining := ahead+1, within.Seconds()
 	for {
@@ -31,9 +31,9 @@
 	}
 }
 
-// TestChanceIsThatOfTheStreams compares the formula with simulations of the two
-// Poisson processes that it describes.
-func TestChanceIsThatOfTheStreams(t *testing.T) {
+// TestGrantProbabilityMatchesSimulation compares the formula with simulations of the two Poisson
+// processes that it describes, releases and overtaking arrivals.
+func TestGrantProbabilityMatchesSimulation(t *testing.T) {
 	const trials = 20_000
 	random := rand.New(rand.NewPCG(1, 2))
 	for _, test := range []struct {
@@ -57,12 +57,12 @@
 	}
 }
 
-// TestChanceFallsAndGrows checks that the probability is between 0 and 1, does not
-// grow with the number of requests ahead, and does not shrink with the time.
-func TestChanceFallsAndGrows(t *testing.T) {
+// TestGrantProbabilityIsMonotonic checks that the probability is between 0 and 1, does not grow with
+// the number of requests ahead, and does not shrink with the time.
+func TestGrantProbabilityIsMonotonic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		rates := contention{releasesPerSecond: rapid.Float64Range(0.1, 1e5).Draw(t, "served"), overtakesPerSecond: rapid.Float64Range(0, 1e5).Draw(t, "ahead")}
-		ahead := rapid.IntRange(0, 2000).Draw(t, "waiting")
+		rates := contention{releasesPerSecond: rapid.Float64Range(0.1, 1e5).Draw(t, "releases per second"), overtakesPerSecond: rapid.Float64Range(0, 1e5).Draw(t, "overtakes per second")}
+		ahead := rapid.IntRange(0, 2000).Draw(t, "requests ahead")
 		within := time.Duration(rapid.Int64Range(1, int64(time.Minute)).Draw(t, "within"))
 		probability := rates.grantProbability(ahead, within)
 		if math.IsNaN(probability) || probability < 0 || probability > 1 {
@@ -70,24 +70,24 @@
 		}
 		const tolerance = 1e-6
 		if behindOneMore := rates.grantProbability(ahead+1, within); behindOneMore > probability+tolerance {
-			t.Fatalf("%g behind one more, %g before", behindOneMore, probability)
+			t.Fatalf("probability %g with one more request ahead, %g without", behindOneMore, probability)
 		}
 		if withTwiceTheTime := rates.grantProbability(ahead, 2*within); withTwiceTheTime < probability-tolerance {
-			t.Fatalf("%g in twice the time, %g before", withTwiceTheTime, probability)
+			t.Fatalf("probability %g within twice the time, %g within the time", withTwiceTheTime, probability)
 		}
 	})
 }
 
-// TestGrantProbabilityFarFromGrant guards against a probability of 1 where there is hardly
-// any chance. With 400 requests ahead, 0.1 s left and one release per second, an exponential
-// overflowed, its factor was 0, and the NaN was taken for certainty, so that the request
-// waited until it expired instead of being refused at once. A randomized test found it once
-// in some hundred runs: 0 behind 353, 1 behind 354.
-func TestGrantProbabilityFarFromGrant(t *testing.T) {
+// TestGrantProbabilityDoesNotOverflow guards against a probability of 1 where a grant is next to
+// impossible. With 400 requests ahead, 0.1 s left and one release per second, an exponential overflowed
+// while the other factor was 0. The resulting NaN counted as 1, so that the request waited until it
+// expired instead of being refused at once. A randomized test found this once in some hundred runs: 0
+// with 353 requests ahead, 1 with 354.
+func TestGrantProbabilityDoesNotOverflow(t *testing.T) {
 	slow := contention{releasesPerSecond: 1, overtakesPerSecond: 0.000244}
 	for _, ahead := range []int{200, 353, 354, 400, 2000, 1_000_000} {
-		require.Less(t, slow.grantProbability(ahead, 100*time.Millisecond), 1e-9, "behind %d", ahead)
-		require.False(t, slow.worthWaiting(ahead, 100*time.Millisecond), "behind %d", ahead)
+		require.Less(t, slow.grantProbability(ahead, 100*time.Millisecond), 1e-9, "%d requests ahead", ahead)
+		require.False(t, slow.worthWaiting(ahead, 100*time.Millisecond), "%d requests ahead", ahead)
 	}
 	for _, test := range []struct {
 		rates  contention
@@ -107,9 +107,9 @@
 	}
 }
 
-// TestHopelessAreTakenOut fills a queue while arrivals far exceed releases. Shed must
+// TestShedRemovesUnlikelyTickets fills a queue while there are four arrivals per release. Shed must
 // remove the tickets that are unlikely to get a permit, and keep the rest.
-func TestHopelessAreTakenOut(t *testing.T) {
+func TestShedRemovesUnlikelyTickets(t *testing.T) {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	queue := NewQueue(1000)
 	for i := range 400 {
@@ -127,16 +127,16 @@
 	}
 	shed := queue.Shed(now, 0)
 	require.NotEmpty(t, shed)
-	require.Less(t, queue.Len(), 5, "with four arrivals per release, the third in line gets a permit with a probability of 1/64")
+	require.Less(t, queue.Len(), 5, "the third ticket in the queue gets a permit with a probability of 1/64")
 	require.Greater(t, queue.Len(), 0)
 	for _, ticket := range shed {
 		require.False(t, queue.Remove(ticket))
 	}
 }
 
-// TestHopefulStay checks that Shed removes nothing from a queue that drains faster
-// than it fills, until too little time is left to serve all of it.
-func TestHopefulStay(t *testing.T) {
+// TestShedKeepsLikelyTickets checks that Shed removes nothing from a queue that drains faster than it
+// fills, until too little time is left to serve all of it.
+func TestShedKeepsLikelyTickets(t *testing.T) {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	queue := NewQueue(1000)
 	for range 100 {
@@ -147,5 +147,5 @@
 	}
 	require.Empty(t, queue.Shed(start, time.Millisecond))
 	queue.Shed(start.Add(990*time.Millisecond), time.Millisecond)
-	require.InDelta(t, 15, queue.Len(), 4, "10 permits are expected in 10 ms; the threshold of 0.05 keeps about half as many more")
+	require.InDelta(t, 15, queue.Len(), 4, "10 releases are expected in 10 ms, and the threshold of 0.05 keeps about half as many tickets more")
 }
--- a/admission/saturation_test.go
+++ b/admission/saturation_test.go
@@ -7,10 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestReleaseRateIsMeasuredUnderSaturation lets back ends serve half of what their slots
-// suggest. The longer requests wait, the closer the estimate gets to the measured rate.
+// TestReleaseRateIsMeasuredUnderSaturation simulates back ends that serve half of what their slots
+// suggest. The longer requests have been waiting, the closer the estimate is to the measured rate.
 func TestReleaseRateIsMeasuredUnderSaturation(t *testing.T) {
-	const serviceInterval = 5 * time.Millisecond // 200 releases per second, of which 100 happen
+	const serviceInterval = 5 * time.Millisecond // suggests 200 releases per second, of which 100 happen
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	queue := NewQueue(1000)
 	releasesPerSecond := func(now time.Time) float64 { return queue.contentionFor(now, 1, serviceInterval).releasesPerSecond }
@@ -25,12 +25,12 @@
 	}
 	require.InDelta(t, 100, releasesPerSecond(start.Add(time.Second)), 5)
 	queue.Remove(waiting)
-	require.InDelta(t, 200, releasesPerSecond(start.Add(time.Second+2*saturationGap)), 1, "no request waits any more")
+	require.InDelta(t, 200, releasesPerSecond(start.Add(time.Second+2*saturationGap)), 1, "the queue has been empty for longer than saturationGap")
 }
 
-// TestNothingIsKnownBeforeTheFirstPlace lets requests wait behind one that occupies the only
-// back end for seconds. That nothing has been released yet is no reason to refuse them.
-func TestNothingIsKnownBeforeTheFirstPlace(t *testing.T) {
+// TestNoRefusalBeforeFirstRelease guards against refusing requests because there has been no release
+// yet. They wait behind one that occupies the only back end for seconds.
+func TestNoRefusalBeforeFirstRelease(t *testing.T) {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	queue := NewQueue(1000)
 	for i := range 100 {
