--- a/outlier/outlier_test.go
+++ b/outlier/outlier_test.go
@@ -9,8 +9,8 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// A back end whose process has exited is ejected at once, until an answer or, after the time that a
-// restart takes, a trial.
+// A back end whose process has exited is ejected at once. A trial is due after exitEjection, the time
+// that a restart takes; a response reinstates the back end.
 func TestExitEjectsAtOnce(t *testing.T) {
 	var d Detector
 	d.RecordExit(start)
@@ -26,7 +26,7 @@
 	require.Equal(t, Detector{}, d)
 }
 
-// Two refused connections in a row count as an exit, unless the back end answered in between.
+// Two refused connections in a row count as an exit, unless the back end has responded in between.
 func TestConsecutiveRefusalsCountAsExit(t *testing.T) {
 	var d Detector
 	d.RecordConnectionRefused(start)
@@ -37,7 +37,7 @@
 	require.True(t, d.HasExited())
 }
 
-// A back end that answers with failures is ejected but does not count as exited.
+// A back end is ejected after consecutive failures, but does not count as exited.
 func TestFailuresDoNotCountAsExit(t *testing.T) {
 	var d Detector
 	for range consecutiveThreshold {
--- a/recent/rate_test.go
+++ b/recent/rate_test.go
@@ -9,8 +9,9 @@
 	"github.com/tuliphall/tuliphall/recent"
 )
 
-// TestRate verifies that a steady rate is measured, and decays within a few spans once events stop.
-func TestRate(t *testing.T) {
+// TestRateIsMeasuredAndDecays verifies that the average approaches a steady rate, and decays within a few spans once
+// events stop.
+func TestRateIsMeasuredAndDecays(t *testing.T) {
 	const span = 2 * time.Second
 	var rate recent.Rate
 	now := time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
