--- a/backendlimit/shares_test.go
+++ b/backendlimit/shares_test.go
@@ -9,8 +9,8 @@
 	"github.com/tuliphall/tuliphall/backendlimit"
 )
 
-// TestSharesAfterPartition verifies that lost daemons which return are noticed, however many return at a time, and
-// that the usual changes of the membership are not taken for a partition.
+// TestSharesAfterPartition verifies that the return of unreachable daemons counts as the end of a partition, however many
+// return at a time, and that the usual membership changes do not.
 func TestSharesAfterPartition(t *testing.T) {
 	var shares backendlimit.Shares
 	update := func(milliseconds, alive, all int) {
@@ -21,10 +21,10 @@
 	update(250, 99, 100)
 	update(500, 100, 100)
 	update(750, 110, 110)
-	require.Zero(t, shares.PartitionedUntil, "one daemon is replaced, and others join")
+	require.Zero(t, shares.PartitionedUntil, "one daemon was replaced, and others have joined")
 	update(1000, 50, 110)
 	require.InDelta(t, 50.0/110, shares.Reachable, 1e-9)
-	require.Zero(t, shares.PartitionedUntil, "losing daemons is no rejoin")
+	require.Zero(t, shares.PartitionedUntil, "no daemons have become reachable again")
 	update(1250, 53, 110)
 	require.Zero(t, shares.PartitionedUntil)
 	update(1500, 56, 110)
@@ -38,14 +38,14 @@
 // TestRegionShare verifies that a region's share is proportional to its daemons.
 func TestRegionShare(t *testing.T) {
 	require.InDelta(t, 0.25, backendlimit.Shares{}.Next(start, 8, 10, 2, start).Region, 1e-9)
-	require.Equal(t, 1.0, backendlimit.Shares{}.Next(start, 0, 0, 0, start).Region, "at most the whole")
+	require.Equal(t, 1.0, backendlimit.Shares{}.Next(start, 0, 0, 0, start).Region, "the share is at most 1")
 	require.Zero(t, backendlimit.Shares{}.Next(start.Add(time.Second), 1, 4, 1, start).PartitionedUntil)
 }
 
-// TestFrozenDaemonHasNoShare verifies that PartitionedUntil follows the current time while a daemon has no message from
-// any member that it believes to be alive, as after a freeze that it has not noticed. Once it believes all of them to
-// be dead, it has its own share.
-func TestFrozenDaemonHasNoShare(t *testing.T) {
+// TestFrozenDaemonCountsAsPartitioned verifies that PartitionedUntil follows the current time while a daemon gets no
+// message from any member that it believes to be alive, as after a freeze that it has not noticed. Once it believes all
+// of them to be dead, it has its own share.
+func TestFrozenDaemonCountsAsPartitioned(t *testing.T) {
 	shares := backendlimit.Shares{}.Next(at(1000), 4, 4, 4, at(100))
 	require.Zero(t, shares.PartitionedUntil, "the last message is recent")
 	for _, milliseconds := range []int{4000, 4250} {
--- a/backendlimit/table_test.go
+++ b/backendlimit/table_test.go
@@ -16,17 +16,17 @@
 	start = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 )
 
-// at returns the time a number of milliseconds after the start of a test.
+// at returns the time a number of milliseconds after start.
 func at(milliseconds int) time.Time {
 	return start.Add(time.Duration(milliseconds) * time.Millisecond)
 }
 
-// limited returns a response that names a limit.
+// limited returns a response with a limit, to a request sent a number of milliseconds after start.
 func limited(perSecond float64, sent int) backendlimit.Response {
 	return backendlimit.Response{Key: key, Limit: backendlimit.Limit{Limited: true, PerSecond: perSecond}, Started: 1, Sent: at(sent)}
 }
 
-// unlimited returns a response that names none.
+// unlimited returns a response without a limit, to a request sent a number of milliseconds after start.
 func unlimited(sent int) backendlimit.Response {
 	return backendlimit.Response{Key: key, Started: 1, Sent: at(sent)}
 }
@@ -36,9 +36,9 @@
 	require.Equal(t, want, record.Limit)
 }
 
-// TestResponsesInAnyOrder verifies that a limit is ended only by a response whose request was sent after the limit was
-// received.
-func TestResponsesInAnyOrder(t *testing.T) {
+// TestEarlierRequestDoesNotEndLimit verifies that only a response whose request was sent after the limit was received
+// ends the limit.
+func TestEarlierRequestDoesNotEndLimit(t *testing.T) {
 	table := backendlimit.NewTable()
 	require.Equal(t, backendlimit.NoChange, table.Observe(at(10), unlimited(0)))
 	require.Equal(t, backendlimit.MajorChange, table.Observe(at(100), limited(3.2, 20)))
@@ -50,14 +50,14 @@
 	requireLimit(t, table, backendlimit.Limit{Limited: true, PerSecond: 1})
 	failed := unlimited(150)
 	failed.Failed = true
-	require.Equal(t, backendlimit.NoChange, table.Observe(at(160), failed), "a missing limit has no meaning in an error")
+	require.Equal(t, backendlimit.NoChange, table.Observe(at(160), failed), "an error response without a limit does not end the limit")
 	require.Equal(t, backendlimit.MajorChange, table.Observe(at(170), unlimited(150)))
 	require.Zero(t, table.LimitedCount())
 }
 
-// TestProbesWithoutLimit verifies that a probe response without a limit ends a limit that probes have named before,
-// but not one that was only named with responses to requests.
-func TestProbesWithoutLimit(t *testing.T) {
+// TestProbeEndsOnlyLimitsNamedByProbes verifies that a probe response without a limit ends a limit that an earlier probe
+// response has named, but not one that only responses to requests have named.
+func TestProbeEndsOnlyLimitsNamedByProbes(t *testing.T) {
 	probe := func(response backendlimit.Response) backendlimit.Response {
 		response.Probe = true
 		return response
@@ -69,7 +69,8 @@
 	require.Equal(t, backendlimit.MajorChange, table.Observe(at(70), probe(unlimited(60))))
 }
 
-// TestRestartEndsLimit verifies that the record of an earlier run of a back end is dropped and not accepted again.
+// TestRestartEndsLimit verifies that the record of an earlier run of a back end is dropped, and that neither a response
+// nor a peer restores it.
 func TestRestartEndsLimit(t *testing.T) {
 	table := backendlimit.NewTable()
 	table.Observe(at(10), limited(3.2, 0))
@@ -79,7 +80,7 @@
 	restarted := limited(5, 20)
 	restarted.Started = 2
 	table.Observe(at(30), restarted)
-	require.Equal(t, backendlimit.NoChange, table.Observe(at(40), limited(3.2, 35)), "the earlier run")
+	require.Equal(t, backendlimit.NoChange, table.Observe(at(40), limited(3.2, 35)), "the response is of the earlier run")
 	earlier.At = at(1000)
 	require.False(t, table.Merge(at(50), earlier))
 	record, _ := table.Lookup(key, 2)
@@ -87,24 +88,25 @@
 	require.Equal(t, 1, table.LimitedCount())
 }
 
-// TestMergeKeepsNewestRecord verifies that the newest record counts, whatever the order of arrival, even if the
-// clocks of daemons differ by seconds.
+// TestMergeKeepsNewestRecord verifies that the newest record wins regardless of the order of arrival, even if the clocks
+// of the daemons differ by seconds.
 func TestMergeKeepsNewestRecord(t *testing.T) {
-	ahead, behind := backendlimit.NewTable(), backendlimit.NewTable()
-	ahead.Observe(at(2000), limited(3.2, 1990)) // the clock of this daemon is 2 s ahead
-	named, _ := ahead.Lookup(key, 1)
-	require.True(t, behind.Merge(at(10), named))
-	require.False(t, behind.Merge(at(20), named), "already known")
-	require.Equal(t, backendlimit.MajorChange, behind.Observe(at(50), unlimited(40)))
-	ended, known := behind.Lookup(key, 1)
+	fastClock, slowClock := backendlimit.NewTable(), backendlimit.NewTable()
+	fastClock.Observe(at(2000), limited(3.2, 1990)) // the clock of this daemon is 2 s ahead
+	limitRecord, _ := fastClock.Lookup(key, 1)
+	require.True(t, slowClock.Merge(at(10), limitRecord))
+	require.False(t, slowClock.Merge(at(20), limitRecord), "the record is already known")
+	require.Equal(t, backendlimit.MajorChange, slowClock.Observe(at(50), unlimited(40)))
+	endRecord, known := slowClock.Lookup(key, 1)
 	require.True(t, known)
-	require.True(t, ahead.Merge(at(2060), ended), "it is newer, regardless of the clocks")
-	require.False(t, ahead.Merge(at(2070), named), "an older record does not restore the limit")
-	require.Zero(t, ahead.LimitedCount())
+	require.True(t, fastClock.Merge(at(2060), endRecord), "the record is newer, regardless of the clocks")
+	require.False(t, fastClock.Merge(at(2070), limitRecord), "an older record does not restore the limit")
+	require.Zero(t, fastClock.LimitedCount())
 }
 
-// TestForget verifies that only records that are not needed any more are dropped.
-func TestForget(t *testing.T) {
+// TestForgetDropsOnlyUnneededRecords verifies that Forget drops limits that ended long ago and records of back ends that
+// are not declared, and nothing else.
+func TestForgetDropsOnlyUnneededRecords(t *testing.T) {
 	table := backendlimit.NewTable()
 	table.Observe(at(0), limited(3.2, 0))
 	all := func(backend.Key) bool { return true }
@@ -125,9 +127,9 @@
 	require.Zero(t, table.LimitedCount())
 }
 
-// TestTablesAgree lets daemons observe responses in any order and exchange records late and repeatedly: once every
-// record has reached all daemons, their tables agree, and so do the counts.
-func TestTablesAgree(t *testing.T) {
+// TestTablesConverge simulates daemons that observe responses in any order and exchange records late and repeatedly. Once
+// every record has reached all daemons, their tables and counts must agree.
+func TestTablesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const daemons = 3
 		var tables [daemons]*backendlimit.Table
@@ -138,7 +140,7 @@
 		for step := range rapid.IntRange(1, 30).Draw(t, "steps") {
 			now := at(step * 100)
 			table := tables[rapid.IntRange(0, daemons-1).Draw(t, "daemon")]
-			if len(records) > 0 && rapid.Bool().Draw(t, "told") {
+			if len(records) > 0 && rapid.Bool().Draw(t, "merge") {
 				table.Merge(now, records[rapid.IntRange(0, len(records)-1).Draw(t, "record")])
 				continue
 			}
@@ -171,9 +173,9 @@
 	})
 }
 
-// TestGradualChangeIsBroadcast guards against comparing a limit with the previous one instead of the last one
-// that was broadcast. A limit that changed little with each response was then never broadcast: a daemon that
-// grants permits continued with 3.2 a second when the back end accepted 1.
+// TestGradualChangeIsBroadcast guards against comparing a limit with the previous one instead of the last one that was
+// broadcast. A limit that changed little with each response was then never broadcast: a daemon that grants permits still
+// used 3.2 requests a second when the back end accepted 1.
 func TestGradualChangeIsBroadcast(t *testing.T) {
 	sender, receiver := backendlimit.NewTable(), backendlimit.NewTable()
 	limit := 3.2
