--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -21,6 +21,7 @@
 	"github.com/tuliphall/tuliphall/routing"
 )
 
+// backends returns a number of back ends with three slots each.
 func backends(count int) []routing.Backend {
 	list := make([]routing.Backend, 0, count)
 	for i := range count {
@@ -29,22 +30,24 @@
 	return list
 }
 
-// fixedBackends returns a function that declares the given back ends.
+// fixedBackends returns a function for Configure that always returns the given back ends.
 func fixedBackends(list ...routing.Backend) func(time.Time) []routing.Backend {
 	return func(time.Time) []routing.Backend { return list }
 }
 
+// newDispatcher returns a dispatcher with a number of back ends and a queue limit.
 func newDispatcher(count, queue int) *dispatch.Dispatcher {
 	d := dispatch.New(rand.New(rand.NewPCG(1, 1)), queue)
 	d.Configure(fixedBackends(backends(count)...), queue)
 	return d
 }
 
+// request returns a request with a weight that may wait this long, 0: until its deadline in 10 s.
 func request(weight int, wait time.Duration) dispatch.Request {
 	return dispatch.Request{Weight: weight, Wait: wait, Deadline: time.Now().Add(10 * time.Second)}
 }
 
-// acquireColdPermit takes the only permit of a cold back end.
+// acquireColdPermit acquires a permit of a cold back end, which has only one at first.
 func acquireColdPermit(t *testing.T, d *dispatch.Dispatcher) *dispatch.Grant {
 	t.Helper()
 	grant, err := d.Acquire(t.Context(), request(1, 0))
@@ -52,7 +55,7 @@
 	return grant
 }
 
-// TestWaitExpires checks that a request waits as long as its policy allows, and no longer.
+// TestWaitExpires checks that a request is refused after exactly the wait that its policy allows.
 func TestWaitExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDispatcher(1, 10)
@@ -64,9 +67,9 @@
 	})
 }
 
-// TestHeavierGoesFirst checks that waiting requests are served by weight, and that the one
-// with the lowest weight is displaced when the queue is full.
-func TestHeavierGoesFirst(t *testing.T) {
+// TestHigherWeightGoesFirst checks that waiting requests get permits in the order of their weights,
+// and that a full queue displaces the one with the lowest weight.
+func TestHigherWeightGoesFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDispatcher(1, 2)
 		blocking := acquireColdPermit(t, d)
@@ -91,9 +94,9 @@
 	})
 }
 
-// TestBurstAfterQuiet sends many requests at once after an idle period, and more while the first
-// are in flight. All can be served long before their deadlines, so none may be refused.
-func TestBurstAfterQuiet(t *testing.T) {
+// TestBurstAfterIdleIsNotRefused sends many requests at once after an idle period, and more while the
+// first are in flight. All can be served long before their deadlines, so that none may be refused.
+func TestBurstAfterIdleIsNotRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDispatcher(4, 1000)
 		time.Sleep(time.Minute)
@@ -117,8 +120,9 @@
 	})
 }
 
-// TestCallerLeaves checks that a request is removed from the queue when its caller leaves.
-func TestCallerLeaves(t *testing.T) {
+// TestEndedContextRemovesRequestFromQueue checks that a waiting request is removed from the queue when
+// its context ends.
+func TestEndedContextRemovesRequestFromQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDispatcher(1, 10)
 		acquireColdPermit(t, d)
@@ -131,8 +135,8 @@
 	})
 }
 
-// TestDraining checks that a draining back end gets no new requests.
-func TestDraining(t *testing.T) {
+// TestDrainingBackendGetsNoRequests checks that a draining back end gets no new requests.
+func TestDrainingBackendGetsNoRequests(t *testing.T) {
 	list := backends(2)
 	d := dispatch.New(rand.New(rand.NewPCG(1, 1)), 10)
 	d.Configure(fixedBackends(list...), 10)
@@ -148,8 +152,8 @@
 	require.Equal(t, resultcode.NoBackend, err.(*resultcode.Failure).Code)
 }
 
-// TestSessionsStay checks that all daemons bind a session to the same back end.
-func TestSessionsStay(t *testing.T) {
+// TestDaemonsBindSessionToSameBackend checks that two daemons bind a session to the same back end.
+func TestDaemonsBindSessionToSameBackend(t *testing.T) {
 	first, second := newDispatcher(10, 10), newDispatcher(10, 10)
 	for session := range 50 {
 		req := request(1, 0)
@@ -163,9 +167,9 @@
 	}
 }
 
-// TestSessionBoundToLimitedBackend binds a session to a back end whose request limit leaves no
-// room in time. The request must be refused at once with a Retry-After, and must wait if its
-// policy allows it to wait long enough.
+// TestSessionBoundToLimitedBackend checks that a request whose session is bound to a back end is
+// refused at once with a Retry-After if the request limit of the back end permits it only after its
+// wait, and that it waits if its policy allows it to wait long enough.
 func TestSessionBoundToLimitedBackend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := dispatch.New(rand.New(rand.NewPCG(1, 1)), 10)
@@ -185,8 +189,9 @@
 	})
 }
 
-// BenchmarkMutex measures one decision and the release of its permit on the request path.
-func BenchmarkMutex(b *testing.B) {
+// BenchmarkAcquireMutex measures the acquisition and release of a permit, which the dispatcher guards
+// with a mutex.
+func BenchmarkAcquireMutex(b *testing.B) {
 	for _, count := range []int{10, 20, 850} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			d := newDispatcher(count, 1000)
@@ -203,9 +208,9 @@
 	}
 }
 
-// BenchmarkGoroutine measures the same with a goroutine that owns the state and is reached
-// through a bounded queue.
-func BenchmarkGoroutine(b *testing.B) {
+// BenchmarkAcquireGoroutine measures the same through a goroutine that owns the state and takes
+// commands from a bounded queue.
+func BenchmarkAcquireGoroutine(b *testing.B) {
 	for _, count := range []int{10, 20, 850} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			d := newDispatcher(count, 1000)
@@ -217,22 +222,23 @@
 				}
 			}()
 			req := request(1, 0)
-			answers := make(chan *dispatch.Grant, 1)
+			grants := make(chan *dispatch.Grant, 1)
 			b.ReportAllocs()
 			for b.Loop() {
 				commands <- func() {
 					grant, _ := d.Acquire(b.Context(), req)
-					answers <- grant
+					grants <- grant
 				}
-				grant := <-answers
+				grant := <-grants
 				commands <- func() { grant.Done(routing.Success, time.Millisecond, nil) }
 			}
 		})
 	}
 }
 
-// BenchmarkLog measures the log line of one decision, written through the bounded queue.
-func BenchmarkLog(b *testing.B) {
+// BenchmarkLogDecision measures the log line of one decision, which is written through a bounded
+// queue.
+func BenchmarkLogDecision(b *testing.B) {
 	writer := logging.NewWriter(io.Discard)
 	defer writer.Close()
 	log := logging.Component(logging.New(writer, logging.Options{Level: slog.LevelInfo, Daemon: "entry-1"}), "routing")
@@ -243,10 +249,10 @@
 	}
 }
 
-// TestHeldBackEndsByItself lets a request wait while the only back end with a free
-// permit is held back, as it has just reported a disturbance. The request must get the permit
-// once the report is old, although no other event occurs.
-func TestHeldBackEndsByItself(t *testing.T) {
+// TestDeferralEndsAsReportAges checks that a request which is deferred, because the only back end with
+// a free permit has just reported a disturbance, gets the permit once the report is old, although no
+// other event occurs.
+func TestDeferralEndsAsReportAges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDispatcher(2, 10)
 		busy, disturbed := acquireColdPermit(t, d), acquireColdPermit(t, d)
@@ -264,8 +270,8 @@
 	})
 }
 
-// TestManyWaitAtLittleCost lets 500 requests wait for a second. The back ends must be scanned
-// about as often as for a single waiting request.
+// TestManyWaitAtLittleCost guards against one recheck timer per waiting request: for 500 requests that
+// wait for a second, the back ends must be scanned about as often as for a single one.
 func TestManyWaitAtLittleCost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDispatcher(1, 1000)
@@ -283,15 +289,16 @@
 	})
 }
 
-// requestOfAge returns a request that its caller first sent this long ago.
+// requestOfAge returns a request that its caller first sent this long ago and that may wait for a
+// second.
 func requestOfAge(age time.Duration) dispatch.Request {
 	req := request(1, time.Second)
 	req.FirstTry = time.Now().Add(-age)
 	return req
 }
 
-// TestNewestFirstTryGoesFirst checks that among waiting requests the one with the most time
-// left gets the permit first, and those with the least time left come last.
+// TestNewestFirstTryGoesFirst checks that of the waiting requests of one weight those with the newest
+// first try, which have the most time left, get permits first.
 func TestNewestFirstTryGoesFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDispatcher(1, 10)
@@ -313,9 +320,9 @@
 	})
 }
 
-// TestComeBackLater checks that the Retry-After grows with the time since the caller's
-// first try, within bounds, and has the minimum if that time is unknown.
-func TestComeBackLater(t *testing.T) {
+// TestRetryAfterGrowsWithRequestAge checks that the Retry-After grows with the time since the caller's
+// first try, within bounds, and has the minimum if the first try is unknown.
+func TestRetryAfterGrowsWithRequestAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDispatcher(1, 10)
 		acquireColdPermit(t, d)
@@ -330,10 +337,9 @@
 	})
 }
 
-// TestNewInEvacuatedZone declares a back end in an evacuated zone while a request waits.
-// The back end must never be available, not even between its declaration and the update that
-// drains it.
-func TestNewInEvacuatedZone(t *testing.T) {
+// TestNewBackendInEvacuatedZoneGetsNoRequest guards against granting a permit for a new back end in an
+// evacuated zone between its declaration and the update that drains it. A request waits meanwhile.
+func TestNewBackendInEvacuatedZoneGetsNoRequest(t *testing.T) {
 	d := dispatch.New(rand.New(rand.NewPCG(1, 1)), 10)
 	occupied := routing.Backend{ID: "b0", Slots: 1, Window: 1, Warm: true}
 	d.Configure(fixedBackends(occupied), 10)
--- a/dispatch/exclusion_test.go
+++ b/dispatch/exclusion_test.go
@@ -20,8 +20,8 @@
 	return d
 }
 
-// requestExcluding returns a request that must not be sent to a back end for a duration; 0: for
-// as long as it waits.
+// requestExcluding returns a request that is excluded from a back end for a duration; 0: for as long
+// as it waits.
 func requestExcluding(backend string, duration time.Duration) dispatch.Request {
 	req := request(1, 0)
 	exclusion := routing.Exclusion{Backend: backend}
@@ -32,9 +32,9 @@
 	return req
 }
 
-// TestExcludedRequestHoldsNobodyUp guards against requests that wait behind one that must
-// not use the back end that is free.
-func TestExcludedRequestHoldsNobodyUp(t *testing.T) {
+// TestExcludedRequestDoesNotBlockOthers guards against requests that wait for a permit because one
+// ahead of them is excluded from the back end that is free.
+func TestExcludedRequestDoesNotBlockOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTwoSlotDispatcher()
 		held := map[string]*dispatch.Grant{}
@@ -64,9 +64,9 @@
 	})
 }
 
-// TestAllExcludedIsRefusedAtOnce checks that a request for which all back ends are excluded
-// beyond its time is refused at once with a Retry-After, and that it waits if an exclusion ends
-// soon enough.
+// TestAllExcludedIsRefusedAtOnce checks that a request which is excluded from all back ends for longer
+// than it may wait is refused at once with a Retry-After, and that it waits if an exclusion ends in
+// time.
 func TestAllExcludedIsRefusedAtOnce(t *testing.T) {
 	for name, test := range map[string]struct {
 		duration   time.Duration
@@ -76,8 +76,8 @@
 	}{
 		"longer than its deadline": {duration: 12 * time.Second, code: resultcode.BackendsPaused, retryAfter: 10 * time.Second},
 		"longer than its wait":     {duration: 4 * time.Second, code: resultcode.BackendsPaused, retryAfter: 4 * time.Second},
-		"no end while it waits":    {code: resultcode.NoBackend, retryAfter: 100 * time.Millisecond},
-		"ends soon":                {duration: 500 * time.Millisecond, waits: true},
+		"without an end":           {code: resultcode.NoBackend, retryAfter: 100 * time.Millisecond},
+		"shorter than its wait":    {duration: 500 * time.Millisecond, waits: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/dispatch/followedpermits_test.go
+++ b/dispatch/followedpermits_test.go
@@ -9,14 +9,14 @@
 	"github.com/tuliphall/tuliphall/routing"
 )
 
-// repeatableRead returns a read request that may be sent again.
+// repeatableRead returns a repeatable read request that its caller first sent this long ago.
 func repeatableRead(age time.Duration) Request {
 	request := readRequest(age)
 	request.Routing.Repeatable = true
 	return request
 }
 
-// mustOffer returns the permit that a request gets at once.
+// mustOffer offers a request that must get a permit at once, and returns the permit.
 func mustOffer(t *testing.T, core *Core, now time.Time, request Request) *Permit {
 	t.Helper()
 	decision := core.Offer(now, request, nil)
@@ -24,16 +24,16 @@
 	return decision.Permit
 }
 
-// reportUndisturbed records many load reports of a back end that is not disturbed.
+// reportUndisturbed records enough load reports of an undisturbed back end to learn its slowdown.
 func reportUndisturbed(core *Core, id string) {
 	for range 100 {
 		core.RecordLoadProbe(epoch, id, routing.Report{Slowdown: 1})
 	}
 }
 
-// TestDisturbanceIsToldSoon checks that a back end is probed as soon as a request
-// has reached it, and that each request that met a disturbance is reported once.
-func TestDisturbanceIsToldSoon(t *testing.T) {
+// TestArrivalProbeReportsDisturbedRequestOnce checks that a back end is probed as soon as a followed
+// request has reached it, and that a request which met a disturbed back end is reported once.
+func TestArrivalProbeReportsDisturbedRequestOnce(t *testing.T) {
 	core := newTrainedCore(1)
 	reportUndisturbed(core, "a")
 	permit := mustOffer(t, core, epoch, repeatableRead(0))
@@ -45,17 +45,17 @@
 	require.True(t, wanted)
 	require.Equal(t, "a", id)
 	require.Equal(t, []*Permit{permit}, core.RecordLoadProbe(reached, id, routing.Report{Slowdown: 5}))
-	require.Empty(t, core.RecordLoadProbe(reached, id, routing.Report{Slowdown: 5}), "a disturbance is reported once")
+	require.Empty(t, core.RecordLoadProbe(reached, id, routing.Report{Slowdown: 5}), "the request is reported once")
 }
 
-// TestOnlyFreshDisturbancesCount checks that requests are not reported whose back end is not
-// disturbed, that have ended, or that began long before the report.
-func TestOnlyFreshDisturbancesCount(t *testing.T) {
+// TestUnaffectedRequestIsNotReportedDisturbed checks that a request is not reported if its back end is
+// not disturbed, if it has ended, or if it began long before the disturbance was reported.
+func TestUnaffectedRequestIsNotReportedDisturbed(t *testing.T) {
 	core := newTrainedCore(1)
 	reportUndisturbed(core, "a")
 	mustOffer(t, core, epoch, repeatableRead(0))
 	require.Empty(t, core.RecordLoadProbe(epoch.Add(5*time.Millisecond), "a", routing.Report{Slowdown: 1.1}), "the back end is not disturbed")
-	require.Empty(t, core.RecordLoadProbe(epoch.Add(disturbanceWindow+time.Millisecond), "a", routing.Report{Slowdown: 5}), "the disturbance may have begun later")
+	require.Empty(t, core.RecordLoadProbe(epoch.Add(disturbanceWindow+time.Millisecond), "a", routing.Report{Slowdown: 5}), "the disturbance may have begun after the request")
 
 	core = newTrainedCore(1)
 	reportUndisturbed(core, "a")
@@ -64,8 +64,8 @@
 	require.Empty(t, core.RecordLoadProbe(epoch.Add(5*time.Millisecond), "a", routing.Report{Slowdown: 5}), "the request has ended")
 }
 
-// TestNoArrivalProbeWithoutSlowdownReports checks that back ends which never reported a slowdown
-// are not probed when a request arrives.
+// TestNoArrivalProbeWithoutSlowdownReports checks that a back end whose service does not report
+// slowdowns is not probed when a request arrives.
 func TestNoArrivalProbeWithoutSlowdownReports(t *testing.T) {
 	core := newTrainedCore(1)
 	core.RecordLoadProbe(epoch, "a", routing.Report{InFlight: 1})
@@ -74,9 +74,9 @@
 	require.False(t, wanted)
 }
 
-// TestFollowedWhereItHelps checks that only requests are followed for which a hedge
-// could be in time.
-func TestFollowedWhereItHelps(t *testing.T) {
+// TestOnlyHedgeableRequestsAreFollowed checks that only repeatable first attempts for which a hedge
+// could be in time are followed.
+func TestOnlyHedgeableRequestsAreFollowed(t *testing.T) {
 	core := newTrainedCore(4)
 	require.False(t, mustOffer(t, core, epoch, readRequest(0)).Followed, "the request is not repeatable")
 	retried := repeatableRead(0)
@@ -85,5 +85,5 @@
 	require.False(t, mustOffer(t, core, epoch, repeatableRead(300*time.Millisecond)).Followed, "a hedge would be late")
 	unknown := repeatableRead(0)
 	unknown.Class = "other"
-	require.False(t, mustOffer(t, core, epoch, unknown).Followed, "the latencies of its class are unknown")
+	require.False(t, mustOffer(t, core, epoch, unknown).Followed, "the latencies of the class are unknown")
 }
--- a/dispatch/latencystats_test.go
+++ b/dispatch/latencystats_test.go
@@ -14,8 +14,8 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// newTrainedCore returns a core with back ends of one slot each that has learned latencies of 80
-// to 120 ms for a class.
+// newTrainedCore returns a core with back ends of one slot each and learned latencies of 80 to 120 ms
+// for the class "read".
 func newTrainedCore(backends int) *Core {
 	group := routing.NewGroup(routing.Options{
 		Picker: routing.LeastLoad{}, Random: rand.New(rand.NewPCG(1, 1)), Overcommit: routing.DefaultOvercommit,
@@ -32,33 +32,33 @@
 	return core
 }
 
-// readRequest returns a request that its caller first sent this long ago.
+// readRequest returns a request of the class "read" that its caller first sent this long ago.
 func readRequest(age time.Duration) Request {
 	firstTry := epoch.Add(-age)
 	return Request{Weight: 1, Class: "read", FirstTry: firstTry, Objective: 400 * time.Millisecond, Deadline: firstTry.Add(time.Second)}
 }
 
-// TestUnservableIsRefusedAtOnce checks that a request which no back end could answer before its
-// deadline is refused at once, although permits are free.
-func TestUnservableIsRefusedAtOnce(t *testing.T) {
+// TestUnmeetableDeadlineIsRefusedAtOnce checks that a request which no back end could answer before
+// its deadline is refused at once, although permits are free.
+func TestUnmeetableDeadlineIsRefusedAtOnce(t *testing.T) {
 	core := newTrainedCore(2)
 	require.Equal(t, resultcode.DeadlineTooShort, core.Offer(epoch, readRequest(930*time.Millisecond), nil).Refused)
-	require.NotNil(t, core.Offer(epoch, readRequest(900*time.Millisecond), nil).Permit, "100 ms are left, the fastest answers take 80 ms")
+	require.NotNil(t, core.Offer(epoch, readRequest(900*time.Millisecond), nil).Permit, "100 ms are left, and the fastest answers take 80 ms")
 }
 
-// TestLateTakesFreePlacesOnly checks that a request which is already late gets a free permit but
-// does not wait for one.
-func TestLateTakesFreePlacesOnly(t *testing.T) {
+// TestLateRequestDoesNotWait checks that a request which is already late gets a permit if one is free,
+// but does not wait for one.
+func TestLateRequestDoesNotWait(t *testing.T) {
 	core := newTrainedCore(1)
 	require.NotNil(t, core.Offer(epoch, readRequest(500*time.Millisecond), nil).Permit)
 	decision := core.Offer(epoch, readRequest(500*time.Millisecond), nil)
 	require.Equal(t, resultcode.DeadlineTooShort, decision.Refused)
-	require.NotNil(t, core.Offer(epoch, readRequest(0), nil).Ticket, "a request that can be in time waits")
+	require.NotNil(t, core.Offer(epoch, readRequest(0), nil).Ticket, "a request that can be in time must wait")
 }
 
-// TestSpareDoesNotWait checks that a hedge gets a permit only if one is free, and never
-// enters the queue.
-func TestSpareDoesNotWait(t *testing.T) {
+// TestHedgeDoesNotWait checks that a hedge gets a permit only if one is free, and never enters the
+// queue.
+func TestHedgeDoesNotWait(t *testing.T) {
 	core := newTrainedCore(1)
 	hedge := readRequest(0)
 	hedge.NoWait = true
@@ -67,9 +67,9 @@
 	require.Zero(t, core.Queue.Len())
 }
 
-// TestWaitingEndsWhenLate checks that a waiting request is shed with a Retry-After as soon as its
-// answer would commonly be too late.
-func TestWaitingEndsWhenLate(t *testing.T) {
+// TestWaitingRequestIsShedWhenLate checks that a waiting request is shed with a Retry-After as soon as
+// its answer would commonly be late.
+func TestWaitingRequestIsShedWhenLate(t *testing.T) {
 	core := newTrainedCore(1)
 	core.Offer(epoch, readRequest(0), nil)
 	require.NotNil(t, core.Offer(epoch, readRequest(0), "waits").Ticket)
@@ -88,17 +88,17 @@
 	normal := stats.hedgeAfter(epoch, readRequest(0), false)
 	require.Greater(t, normal, 110*time.Millisecond)
 	require.Greater(t, stats.hedgeAfter(epoch, readRequest(0), true), normal)
-	require.Equal(t, 110*time.Millisecond, stats.hedgeAfter(epoch, readRequest(190*time.Millisecond), false).Round(10*time.Millisecond), "sooner for a request that has waited")
-	require.Zero(t, stats.hedgeAfter(epoch, readRequest(260*time.Millisecond), false), "too late")
+	require.Equal(t, 110*time.Millisecond, stats.hedgeAfter(epoch, readRequest(190*time.Millisecond), false).Round(10*time.Millisecond), "earlier for a request that has waited")
+	require.Zero(t, stats.hedgeAfter(epoch, readRequest(260*time.Millisecond), false), "a hedge would be late")
 	require.Zero(t, new(latencyStats).hedgeAfter(epoch, readRequest(0), false), "no latencies are known")
 	withoutObjective := readRequest(0)
 	withoutObjective.Objective = 0
 	require.Zero(t, stats.hedgeAfter(epoch, withoutObjective, false), "the request has no objective")
 }
 
-// TestNoClassMeansNoLatencyStats checks that a request without a class is not refused because of
-// the latencies of other requests.
-func TestNoClassMeansNoLatencyStats(t *testing.T) {
+// TestUnclassifiedRequestIgnoresLatencyStats checks that a request without a class is not refused
+// because of the latencies of other requests.
+func TestUnclassifiedRequestIgnoresLatencyStats(t *testing.T) {
 	core := newTrainedCore(1)
 	core.latencies.record("", time.Hour)
 	unclassified := readRequest(0)
@@ -106,8 +106,8 @@
 	require.NotNil(t, core.Offer(epoch, unclassified, nil).Permit)
 }
 
-// TestClassesAreForgottenNotPiledUp checks that the number of classes kept is bounded.
-func TestClassesAreForgottenNotPiledUp(t *testing.T) {
+// TestClassCountIsBounded checks that latencies are kept for a bounded number of classes.
+func TestClassCountIsBounded(t *testing.T) {
 	var stats statsByClass
 	for i := range 3 * maxClasses {
 		stats.record(string(rune(i)), time.Second)
--- a/dispatch/standby_test.go
+++ b/dispatch/standby_test.go
@@ -11,9 +11,8 @@
 	"github.com/tuliphall/tuliphall/routing"
 )
 
-// TestStandbyShowsBackends guards against an empty status on standby: a daemon that grants
-// no permits for a service showed operators no back ends, although all were declared and one was
-// leaving.
+// TestStandbyShowsBackends guards against an empty status on standby: a daemon that granted no permits
+// for a service showed operators no back ends, although they were declared and one was leaving.
 func TestStandbyShowsBackends(t *testing.T) {
 	d := dispatch.New(rand.New(rand.NewPCG(1, 1)), 10)
 	evacuated := routing.Backend{ID: "b1", Zone: "west", Slots: 1, Window: 1, Warm: true, Drained: true, Evacuated: true}
@@ -23,7 +22,7 @@
 	}, 10)
 	leaving = true
 	d.SetDraining("b2", func() bool { return leaving })
-	for range 2 { // Status must not change the state
+	for range 2 { // a call of Status must not change the state
 		states, waiting := d.Status()
 		require.Zero(t, waiting)
 		require.Len(t, states, 3)
