--- a/slots/slots_test.go
+++ b/slots/slots_test.go
@@ -26,7 +26,7 @@
 
 const serviceName = "prices"
 
-// testDispatcher is a daemon that grants the single permit of a service.
+// testDispatcher is the dispatcher of a service with a single permit.
 type testDispatcher struct {
 	address string
 	service *service.Service
@@ -75,9 +75,9 @@
 	return grant
 }
 
-// TestPlaceGoesOn checks that a second request waits until the first one
-// releases its permit.
-func TestPlaceGoesOn(t *testing.T) {
+// TestReleasedPermitPassesToWaitingRequest checks that a second request waits until the first one
+// releases the permit, and then gets it.
+func TestReleasedPermitPassesToWaitingRequest(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	d := startDispatcher(t)
 	defer d.stop()
@@ -110,22 +110,22 @@
 	grant.Done(routing.Success, time.Millisecond, nil)
 }
 
-// TestSessionEnds checks that the permits of a daemon that is gone pass to
+// TestSessionEndReleasesPermits checks that the permits of a daemon whose session has ended pass to
 // others.
-func TestSessionEnds(t *testing.T) {
+func TestSessionEndReleasesPermits(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	d := startDispatcher(t)
 	defer d.stop()
-	gone, client := newClient(), newClient()
+	closed, client := newClient(), newClient()
 	defer client.Close()
-	acquire(t, gone, d)
-	gone.Close()
+	acquire(t, closed, d)
+	closed.Close()
 	acquire(t, client, d).Done(routing.Canceled, 0, nil)
 }
 
-// TestGivenUp checks that no permit stays with a request whose caller
-// left while it waited.
-func TestGivenUp(t *testing.T) {
+// TestAbandonedRequestKeepsNoPermit checks that a request whose caller has left while it waited gets no
+// permit that would never be released.
+func TestAbandonedRequestKeepsNoPermit(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	d := startDispatcher(t)
 	defer d.stop()
@@ -140,9 +140,9 @@
 	acquire(t, client, d).Done(routing.Canceled, 0, nil)
 }
 
-// TestRefused checks that the dispatcher's refusal and its Retry-After are passed on,
-// except that an unknown service yields ErrStaleDispatcher.
-func TestRefused(t *testing.T) {
+// TestRefusalIsPassedOn checks that the caller gets the dispatcher's refusal and its Retry-After, but
+// ErrStaleDispatcher if the dispatcher does not know the service.
+func TestRefusalIsPassedOn(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	d := startDispatcher(t)
 	defer d.stop()
@@ -159,9 +159,9 @@
 	require.ErrorIs(t, err, slots.ErrStaleDispatcher)
 }
 
-// TestSilentDispatcher checks that a dispatcher which accepts connections but never replies is
-// given up on.
-func TestSilentDispatcher(t *testing.T) {
+// TestSilentDispatcherIsUnreachable checks that a dispatcher which accepts connections but never
+// replies counts as unreachable.
+func TestSilentDispatcherIsUnreachable(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -172,16 +172,16 @@
 	require.ErrorIs(t, err, slots.ErrUnreachable)
 }
 
-// TestNewSession checks that a new session is opened after a dispatcher
-// has stopped and another one has started.
-func TestNewSession(t *testing.T) {
+// TestNewSessionAfterDispatcherStops checks that a client opens a session to another dispatcher after
+// the first one has stopped.
+func TestNewSessionAfterDispatcherStops(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	d := startDispatcher(t)
 	client := newClient()
 	defer client.Close()
 	grant := acquire(t, client, d)
 	d.stop()
-	grant.Done(routing.Success, time.Millisecond, nil) // releasing a permit of a stopped dispatcher must do no harm
+	grant.Done(routing.Success, time.Millisecond, nil) // the release of a permit of a stopped dispatcher must have no effect
 	other := startDispatcher(t)
 	defer other.stop()
 	acquire(t, client, other).Done(routing.Canceled, 0, nil)
@@ -189,8 +189,8 @@
 	require.ErrorIs(t, err, slots.ErrUnreachable)
 }
 
-// BenchmarkPlace acquires and releases a permit over loopback.
-func BenchmarkPlace(b *testing.B) {
+// BenchmarkAcquireAndRelease measures the acquisition and release of a permit over loopback.
+func BenchmarkAcquireAndRelease(b *testing.B) {
 	d := startDispatcher(b)
 	defer d.stop()
 	client := newClient()
