--- a/ratelimit/fleet_test.go
+++ b/ratelimit/fleet_test.go
@@ -16,21 +16,22 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// What is promised for a tenant: in any window, at most rate and burst, exceeded by overshoot and extraRequests.
+// The bound on the requests of a tenant that are granted in any window: what its rate and burst permit, exceeded by a
+// factor of overshoot and by extraRequests.
 const (
 	window        = 5 * time.Second
 	overshoot     = 0.1
 	extraRequests = 20
 )
 
-// fleet is a fleet of daemons of which a few dispatch services.
+// fleet simulates the daemons of a fleet, a few of which dispatch services.
 type fleet struct {
-	random      *rand.Rand // of the load
-	faultRandom *rand.Rand // of the faults
+	random      *rand.Rand // draws the load
+	faultRandom *rand.Rand // draws the faults
 	limit       Limit
 	services    int
 	nodes       []*node
-	separate    bool // each daemon counts by itself, which the check must detect
+	separate    bool // each daemon counts by itself
 
 	mutex   sync.Mutex
 	grants  []time.Duration
@@ -44,10 +45,10 @@
 	number  int
 	limiter *FleetLimiter
 	cancel  context.CancelFunc
-	// up: it runs; partition is its side of a partitioned network.
-	up, frozen bool
-	partition  int
-	// suspected are the daemons that it believes to be unreachable.
+	// running: the process runs; partition is the part of a partitioned network that the daemon is in.
+	running, frozen bool
+	partition       int
+	// suspected are the daemons that this one believes to be unreachable.
 	suspected map[int]bool
 }
 
@@ -56,7 +57,7 @@
 func newFleet(seed uint64, daemons, services int, limit Limit) *fleet {
 	f := &fleet{random: rand.New(rand.NewPCG(seed, 1)), faultRandom: rand.New(rand.NewPCG(seed, 4)), limit: limit, services: services, started: time.Now()}
 	for number := range daemons {
-		n := &node{fleet: f, number: number, up: true, suspected: make(map[int]bool)}
+		n := &node{fleet: f, number: number, running: true, suspected: make(map[int]bool)}
 		f.nodes = append(f.nodes, n)
 		n.start()
 	}
@@ -96,8 +97,8 @@
 	return len(n.fleet.nodes) - len(n.suspected), len(n.fleet.nodes)
 }
 
-// dispatcherOf returns which daemon it believes to be the dispatcher of a service: the first that it does not
-// suspect, in an order that is the same for all.
+// dispatcherOf returns the daemon that this one believes to be the dispatcher of a service: the first that it does not
+// suspect, in an order that is the same for all daemons.
 func (n *node) dispatcherOf(service int) int {
 	for rank := range n.fleet.nodes {
 		number := (service + rank*n.fleet.services) % len(n.fleet.nodes)
@@ -108,13 +109,13 @@
 	return n.number
 }
 
-// membershipTime is the time in which the members agree on who is alive.
-const membershipTime = 4 * time.Second
+// maxMembershipDelay is the time in which the members agree on who is alive.
+const maxMembershipDelay = 4 * time.Second
 
-// agree lets each daemon find out, after a random delay, which others are reachable.
-func (f *fleet) agree() {
+// updateMembership lets each daemon find out, after a random delay, which others are reachable.
+func (f *fleet) updateMembership() {
 	for _, n := range f.nodes {
-		delay := time.Duration(f.faultRandom.Float64() * float64(membershipTime))
+		delay := time.Duration(f.faultRandom.Float64() * float64(maxMembershipDelay))
 		time.AfterFunc(delay, func() {
 			for _, other := range f.nodes {
 				delete(n.suspected, other.number)
@@ -142,13 +143,14 @@
 	return reply, nil
 }
 
+// reaches returns whether a daemon can exchange messages with another one.
 func (n *node) reaches(to *node) bool {
-	return n.up && to.up && !n.frozen && !to.frozen && n.partition == to.partition
+	return n.running && to.running && !n.frozen && !to.frozen && n.partition == to.partition
 }
 
-// request sends one request of the tenant through a daemon.
+// request sends a request of the tenant through a daemon and counts the result.
 func (f *fleet) request(through *node, service int) {
-	if !through.up || through.frozen {
+	if !through.running || through.frozen {
 		return
 	}
 	refused := f.take(through, service)
@@ -161,7 +163,8 @@
 	f.grants = append(f.grants, time.Since(f.started))
 }
 
-// take counts a request as the request path does: at the dispatcher, at the next one, or at this daemon.
+// take takes a request from the tenant's limit as the request path does: at the dispatcher, at the next one if that
+// does not respond, or else at the daemon itself.
 func (f *fleet) take(through *node, service int) (refused bool) {
 	if f.separate {
 		return through.limiter.Take("tenant", Dispatcher) != nil
@@ -171,13 +174,13 @@
 		if dispatcher == through || through.reaches(dispatcher) {
 			return dispatcher.limiter.Take("tenant", Dispatcher) != nil
 		}
-		// It does not answer: it is suspected, and the next one is asked.
+		// The dispatcher does not respond: suspect it and ask the next one.
 		through.suspected[dispatcher.number] = true
 	}
 	return through.limiter.Take("tenant", Fallback) != nil
 }
 
-// load sends requests at a rate for a time, unevenly spread over daemons and services.
+// load sends requests at a rate for a duration, unevenly distributed over daemons and services.
 func (f *fleet) load(perSecond float64, duration time.Duration) {
 	until := time.Now().Add(duration)
 	for time.Now().Before(until) {
@@ -187,7 +190,7 @@
 	}
 }
 
-// stop ends all daemons.
+// stop stops all daemons.
 func (f *fleet) stop() {
 	for _, n := range f.nodes {
 		n.cancel()
@@ -208,29 +211,29 @@
 	return largest
 }
 
-// bound returns what is promised for any window.
+// bound returns the maximum number of grants in any window.
 func (l Limit) bound() float64 {
 	return (l.Rate*window.Seconds()+l.Burst)*(1+overshoot) + extraRequests
 }
 
-// inFleet runs a test with a fleet in virtual time.
-func inFleet(t *testing.T, seed uint64, daemons, services int, limit Limit, run func(f *fleet)) {
+// runInFleet runs a test with a fleet in virtual time.
+func runInFleet(t *testing.T, seed uint64, daemons, services int, limit Limit, run func(f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(seed, daemons, services, limit)
 		defer func() {
 			f.stop()
-			time.Sleep(time.Second) // lets running exchanges end
+			time.Sleep(time.Second) // exchanges in progress end
 		}()
 		run(f)
 	})
 }
 
-// TestRateIsReached sends twice the rate, unevenly spread: nearly the whole rate is used, and no
-// window exceeds what is promised.
+// TestRateIsReached verifies that at twice the rate, unevenly distributed, nearly the whole rate is granted and no
+// window exceeds the bound.
 func TestRateIsReached(t *testing.T) {
 	for _, limit := range []Limit{{5, 5}, {20, 20}, {200, 200}, {200, 10}} {
 		for _, services := range []int{1, 4, 10} {
-			inFleet(t, 7, 20, services, limit, func(f *fleet) {
+			runInFleet(t, 7, 20, services, limit, func(f *fleet) {
 				f.load(limit.Rate*0.6, 10*time.Second)
 				f.mutex.Lock()
 				before, refusedBefore := len(f.grants), f.refused
@@ -239,7 +242,7 @@
 				f.load(limit.Rate*2, overloaded)
 				reached := float64(len(f.grants)-before) / (limit.Rate * overloaded.Seconds())
 				refusedShare := float64(refusedBefore) / float64(before+refusedBefore)
-				t.Logf("rate %g, burst %g, %d dispatchers: %.2f of the rate, at most %d in a window of %.0f promised, %.3f refused at 0.6 of the rate",
+				t.Logf("rate %g, burst %g, %d dispatchers: %.2f of the rate, at most %d in a window with a bound of %.0f, %.3f refused at 0.6 of the rate",
 					limit.Rate, limit.Burst, services, reached, f.maxGrants(), limit.bound(), refusedShare)
 				require.Greater(t, reached, 0.97)
 				require.LessOrEqual(t, float64(f.maxGrants()), limit.bound())
@@ -248,30 +251,31 @@
 	}
 }
 
-// TestSeparateCountsAreDetected verifies that the check detects daemons that each count by themselves.
+// TestSeparateCountsAreDetected verifies that the check of the bound detects daemons that count independently.
 func TestSeparateCountsAreDetected(t *testing.T) {
 	limit := Limit{Rate: 20, Burst: 20}
-	inFleet(t, 7, 20, 3, limit, func(f *fleet) {
+	runInFleet(t, 7, 20, 3, limit, func(f *fleet) {
 		f.separate = true
 		f.load(200, 15*time.Second)
 		require.Greater(t, float64(f.maxGrants()), limit.bound())
 	})
 }
 
-// TestNeverOver runs the schedules of faults of this many consecutive seeds, from the first on.
+// TestBoundHoldsUnderRandomFaults runs this many schedules of faults, with consecutive seeds from firstSchedule on.
 var (
-	firstSchedule = flag.Uint64("first-schedule", 0, "seed of the first schedule of troubles that TestNeverOver plays")
-	schedules     = flag.Uint64("schedules", 300, "schedules of troubles that TestNeverOver plays")
+	firstSchedule = flag.Uint64("first-schedule", 0, "seed of the first schedule of faults that TestBoundHoldsUnderRandomFaults runs")
+	schedules     = flag.Uint64("schedules", 300, "schedules of faults that TestBoundHoldsUnderRandomFaults runs")
 )
 
-// fault makes something fail in a fleet, and repairs it.
+// fault injects a fault into a fleet and ends it after a while.
 type fault func(f *fleet)
 
+// sleepUpTo sleeps for a random time.
 func (f *fleet) sleepUpTo(longest time.Duration) {
 	time.Sleep(time.Duration(f.faultRandom.Float64() * float64(longest)))
 }
 
-// dispatcher returns a daemon that dispatches a service.
+// dispatcher returns the dispatcher of a random service.
 func (f *fleet) dispatcher() *node {
 	return f.nodes[f.nodes[0].dispatcherOf(f.faultRandom.IntN(f.services))]
 }
@@ -279,21 +283,21 @@
 var faults = map[string]fault{
 	"a dispatcher crashes and restarts": func(f *fleet) {
 		victim := f.dispatcher()
-		victim.up = false
+		victim.running = false
 		victim.cancel()
-		f.agree()
+		f.updateMembership()
 		f.sleepUpTo(6 * time.Second)
-		victim.up = true
+		victim.running = true
 		victim.start()
-		f.agree()
+		f.updateMembership()
 	},
 	"a dispatcher freezes": func(f *fleet) {
 		victim := f.dispatcher()
 		victim.frozen = true
-		f.agree()
+		f.updateMembership()
 		f.sleepUpTo(6 * time.Second)
 		victim.frozen = false
-		f.agree()
+		f.updateMembership()
 	},
 	"two daemons dispatch one service": func(f *fleet) {
 		suspect := f.dispatcher()
@@ -303,76 +307,78 @@
 			}
 		}
 		f.sleepUpTo(4 * time.Second)
-		f.agree()
+		f.updateMembership()
 	},
 	"the network is partitioned": func(f *fleet) {
 		half := 1 + f.faultRandom.IntN(len(f.nodes)-1)
 		for _, n := range f.nodes[:half] {
 			n.partition = 1
 		}
-		f.agree()
+		f.updateMembership()
 		f.sleepUpTo(8 * time.Second)
 		for _, n := range f.nodes {
 			n.partition = 0
 		}
-		f.agree()
+		f.updateMembership()
 	},
 	"all daemons restart": func(f *fleet) {
 		for _, n := range f.nodes {
-			n.up = false
+			n.running = false
 			n.cancel()
 		}
 		time.Sleep(500 * time.Millisecond)
 		for _, n := range f.nodes {
-			n.up = true
+			n.running = true
 			n.start()
 		}
-		f.agree()
+		f.updateMembership()
 	},
 }
 
-// TestNeverOver injects random faults at random times under random load: no window exceeds what is promised.
-func TestNeverOver(t *testing.T) {
+// TestBoundHoldsUnderRandomFaults verifies that no window exceeds the bound under random load, with random faults at
+// random times.
+func TestBoundHoldsUnderRandomFaults(t *testing.T) {
 	fullest := 0.0
 	for number := range *schedules {
 		fullest = max(fullest, runSchedule(t, *firstSchedule+number))
 	}
-	t.Logf("%d schedules, fullest window %.2f of what is promised", *schedules, fullest)
+	t.Logf("%d schedules, fullest window %.2f of the bound", *schedules, fullest)
 }
 
-// TestPartitionAfterStart partitions the fleet half a second after all its daemons have started. Both
-// sides assumed that they were the whole fleet: the grantors of one had exchanged reports, and those of the
-// other started to grant because they did not reach the first, whose grants they knew nothing about.
-// Until the members agreed, after 3 s, the sides let through 100 and 85 requests a second of a rate of 100:
-// 643 in a window for which 623 are promised.
+// TestPartitionAfterStart guards against both sides of a partition granting the whole rate. The network is partitioned
+// half a second after all daemons have started. The grantors of one side had exchanged reports, and those of the other
+// started to grant because they could not reach the first, whose grants they did not know. Until the members agreed,
+// after 3 s, the sides granted 100 and 85 requests a second at a rate of 100: 643 in a window with a bound of 623.
 func TestPartitionAfterStart(t *testing.T) {
 	const seed = 4076
 	runSchedule(t, seed)
 }
 
-// TestCutTwiceWhileAllAreNew partitions the network for three seconds, one second after all daemons have started.
-// The side without dispatchers used half of the rate and, after a report from the others, all of it, as it
-// no longer reported to them: 662 in a window for which 604 are promised.
+// TestCutTwiceWhileAllAreNew guards against a side of a partition that grants the whole rate because of a report from
+// the other side. The network is partitioned for three seconds, one second after all daemons have started. The side
+// without dispatchers granted half of the rate and, after a report from the others, all of it, as it no longer
+// reported to them: 662 in a window with a bound of 604.
 func TestCutTwiceWhileAllAreNew(t *testing.T) {
 	const seed = 6831
 	runSchedule(t, seed)
 }
 
-// TestFaultsAfterPartitionAfterStart continues after such a partition with a dispatcher that freezes or is suspected,
-// and one that crashes: 1,950 in a window for which 1,755 are promised, and 696 for 653.
+// TestFaultsAfterPartitionAfterStart guards against exceeding the bound when, after such a partition, a dispatcher
+// freezes or is suspected and another one crashes: 1,950 were granted in a window with a bound of 1,755, and 696 with
+// one of 653.
 func TestFaultsAfterPartitionAfterStart(t *testing.T) {
 	for _, seed := range []uint64{5857, 6275} {
 		runSchedule(t, seed)
 	}
 }
 
-// runSchedule runs one schedule and returns its fullest window as a share of what is promised.
+// runSchedule runs the schedule of a seed, checks the bound, and returns the fullest window as a share of the bound.
 func runSchedule(t *testing.T, seed uint64) float64 {
 	random := rand.New(rand.NewPCG(seed, 3))
 	rate := []float64{2, 5, 20, 100, 300}[random.IntN(5)]
 	limit := Limit{Rate: rate, Burst: rate * random.Float64()}
 	share := 0.0
-	inFleet(t, seed, 20, 3, limit, func(f *fleet) {
+	runInFleet(t, seed, 20, 3, limit, func(f *fleet) {
 		names := []string{"a dispatcher crashes and restarts", "a dispatcher freezes", "two daemons dispatch one service", "the network is partitioned", "all daemons restart"}
 		var injected []string
 		var running sync.WaitGroup
@@ -386,16 +392,16 @@
 		})
 		f.load(rate*(0.5+4*random.Float64()), 20*time.Second)
 		running.Wait()
-		time.Sleep(membershipTime)
+		time.Sleep(maxMembershipDelay)
 		share = float64(f.maxGrants()) / limit.bound()
-		assert.LessOrEqual(t, share, 1.0, "seed %d, limit %v, %v: %d in a window, %.0f promised", seed, limit, injected, f.maxGrants(), limit.bound())
+		assert.LessOrEqual(t, share, 1.0, "seed %d, limit %v, %v: %d in a window, bound %.0f", seed, limit, injected, f.maxGrants(), limit.bound())
 	})
 	return share
 }
 
-// TestSuspendedGrantor suspends the machine of a grantor while others continue to grant. As its clock includes the
-// suspended time, the grantor does not mistake the last reported level for the current one.
-func TestSuspendedGrantor(t *testing.T) {
+// TestSuspendedGrantorIgnoresStaleLevel guards against a grantor that takes the last reported level for the current
+// one after its machine was suspended while others continued to grant. Its clock includes the suspended time.
+func TestSuspendedGrantorIgnoresStaleLevel(t *testing.T) {
 	limit := Limit{Rate: 100, Burst: 20}
 	limiter := NewLimiter("a", time.Unix(0, 0), rand.New(rand.NewPCG(1, 1)))
 	limits := func(string) (Limit, bool) { return limit, true }
@@ -408,7 +414,7 @@
 		limiter.MergeReport(now, Report{Grantor: "b", Settled: true, Age: time.Minute, Uses: []TenantUse{{Tenant: "tenant", Used: uint64(now.UnixMilli() / 20), Level: 1, Known: true}}}, limits)
 		_, _ = limiter.Take(now, "tenant", limit, Dispatcher)
 	}
-	now = now.Add(3 * time.Second) // suspended; the other grantor uses half of the rate
+	now = now.Add(3 * time.Second) // suspended, while the other grantor uses half of the rate
 	limiter.SetGrantors(now, true, []string{"b"})
 	granted := 0
 	for range 200 {
