--- a/rollout/controller_test.go
+++ b/rollout/controller_test.go
@@ -21,7 +21,7 @@
 	"github.com/tuliphall/tuliphall/routing"
 )
 
-// defect is what is wrong with the new version.
+// defect is a defect of the new version.
 type defect string
 
 const (
@@ -33,20 +33,20 @@
 	failsLater     defect = "fails some seconds after its start"
 )
 
-// simulation is a service with two versions, in virtual time.
+// simulation simulates the rollout of a new version of a service in virtual time.
 type simulation struct {
 	random     *rand.Rand
 	now        time.Time
 	controller *Controller
 	group      *routing.Group
 	defect     defect
-	rate       float64 // requests a second
+	rate       float64 // requests per second
 	slots      int
 	backends   int // of each version
 	fault      fault
 	inFlight   []inFlightRequest
 
-	exposed, total, badCount int
+	exposed, total, affected int // requests: at the new version, all, and affected by the defect
 	unfinishedOld            int // requests in flight at old back ends when the rollout was completed
 }
 
@@ -61,7 +61,7 @@
 
 const within = 14 * time.Second
 
-// What operators allow the canary to get: a share of the requests, and a number of further ones.
+// Requests that operators allow a bad version to get: a share of all, and a number of further ones.
 const (
 	allowedShare = 0.1
 	allowedExtra = 50
@@ -84,7 +84,7 @@
 	return s
 }
 
-// run simulates the rollout and returns its final phase and how long it took.
+// run simulates the rollout and returns its final phase and its duration.
 func (s *simulation) run() (config.RolloutPhase, time.Duration) {
 	started := s.now
 	step := s.now
@@ -106,7 +106,8 @@
 	return s.controller.Order().Phase, s.now.Sub(started)
 }
 
-// request sends a request as the dispatcher of the service does.
+// request sends a request as the dispatcher of the service does, some time after the start of the
+// rollout.
 func (s *simulation) request(since time.Duration) {
 	class := []string{"reads", "reads", "reads", "writes"}[s.random.IntN(4)]
 	s.group.SetVersionRule(s.controller.Rule(s.now))
@@ -134,16 +135,16 @@
 	}
 	failed, slowdown := s.fault.affects(s, since, picked.Backend.ID)
 	slowdown *= s.slowdown(picked.Backend.ID)
-	if isNew && s.isBad(since, class, picked.Backend.InFlight) {
-		s.badCount++
+	if isNew && s.isAffected(since, class, picked.Backend.InFlight) {
+		s.affected++
 		failed, slowdown = failed || s.defect != slow, slowdown*map[bool]float64{true: 8, false: 1}[s.defect == slow]
 	}
 	latency := time.Duration(milliseconds * slowdown * float64(time.Millisecond))
 	s.inFlight = append(s.inFlight, inFlightRequest{picked: picked, ends: s.now.Add(latency), latency: latency, failed: failed, class: class, unserved: s.fault.unreachable != nil && s.fault.unreachable(since, picked.Backend.ID)})
 }
 
-// isBad returns whether the defect of the new version affects a request.
-func (s *simulation) isBad(since time.Duration, class string, inFlight int) bool {
+// isAffected returns whether the defect of the new version affects a request.
+func (s *simulation) isAffected(since time.Duration, class string, inFlight int) bool {
 	half := s.random.Float64() < 0.5
 	switch s.defect {
 	case failing, slow:
@@ -183,27 +184,27 @@
 	}
 }
 
-// fault affects back ends of both versions alike.
+// fault is a fault that affects back ends of both versions alike.
 type fault struct {
 	// affects returns whether a request to a back end fails, and by what factor it is slower.
 	affects func(s *simulation, since time.Duration, backend string) (failed bool, slowdown float64)
-	// unreachable returns whether a back end gives no response; nil: all respond.
+	// unreachable returns whether a back end does not respond; nil: all respond.
 	unreachable func(since time.Duration, backend string) bool
-	// disturbed: each back end is slow at random intervals, and reports that with its responses.
+	// disturbed: each back end is slow at random intervals, and reports its slowdown with its responses.
 	disturbed bool
 }
 
 var noFault = fault{affects: func(*simulation, time.Duration, string) (bool, float64) { return false, 1 }}
 
-// Disturbances are as on the users' platform, where 0.235 of the responses report that work takes more than
-// four times as long.
+// Disturbances as on the users' platform, where 0.235 of the responses report that work takes more than four times as
+// long.
 const (
 	disturbedShare    = 0.235
 	disturbedSlowdown = 4.4
 	disturbedInterval = 400 * time.Millisecond
 )
 
-// slowdown returns the factor by which work currently takes longer at a back end.
+// slowdown returns the factor by which work at a back end currently takes longer.
 func (s *simulation) slowdown(backend string) float64 {
 	if !s.fault.disturbed {
 		return 1
@@ -221,8 +222,8 @@
 	return number
 }
 
-// faults are drawn by TestRolloutsInDrawnTroubles in the order of their names, so that a new name that sorts elsewhere
-// changes what its seeds play.
+// faults are the faults by name. TestRolloutsInDrawnTroubles draws from their sorted names, so that a change of the
+// order changes what it simulates for a seed.
 var faults = map[string]fault{
 	"none": noFault,
 	"a sixth of the back ends fail four requests in ten": {affects: func(s *simulation, _ time.Duration, backend string) (bool, float64) {
@@ -246,15 +247,15 @@
 	}},
 }
 
-// rollouts is how many rollouts are simulated for each defect, load and fault.
-var rollouts = flag.Int("rollouts", 16, "rollouts of each way of being bad, load and trouble that TestRollouts plays")
+// rollouts is how many rollouts TestRollouts simulates for each defect, load and fault.
+var rollouts = flag.Int("rollouts", 16, "rollouts that TestRollouts simulates for each defect, load and fault")
 
-// TestRollouts simulates rollouts of good versions and of versions with each defect, at several loads and with
-// faults that affect both versions. No bad version is completed, at most one in 200 gets more than a tenth
-// of the requests and 50, at most one good version in 100 (and two more, as the sample is small) is rolled back,
-// and no decision is late.
+// TestRollouts simulates rollouts of good versions and of versions with each defect, at several loads and with faults
+// that affect both versions. All bad versions must be rolled back, at most one in 200 of them may get more than a
+// tenth of the requests and 50, at most one good version in 100 (and two more, as the sample is small) may not be
+// completed, and no decision on a good version may be late.
 func TestRollouts(t *testing.T) {
-	simulated, rejected, late, overShare := 0, 0, 0, 0
+	simulated, notCompleted, late, overShare := 0, 0, 0, 0
 	for _, bad := range []defect{none, failing, slow, failsUnderLoad, failsOneClass, failsLater} {
 		var exposed, durations []float64
 		for name := range faults {
@@ -268,7 +269,7 @@
 					if bad == none {
 						simulated++
 						if phase != config.RolloutCompleted {
-							rejected++
+							notCompleted++
 							t.Logf("a good version was not completed: %s, %s, %.0f a second, seed %d: %s", phase, name, rate, seed, s.controller.Order().Reason)
 						}
 						if after > within {
@@ -287,15 +288,15 @@
 		}
 		t.Logf("%-36s %3d simulated: decided after %.1f s (median), %.1f s (99th percentile); requests to the new version %.0f, %.0f", bad, len(durations), quantile(durations, 0.5), quantile(durations, 0.99), quantile(exposed, 0.5), quantile(exposed, 0.99))
 	}
-	require.LessOrEqual(t, float64(rejected), 0.01*float64(simulated)+2, "good versions that were not completed, of %d", simulated)
+	require.LessOrEqual(t, float64(notCompleted), 0.01*float64(simulated)+2, "good versions that were not completed, of %d", simulated)
 	require.LessOrEqual(t, overShare, 5*simulated/200, "bad versions that got more requests than allowed, of %d", 5*simulated)
 	require.Zero(t, late)
 }
 
-// drawnRollouts is how many rollouts of good versions, and of bad ones, TestRolloutsInDrawnTroubles simulates.
-var drawnRollouts = flag.Int("drawn-rollouts", 100, "rollouts of good versions, and as many of bad ones, that TestRolloutsInDrawnTroubles plays")
+// drawnRollouts is how many rollouts of good versions, and as many of bad ones, TestRolloutsInDrawnTroubles simulates.
+var drawnRollouts = flag.Int("drawn-rollouts", 100, "rollouts of good versions, and as many of bad ones, that TestRolloutsInDrawnTroubles simulates")
 
-// combine returns a fault with the effects of two.
+// combine returns a fault with the effects of both.
 func combine(a, b fault) fault {
 	return fault{
 		disturbed: a.disturbed || b.disturbed,
@@ -310,8 +311,8 @@
 	}
 }
 
-// randomFaults returns a rollout with two to four faults at the same time.
-func randomFaults(seed uint64, bad defect) (s *simulation, names []string) {
+// newRandomSimulation returns a rollout with two to four random faults at the same time, and the names of the faults.
+func newRandomSimulation(seed uint64, bad defect) (s *simulation, names []string) {
 	random := rand.New(rand.NewPCG(seed, 2))
 	all := slices.Sorted(maps.Keys(faults))
 	s = newSimulation(seed, bad, []float64{100, 200, 400}[random.IntN(3)], 60)
@@ -323,42 +324,43 @@
 	return s, names
 }
 
-// TestRolloutsInDrawnTroubles simulates rollouts with two to four random faults at once. No bad version is completed,
-// at most one in 200 gets more requests than allowed, and at most one good version in 100 (and two more, as the sample
-// is small) is rolled back.
+// TestRolloutsInDrawnTroubles simulates rollouts with two to four random faults at the same time. All bad versions
+// must be rolled back, at most one in 200 of them (and one more) may get more requests than allowed, and at most one
+// good version in 100 (and two more, as the sample is small) may not be completed.
 func TestRolloutsInDrawnTroubles(t *testing.T) {
-	rejected, completed, overShare := 0, 0, 0
+	notCompleted, notRolledBack, overShare := 0, 0, 0
 	for seed := range uint64(*drawnRollouts) {
-		s, names := randomFaults(seed, none)
+		s, names := newRandomSimulation(seed, none)
 		if phase, _ := s.run(); phase != config.RolloutCompleted {
-			rejected++
+			notCompleted++
 			t.Logf("a good version was not completed: %s, %v, %.0f a second, seed %d: %s", phase, names, s.rate, seed, s.controller.Order().Reason)
 		}
 		bad := []defect{failing, slow, failsUnderLoad, failsOneClass, failsLater}[seed%5]
-		s, names = randomFaults(seed, bad)
+		s, names = newRandomSimulation(seed, bad)
 		if phase, _ := s.run(); phase != config.RolloutRolledBack {
-			completed++
-			t.Logf("a bad version was completed: %s, %v, %.0f a second, seed %d: %s", bad, names, s.rate, seed, s.controller.Order().Reason)
+			notRolledBack++
+			t.Logf("a bad version was not rolled back: %s, %v, %.0f a second, seed %d: %s", bad, names, s.rate, seed, s.controller.Order().Reason)
 		}
 		if bound := allowedShare*float64(s.total) + allowedExtra; float64(s.exposed) > bound {
 			overShare++
 			t.Logf("more requests than allowed: %s, %v, %.0f a second, seed %d: %d of %.0f: %s", bad, names, s.rate, seed, s.exposed, bound, s.controller.Order().Reason)
 		}
 	}
-	t.Logf("%d of each simulated: %d good versions rolled back, %d bad versions completed, %d got more requests than allowed", *drawnRollouts, rejected, completed, overShare)
-	require.LessOrEqual(t, float64(rejected), 0.01*float64(*drawnRollouts)+2)
-	require.Zero(t, completed)
+	t.Logf("%d of each simulated: %d good versions not completed, %d bad versions not rolled back, %d got more requests than allowed", *drawnRollouts, notCompleted, notRolledBack, overShare)
+	require.LessOrEqual(t, float64(notCompleted), 0.01*float64(*drawnRollouts)+2)
+	require.Zero(t, notRolledBack)
 	require.LessOrEqual(t, float64(overShare), 0.005*float64(*drawnRollouts)+1)
 }
 
+// quantile returns a quantile of the values, which it sorts.
 func quantile(values []float64, share float64) float64 {
 	sort.Float64s(values)
 	return values[min(int(math.Ceil(share*float64(len(values)))), len(values)-1)]
 }
 
-// TestWithoutComparison verifies that the checks above detect a build that does not compare the versions: a bad
-// version gets more requests than allowed.
-func TestWithoutComparison(t *testing.T) {
+// TestMissingComparisonIsDetected verifies that the checks above detect a controller that does not compare the
+// versions: a bad version then gets more requests than allowed.
+func TestMissingComparisonIsDetected(t *testing.T) {
 	s := newSimulation(1, failing, 400, 60)
 	s.controller.judge.backendCap = 0 // no evidence accumulates
 	started := s.now
@@ -370,14 +372,15 @@
 		why, worse := s.controller.judge.Worse(s.now)
 		require.False(t, worse, why)
 		if s.controller.order.Phase == config.RolloutRunning && s.now.Sub(started) > within/2 {
-			s.controller.enterPhase(s.now, config.RolloutMoving, "not compared")
+			s.controller.enterPhase(s.now, config.RolloutMoving, "no comparison")
 		}
 	}
 	require.Greater(t, float64(s.exposed), 0.1*float64(s.total)+50)
 }
 
-// TestOrders covers the ways in which an order may proceed.
-func TestOrders(t *testing.T) {
+// TestOrderLifecycle covers how the phases of an order follow each other, and how records of other daemons affect
+// them.
+func TestOrderLifecycle(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	order := config.Rollout{Service: "board", Version: "v2", Within: config.Duration(10 * time.Second)}
 	backends := Backends{New: 4, NewSlots: 8, OldSlots: 8}
@@ -436,7 +439,7 @@
 		running.Phase, running.Recorded = config.RolloutRunning, 7
 		controller.Update(now, running)
 		require.Equal(t, config.RolloutRolledBack, controller.Order().Phase)
-		require.Equal(t, objectstore.Version(7), controller.Order().Recorded, "the record to replace")
+		require.Equal(t, objectstore.Version(7), controller.Order().Recorded, "the version of the record to replace")
 	})
 	t.Run("a store restored from an older backup has lost the decision", func(t *testing.T) {
 		controller := NewController(now, order)
@@ -449,14 +452,14 @@
 			older.Recorded = lost
 			controller.Update(now, older)
 			require.Equal(t, config.RolloutRolledBack, controller.Order().Phase)
-			require.Equal(t, lost, controller.Order().Recorded, "the record to replace")
+			require.Equal(t, lost, controller.Order().Recorded, "the version of the record to replace")
 		}
 		decided.Recorded = objectstore.NewVersion(1, 35)
 		controller.Update(now, decided)
 		reordered := order
 		reordered.Recorded = objectstore.NewVersion(1, 50)
 		controller.Update(now, reordered)
-		require.Equal(t, config.RolloutRunning, controller.Order().Phase, "the same order was given again")
+		require.Equal(t, config.RolloutRunning, controller.Order().Phase, "the same order was issued again")
 	})
 	t.Run("another dispatcher has decided", func(t *testing.T) {
 		controller := NewController(now, order)
@@ -475,8 +478,8 @@
 	})
 }
 
-// TestInitialBurstIsSentOnce lets one dispatcher start a rollout and a second one, which received the order at the
-// same time, take over: the initial burst is sent once.
+// TestInitialBurstIsSentOnce guards against a second initial burst: when one dispatcher starts a rollout and another
+// one, which received the order at the same time, takes over, the burst must be sent once.
 func TestInitialBurstIsSentOnce(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	order := config.Rollout{Service: "board", Version: "v2", Within: config.Duration(time.Minute)}
@@ -498,8 +501,9 @@
 	require.Zero(t, send(second))
 }
 
-// TestCanaryShareIsKept verifies that a version gets no more than its share, from the first request on.
-func TestCanaryShareIsKept(t *testing.T) {
+// TestCanaryShareIsNotExceeded verifies that a version gets no more than its share and the initial burst, from the
+// first request on.
+func TestCanaryShareIsNotExceeded(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	controller := NewController(now, config.Rollout{Service: "board", Version: "v2", Within: config.Duration(time.Minute)})
 	exposed := 0
@@ -514,10 +518,10 @@
 	require.Greater(t, exposed, 500)
 }
 
-// TestSlowWhileRequestsMove guards against rolling back a good version when all back ends turn slow while requests move
-// to it: hardly any requests are left at the old version to compare with.
-func TestSlowWhileRequestsMove(t *testing.T) {
-	simulated, rolledBack := 0, 0
+// TestSlowdownWhileMovingDoesNotRollBack guards against rolling back a good version because all back ends turn slow
+// while requests move to it, when hardly any requests are left at the old version to compare with.
+func TestSlowdownWhileMovingDoesNotRollBack(t *testing.T) {
+	simulated, notCompleted := 0, 0
 	for _, rate := range []float64{100, 200, 400} {
 		for name, begins := range map[string]time.Duration{
 			"when requests begin to move": 7800 * time.Millisecond, "when half have moved": 9 * time.Second, "when nearly all have moved": 10 * time.Second,
@@ -529,11 +533,11 @@
 				}}
 				simulated++
 				if phase, _ := s.run(); phase != config.RolloutCompleted {
-					rolledBack++
+					notCompleted++
 					t.Logf("%s, %.0f a second, seed %d: %s", name, rate, seed, s.controller.Order().Reason)
 				}
 			}
 		}
 	}
-	require.LessOrEqual(t, float64(rolledBack), 0.01*float64(simulated), "good versions that were rolled back, of %d", simulated)
+	require.LessOrEqual(t, float64(notCompleted), 0.01*float64(simulated), "good versions that were not completed, of %d", simulated)
 }
--- a/rollout/runner_test.go
+++ b/rollout/runner_test.go
@@ -14,7 +14,7 @@
 	"github.com/tuliphall/tuliphall/config"
 )
 
-// fakeService is a service whose rollout has completed without that being recorded yet.
+// fakeService is a service whose rollout has been completed, which is not recorded yet.
 type fakeService struct {
 	mutex    sync.Mutex
 	recorded config.RolloutPhase
@@ -30,7 +30,7 @@
 	return config.Rollout{Service: "board", Version: "v2", Phase: config.RolloutCompleted}
 }
 
-// unreliableStore delays each write and fails the first ones.
+// unreliableStore is a store whose first writes fail and whose other writes are delayed.
 type unreliableStore struct {
 	service  *fakeService
 	delay    time.Duration
@@ -57,17 +57,17 @@
 	return nil
 }
 
-// TestPhaseIsRecorded verifies that a phase is written until the store has it: a failed write is retried soon, and a
-// slow write is not repeated.
+// TestPhaseIsRecorded verifies that a failed write of a phase is soon retried until it succeeds, and that a slow write
+// is not repeated.
 func TestPhaseIsRecorded(t *testing.T) {
 	for name, test := range map[string]struct {
 		store     unreliableStore
 		within    time.Duration
 		maxWrites int
 	}{
-		"available":                     {within: 200 * time.Millisecond, maxWrites: 1},
-		"slow":                          {store: unreliableStore{delay: 1700 * time.Millisecond}, within: 2 * time.Second, maxWrites: 1},
-		"the first write fails":         {store: unreliableStore{failures: 1}, within: 700 * time.Millisecond, maxWrites: 2},
+		"store available":               {within: 200 * time.Millisecond, maxWrites: 1},
+		"store slow":                    {store: unreliableStore{delay: 1700 * time.Millisecond}, within: 2 * time.Second, maxWrites: 1},
+		"first write fails":             {store: unreliableStore{failures: 1}, within: 700 * time.Millisecond, maxWrites: 2},
 		"writes fail for three seconds": {store: unreliableStore{failures: 6}, within: 4 * time.Second, maxWrites: 7},
 	} {
 		t.Run(name, func(t *testing.T) {
