--- a/admission/contention_test.go
+++ b/admission/contention_test.go
@@ -12,8 +12,8 @@
 	_ "github.com/tuliphall/tuliphall/internal/testseed"
 )
 
-// simulateWalk simulates the two Poisson processes once and reports whether a request with this many
-// others ahead of it gets a permit within a time.
+// simulateWalk simulates the two Poisson processes once and reports whether a request with this
+// many others ahead of it gets a permit within a time.
 func simulateWalk(random *rand.Rand, rates contention, ahead int, within time.Duration) bool {
 	distance, remaining := ahead+1, within.Seconds()
 	for {
@@ -57,8 +57,8 @@
 	}
 }
 
-// TestGrantProbabilityIsMonotonic checks that the probability is between 0 and 1, does not grow with
-// the number of requests ahead, and does not shrink with the time.
+// TestGrantProbabilityIsMonotonic checks that the probability is between 0 and 1, does not grow
+// with the number of requests ahead, and does not shrink with the time.
 func TestGrantProbabilityIsMonotonic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rates := contention{releasesPerSecond: rapid.Float64Range(0.1, 1e5).Draw(t, "releases per second"), overtakesPerSecond: rapid.Float64Range(0, 1e5).Draw(t, "overtakes per second")}
@@ -79,10 +79,10 @@
 }
 
 // TestGrantProbabilityDoesNotOverflow guards against a probability of 1 where a grant is next to
-// impossible. With 400 requests ahead, 0.1 s left and one release per second, an exponential overflowed
-// while the other factor was 0. The resulting NaN counted as 1, so that the request waited until it
-// expired instead of being refused at once. A randomized test found this once in some hundred runs: 0
-// with 353 requests ahead, 1 with 354.
+// impossible. With 400 requests ahead, 0.1 s left and one release per second, an exponential
+// overflowed while the other factor was 0. The resulting NaN counted as 1, so that the request
+// waited until it expired instead of being refused at once. A randomized test found this once in
+// some hundred runs: 0 with 353 requests ahead, 1 with 354.
 func TestGrantProbabilityDoesNotOverflow(t *testing.T) {
 	slow := contention{releasesPerSecond: 1, overtakesPerSecond: 0.000244}
 	for _, ahead := range []int{200, 353, 354, 400, 2000, 1_000_000} {
@@ -134,8 +134,8 @@
 	}
 }
 
-// TestShedKeepsLikelyTickets checks that Shed removes nothing from a queue that drains faster than it
-// fills, until too little time is left to serve all of it.
+// TestShedKeepsLikelyTickets checks that Shed removes nothing from a queue that drains faster than
+// it fills, until too little time is left to serve all of it.
 func TestShedKeepsLikelyTickets(t *testing.T) {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	queue := NewQueue(1000)
--- a/admission/saturation_test.go
+++ b/admission/saturation_test.go
@@ -28,8 +28,8 @@
 	require.InDelta(t, 200, releasesPerSecond(start.Add(time.Second+2*saturationGap)), 1, "the queue has been empty for longer than saturationGap")
 }
 
-// TestNoRefusalBeforeFirstRelease guards against refusing requests because there has been no release
-// yet. They wait behind one that occupies the only back end for seconds.
+// TestNoRefusalBeforeFirstRelease guards against refusing requests because there has been no
+// release yet. They wait behind one that occupies the only back end for seconds.
 func TestNoRefusalBeforeFirstRelease(t *testing.T) {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	queue := NewQueue(1000)
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -94,8 +94,9 @@
 	})
 }
 
-// TestBurstAfterIdleIsNotRefused sends many requests at once after an idle period, and more while the
-// first are in flight. All can be served long before their deadlines, so that none may be refused.
+// TestBurstAfterIdleIsNotRefused sends many requests at once after an idle period, and more while
+// the first are in flight. All can be served long before their deadlines, so that none may be
+// refused.
 func TestBurstAfterIdleIsNotRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDispatcher(4, 1000)
@@ -120,8 +121,8 @@
 	})
 }
 
-// TestEndedContextRemovesRequestFromQueue checks that a waiting request is removed from the queue when
-// its context ends.
+// TestEndedContextRemovesRequestFromQueue checks that a waiting request is removed from the queue
+// when its context ends.
 func TestEndedContextRemovesRequestFromQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDispatcher(1, 10)
@@ -189,8 +190,8 @@
 	})
 }
 
-// BenchmarkAcquireMutex measures the acquisition and release of a permit, which the dispatcher guards
-// with a mutex.
+// BenchmarkAcquireMutex measures the acquisition and release of a permit, which the dispatcher
+// guards with a mutex.
 func BenchmarkAcquireMutex(b *testing.B) {
 	for _, count := range []int{10, 20, 850} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
@@ -249,9 +250,9 @@
 	}
 }
 
-// TestDeferralEndsAsReportAges checks that a request which is deferred, because the only back end with
-// a free permit has just reported a disturbance, gets the permit once the report is old, although no
-// other event occurs.
+// TestDeferralEndsAsReportAges checks that a request which is deferred, because the only back end
+// with a free permit has just reported a disturbance, gets the permit once the report is old,
+// although no other event occurs.
 func TestDeferralEndsAsReportAges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDispatcher(2, 10)
@@ -270,8 +271,8 @@
 	})
 }
 
-// TestManyWaitAtLittleCost guards against one recheck timer per waiting request: for 500 requests that
-// wait for a second, the back ends must be scanned about as often as for a single one.
+// TestManyWaitAtLittleCost guards against one recheck timer per waiting request: for 500 requests
+// that wait for a second, the back ends must be scanned about as often as for a single one.
 func TestManyWaitAtLittleCost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDispatcher(1, 1000)
@@ -297,8 +298,8 @@
 	return req
 }
 
-// TestNewestFirstTryGoesFirst checks that of the waiting requests of one weight those with the newest
-// first try, which have the most time left, get permits first.
+// TestNewestFirstTryGoesFirst checks that of the waiting requests of one weight those with the
+// newest first try, which have the most time left, get permits first.
 func TestNewestFirstTryGoesFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDispatcher(1, 10)
@@ -320,8 +321,8 @@
 	})
 }
 
-// TestRetryAfterGrowsWithRequestAge checks that the Retry-After grows with the time since the caller's
-// first try, within bounds, and has the minimum if the first try is unknown.
+// TestRetryAfterGrowsWithRequestAge checks that the Retry-After grows with the time since the
+// caller's first try, within bounds, and has the minimum if the first try is unknown.
 func TestRetryAfterGrowsWithRequestAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDispatcher(1, 10)
@@ -337,8 +338,9 @@
 	})
 }
 
-// TestNewBackendInEvacuatedZoneGetsNoRequest guards against granting a permit for a new back end in an
-// evacuated zone between its declaration and the update that drains it. A request waits meanwhile.
+// TestNewBackendInEvacuatedZoneGetsNoRequest guards against granting a permit for a new back end in
+// an evacuated zone between its declaration and the update that drains it. A request waits
+// meanwhile.
 func TestNewBackendInEvacuatedZoneGetsNoRequest(t *testing.T) {
 	d := dispatch.New(rand.New(rand.NewPCG(1, 1)), 10)
 	occupied := routing.Backend{ID: "b0", Slots: 1, Window: 1, Warm: true}
--- a/dispatch/exclusion_test.go
+++ b/dispatch/exclusion_test.go
@@ -20,8 +20,8 @@
 	return d
 }
 
-// requestExcluding returns a request that is excluded from a back end for a duration; 0: for as long
-// as it waits.
+// requestExcluding returns a request that is excluded from a back end for a duration; 0: for as
+// long as it waits.
 func requestExcluding(backend string, duration time.Duration) dispatch.Request {
 	req := request(1, 0)
 	exclusion := routing.Exclusion{Backend: backend}
@@ -64,9 +64,9 @@
 	})
 }
 
-// TestAllExcludedIsRefusedAtOnce checks that a request which is excluded from all back ends for longer
-// than it may wait is refused at once with a Retry-After, and that it waits if an exclusion ends in
-// time.
+// TestAllExcludedIsRefusedAtOnce checks that a request which is excluded from all back ends for
+// longer than it may wait is refused at once with a Retry-After, and that it waits if an exclusion
+// ends in time.
 func TestAllExcludedIsRefusedAtOnce(t *testing.T) {
 	for name, test := range map[string]struct {
 		duration   time.Duration
--- a/dispatch/followedpermits_test.go
+++ b/dispatch/followedpermits_test.go
@@ -31,8 +31,9 @@
 	}
 }
 
-// TestArrivalProbeReportsDisturbedRequestOnce checks that a back end is probed as soon as a followed
-// request has reached it, and that a request which met a disturbed back end is reported once.
+// TestArrivalProbeReportsDisturbedRequestOnce checks that a back end is probed as soon as a
+// followed request has reached it, and that a request which met a disturbed back end is reported
+// once.
 func TestArrivalProbeReportsDisturbedRequestOnce(t *testing.T) {
 	core := newTrainedCore(1)
 	reportUndisturbed(core, "a")
@@ -48,8 +49,8 @@
 	require.Empty(t, core.RecordLoadProbe(reached, id, routing.Report{Slowdown: 5}), "the request is reported once")
 }
 
-// TestUnaffectedRequestIsNotReportedDisturbed checks that a request is not reported if its back end is
-// not disturbed, if it has ended, or if it began long before the disturbance was reported.
+// TestUnaffectedRequestIsNotReportedDisturbed checks that a request is not reported if its back end
+// is not disturbed, if it has ended, or if it began long before the disturbance was reported.
 func TestUnaffectedRequestIsNotReportedDisturbed(t *testing.T) {
 	core := newTrainedCore(1)
 	reportUndisturbed(core, "a")
--- a/dispatch/latencystats_test.go
+++ b/dispatch/latencystats_test.go
@@ -14,8 +14,8 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// newTrainedCore returns a core with back ends of one slot each and learned latencies of 80 to 120 ms
-// for the class "read".
+// newTrainedCore returns a core with back ends of one slot each and learned latencies of 80 to 120
+// ms for the class "read".
 func newTrainedCore(backends int) *Core {
 	group := routing.NewGroup(routing.Options{
 		Picker: routing.LeastLoad{}, Random: rand.New(rand.NewPCG(1, 1)), Overcommit: routing.DefaultOvercommit,
@@ -46,8 +46,8 @@
 	require.NotNil(t, core.Offer(epoch, readRequest(900*time.Millisecond), nil).Permit, "100 ms are left, and the fastest answers take 80 ms")
 }
 
-// TestLateRequestDoesNotWait checks that a request which is already late gets a permit if one is free,
-// but does not wait for one.
+// TestLateRequestDoesNotWait checks that a request which is already late gets a permit if one is
+// free, but does not wait for one.
 func TestLateRequestDoesNotWait(t *testing.T) {
 	core := newTrainedCore(1)
 	require.NotNil(t, core.Offer(epoch, readRequest(500*time.Millisecond), nil).Permit)
@@ -67,8 +67,8 @@
 	require.Zero(t, core.Queue.Len())
 }
 
-// TestWaitingRequestIsShedWhenLate checks that a waiting request is shed with a Retry-After as soon as
-// its answer would commonly be late.
+// TestWaitingRequestIsShedWhenLate checks that a waiting request is shed with a Retry-After as soon
+// as its answer would commonly be late.
 func TestWaitingRequestIsShedWhenLate(t *testing.T) {
 	core := newTrainedCore(1)
 	core.Offer(epoch, readRequest(0), nil)
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -47,9 +47,9 @@
 	require.Equal(t, retry.OverBudget, retry.Decide(newFailedAttempt(), &retry.Budget{}))
 }
 
-// simulateCallChain simulates a request to a chain of calls whose last level always fails, and counts
-// the attempts at each level. A level reports the failure to the one above by an error response, which
-// is not retried.
+// simulateCallChain simulates a request to a chain of calls whose last level always fails, and
+// counts the attempts at each level. A level reports the failure to the one above by an error
+// response, which is not retried.
 func simulateCallChain(budgets []*retry.Budget, level, number int, attempts []int) resultcode.Code {
 	budgets[level].Earn()
 	for try := 1; ; try++ {
@@ -88,8 +88,8 @@
 	require.Greater(t, attempts[levels-1], requests, "there must be retries")
 }
 
-// TestBudgetLimitsRetriesToRatio spends as much as a budget allows: at most the ratio of the requests
-// plus one burst, and at least the ratio.
+// TestBudgetLimitsRetriesToRatio spends as much as a budget allows: at most the ratio of the
+// requests plus one burst, and at least the ratio.
 func TestBudgetLimitsRetriesToRatio(t *testing.T) {
 	for _, test := range []struct{ ratio, burst float64 }{{0, 0}, {0.16, 3}, {0.16, 0.4}, {0.5, 20}} {
 		budget := &retry.Budget{Ratio: test.ratio, Burst: test.burst}
@@ -137,8 +137,8 @@
 	require.Equal(t, 3, callerRetries)
 }
 
-// TestHedgesLeaveReserveForRetries guards against hedges using up the budget, so that nothing is left
-// for retries of failed requests.
+// TestHedgesLeaveReserveForRetries guards against hedges using up the budget, so that nothing is
+// left for retries of failed requests.
 func TestHedgesLeaveReserveForRetries(t *testing.T) {
 	budget := newFullBudget()
 	hedges, retries := 0, 0
@@ -153,8 +153,8 @@
 	require.True(t, budget.Spend(retry.First, true), "a first attempt costs nothing")
 }
 
-// TestUnsentAttemptsAreNotCharged checks that a refused connection is charged neither to the attempts
-// nor to the budget, and that the number of unsent attempts is limited.
+// TestUnsentAttemptsAreNotCharged checks that a refused connection is charged neither to the
+// attempts nor to the budget, and that the number of unsent attempts is limited.
 func TestUnsentAttemptsAreNotCharged(t *testing.T) {
 	require.Equal(t, retry.Redial, retry.KindAfter(resultcode.ConnectFailed))
 	require.Equal(t, retry.Retry, retry.KindAfter(resultcode.BackendRefused))
--- a/routing/exclusion_test.go
+++ b/routing/exclusion_test.go
@@ -71,8 +71,8 @@
 	require.False(t, all)
 }
 
-// AllExcluded returns the earliest end of the exclusions from back ends that take requests; draining
-// ones do not count.
+// AllExcluded returns the earliest end of the exclusions from back ends that take requests;
+// draining ones do not count.
 func TestAllExcluded(t *testing.T) {
 	group := newSlowStartGroup(1, Backend{ID: "a", Slots: 2}, Backend{ID: "b", Slots: 2}, Backend{ID: "draining", Slots: 2, Drained: true})
 	after := func(id string, seconds int) Exclusion {
--- a/routing/group_test.go
+++ b/routing/group_test.go
@@ -57,8 +57,8 @@
 }
 
 // measureConcurrency simulates a back end that always has as many requests in flight as the group
-// permits, and returns their mean number over the last rounds. With more than kneeAt in flight, each
-// request takes slowdown times as long.
+// permits, and returns their mean number over the last rounds. With more than kneeAt in flight,
+// each request takes slowdown times as long.
 func measureConcurrency(slots, kneeAt int, slowdown float64) float64 {
 	group := newTestGroup(Backend{ID: "a", Slots: slots, Window: slots})
 	const rounds, measured = 600, 400
@@ -157,8 +157,8 @@
 	require.False(t, ok)
 }
 
-// Guards against sending many requests to a back end that accepts them and never responds. It appears
-// idle whenever a request is abandoned.
+// Guards against sending many requests to a back end that accepts them and never responds. It
+// appears idle whenever a request is abandoned.
 func TestSilentBackendGetsFewRequests(t *testing.T) {
 	group := newTestGroup(Backend{ID: "silent", Slots: 3, Window: 3}, Backend{ID: "responsive", Slots: 3, Window: 3})
 	for _, state := range group.states {
@@ -213,8 +213,8 @@
 }
 
 // A request that may run only once goes to another zone if a back end there has just reported that
-// it is undisturbed. A repeatable one, which can be hedged, goes to a back end of its own zone whose
-// report is 40 ms old.
+// it is undisturbed. A repeatable one, which can be hedged, goes to a back end of its own zone
+// whose report is 40 ms old.
 func TestNonRepeatableRequestLeavesZoneForUndisturbedBackend(t *testing.T) {
 	for _, repeatable := range []bool{true, false} {
 		group := newTestGroup(Backend{ID: "near", Zone: "here", Slots: 3, Window: 3}, Backend{ID: "far", Zone: "there", Slots: 3, Window: 3})
--- a/routing/limit_test.go
+++ b/routing/limit_test.go
@@ -14,8 +14,8 @@
 	return backendlimit.Limit{Limited: true, PerSecond: perSecond}
 }
 
-// countPicks picks a back end every 5 ms for a duration and ends each request at once. It returns how
-// many requests a back end got, in all and at most in any second.
+// countPicks picks a back end every 5 ms for a duration and ends each request at once. It returns
+// how many requests a back end got, in all and at most in any second.
 func countPicks(group *Group, id string, duration time.Duration, request Request) (total, maxPerSecond int) {
 	var sent []time.Time
 	for now := start; now.Before(start.Add(duration)); now = now.Add(5 * time.Millisecond) {
@@ -95,8 +95,8 @@
 	require.Equal(t, unlimited, limited)
 }
 
-// Independent daemons that send to a limited back end together keep its limit, and so do a dispatcher
-// and the daemons that cannot reach it.
+// Independent daemons that send to a limited back end together keep its limit, and so do a
+// dispatcher and the daemons that cannot reach it.
 func TestDaemonsTogetherKeepRequestLimit(t *testing.T) {
 	const daemons, limit, seconds = 18, 3.2, 60
 	for name, shareOf := range map[string]func(daemon int) float64{
@@ -171,8 +171,8 @@
 	require.Equal(t, "2 of 2 "+PhraseLimited, group.RestrictionSummary(start))
 }
 
-// Probes count against the limit of a back end: it gets no load probes, and a health probe only when
-// a request could be sent.
+// Probes count against the limit of a back end: it gets no load probes, and a health probe only
+// when a request could be sent.
 func TestProbesCountAgainstRequestLimit(t *testing.T) {
 	group := newSlowStartGroup(1, Backend{ID: "a", Slots: 2, Warm: true})
 	picked, ok := group.Pick(start, Request{})
@@ -205,8 +205,9 @@
 	require.Zero(t, state.silence(now))
 }
 
-// After a partition other daemons may have sent requests to a limited back end independently. It gets
-// neither requests nor probes from this daemon for one interval, and as many as before after that.
+// After a partition other daemons may have sent requests to a limited back end independently. It
+// gets neither requests nor probes from this daemon for one interval, and as many as before after
+// that.
 func TestLimitedBackendGetsNothingForIntervalAfterPartition(t *testing.T) {
 	const limit = 0.8
 	group := newSlowStartGroup(1, Backend{ID: "limited", Slots: 2, Warm: true})
--- a/routing/region_test.go
+++ b/routing/region_test.go
@@ -121,14 +121,14 @@
 	return highest
 }
 
-// Guards against dispatchers of several regions overloading the back ends that they share. When each
-// used all slots of all back ends as if it were the only one, at twice the load that all could serve,
-// back ends with three slots had up to nine requests in flight, and requests were late there instead
-// of being refused or sent to another back end. On a day of three regions this lost 0.16 of the worth
-// and another 0.1 by requests that failed at their deadline; the responses usually reported 2 requests
-// in flight, but 9 of them 448 times, 8 667 times, 7 1,154 times and 6 1,957 times. Since a region
-// uses only slots that a back end of another region has recently reported free, the maximum is 5
-// instead of 9.
+// Guards against dispatchers of several regions overloading the back ends that they share. When
+// each used all slots of all back ends as if it were the only one, at twice the load that all could
+// serve, back ends with three slots had up to nine requests in flight, and requests were late there
+// instead of being refused or sent to another back end. On a day of three regions this lost 0.16 of
+// the worth and another 0.1 by requests that failed at their deadline; the responses usually
+// reported 2 requests in flight, but 9 of them 448 times, 8 667 times, 7 1,154 times and 6 1,957
+// times. Since a region uses only slots that a back end of another region has recently reported
+// free, the maximum is 5 instead of 9.
 func TestRegionsShareSlots(t *testing.T) {
 	regions, backends := simulateRegions([3]float64{240, 240, 240}) // twice what all back ends can serve
 	t.Logf("at most %d requests in flight at a back end", maxHeld(backends))
@@ -138,8 +138,8 @@
 	}
 }
 
-// Requests that a region's own back ends cannot serve go to back ends of other regions that have free
-// slots.
+// Requests that a region's own back ends cannot serve go to back ends of other regions that have
+// free slots.
 func TestBusyRegionBorrowsFreeSlots(t *testing.T) {
 	regions, backends := simulateRegions([3]float64{200, 20, 20})
 	t.Logf("%d of %d went to other regions, at most %d in flight at a back end", regions[0].borrowed, regions[0].sent, maxHeld(backends))
@@ -148,9 +148,9 @@
 	require.Less(t, regions[1].borrowed, regions[1].sent/20, "regions with free slots must use their own back ends")
 }
 
-// Guards against reserving the only slot of a back end for its own region while the back end is idle.
-// A region that had lost its back ends could then send only one request per 250 ms to each back end
-// of the others.
+// Guards against reserving the only slot of a back end for its own region while the back end is
+// idle. A region that had lost its back ends could then send only one request per 250 ms to each
+// back end of the others.
 func TestIdleBackendLendsItsOnlySlot(t *testing.T) {
 	group := newSlowStartGroup(1, Backend{ID: "far", Slots: 1, Warm: true, OtherRegion: true})
 	now := start
--- a/routing/reportageestimator_test.go
+++ b/routing/reportageestimator_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// learnedReportAge simulates a back end that reports every 20 ms, and returns the learned maximum age
-// of a report. Whether the back end is disturbed, with a probability of share, is drawn again every
-// stateTime on average.
+// learnedReportAge simulates a back end that reports every 20 ms, and returns the learned maximum
+// age of a report. Whether the back end is disturbed, with a probability of share, is drawn again
+// every stateTime on average.
 func learnedReportAge(stateTime time.Duration, share, slowdown float64, baseLatency, probeCost time.Duration) time.Duration {
 	random := rand.New(rand.NewPCG(1, 1))
 	estimator := reportAgeEstimator{baseLatency: baseLatency, probeCost: probeCost}
@@ -30,8 +30,8 @@
 	return estimator.maxAge(25 * time.Millisecond)
 }
 
-// The maximum report age is lower if back ends change quickly or requests are long, higher if probes
-// are expensive or back ends change rarely, and maxReportAge if nothing changes.
+// The maximum report age is lower if back ends change quickly or requests are long, higher if
+// probes are expensive or back ends change rarely, and maxReportAge if nothing changes.
 func TestMaxReportAgeBalancesProbeCost(t *testing.T) {
 	const baseLatency, probeCost = 120 * time.Millisecond, 6 * time.Millisecond
 	usual := learnedReportAge(150*time.Millisecond, 0.3, 5, baseLatency, probeCost)
--- a/routing/warmup_test.go
+++ b/routing/warmup_test.go
@@ -47,8 +47,8 @@
 	return group
 }
 
-// Cold back ends get no more than their warm-up rate, whether one or all back ends of the service are
-// cold, and full load after the warm-up.
+// Cold back ends get no more than their warm-up rate, whether one or all back ends of the service
+// are cold, and full load after the warm-up.
 func TestColdBackendsGetOnlyWarmUpRate(t *testing.T) {
 	cold := Backend{ID: "cold", Slots: 2, Window: 2, WarmUp: testWarmUp}
 	for name, others := range map[string][]Backend{
@@ -66,8 +66,8 @@
 	}
 }
 
-// A warm back end is limited to its warm-up rate as soon as its directory entry or a load probe shows
-// that it is cold, or its zone is restored.
+// A warm back end is limited to its warm-up rate as soon as its directory entry or a load probe
+// shows that it is cold, or its zone is restored.
 func TestWarmBackendTurnsCold(t *testing.T) {
 	warm := Backend{ID: "a", Slots: 2, Window: 2, Warm: true, WarmUp: testWarmUp}
 	for name, turnCold := range map[string]func(group *Group){
@@ -94,8 +94,8 @@
 	}
 }
 
-// Daemons that pick independently, as after the loss of their dispatcher, together hardly exceed the
-// warm-up rate of a cold back end.
+// Daemons that pick independently, as after the loss of their dispatcher, together hardly exceed
+// the warm-up rate of a cold back end.
 func TestIndependentDaemonsShareWarmUpRate(t *testing.T) {
 	const daemons, seconds = 40, 20
 	longWarmUp := testWarmUp
--- a/routing/workingset_test.go
+++ b/routing/workingset_test.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// When 600 back ends are added to 2,000, each new one gets a request within ten seconds, although the
-// working set has room for few of them.
+// When 600 back ends are added to 2,000, each new one gets a request within ten seconds, although
+// the working set has room for few of them.
 func TestNewBackendsGetFirstRequestDespiteWorkingSet(t *testing.T) {
 	group, backends := newLargeGroup(2000)
 	now := time.Unix(1001, 0)
@@ -104,7 +104,8 @@
 	}
 }
 
-// A request with 10,000 back ends costs less than three times as much as with 1,000 at the same load.
+// A request with 10,000 back ends costs less than three times as much as with 1,000 at the same
+// load.
 func TestPickCostGrowsSublinearly(t *testing.T) {
 	cost := func(count int) float64 {
 		group, _ := newLargeGroup(count)
--- a/slots/slots_test.go
+++ b/slots/slots_test.go
@@ -123,8 +123,8 @@
 	acquire(t, client, d).Done(routing.Canceled, 0, nil)
 }
 
-// TestAbandonedRequestKeepsNoPermit checks that a request whose caller has left while it waited gets no
-// permit that would never be released.
+// TestAbandonedRequestKeepsNoPermit checks that a request whose caller has left while it waited
+// gets no permit that would never be released.
 func TestAbandonedRequestKeepsNoPermit(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	d := startDispatcher(t)
@@ -140,8 +140,8 @@
 	acquire(t, client, d).Done(routing.Canceled, 0, nil)
 }
 
-// TestRefusalIsPassedOn checks that the caller gets the dispatcher's refusal and its Retry-After, but
-// ErrStaleDispatcher if the dispatcher does not know the service.
+// TestRefusalIsPassedOn checks that the caller gets the dispatcher's refusal and its Retry-After,
+// but ErrStaleDispatcher if the dispatcher does not know the service.
 func TestRefusalIsPassedOn(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	d := startDispatcher(t)
@@ -172,8 +172,8 @@
 	require.ErrorIs(t, err, slots.ErrUnreachable)
 }
 
-// TestNewSessionAfterDispatcherStops checks that a client opens a session to another dispatcher after
-// the first one has stopped.
+// TestNewSessionAfterDispatcherStops checks that a client opens a session to another dispatcher
+// after the first one has stopped.
 func TestNewSessionAfterDispatcherStops(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	d := startDispatcher(t)
