--- a/backendlimit/shares_test.go
+++ b/backendlimit/shares_test.go
@@ -9,8 +9,8 @@
 	"github.com/tuliphall/tuliphall/backendlimit"
 )
 
-// TestSharesAfterPartition verifies that the return of unreachable daemons counts as the end of a partition, however many
-// return at a time, and that the usual membership changes do not.
+// TestSharesAfterPartition verifies that the return of unreachable daemons counts as the end of a partition, however
+// many return at a time, and that the usual membership changes do not.
 func TestSharesAfterPartition(t *testing.T) {
 	var shares backendlimit.Shares
 	update := func(milliseconds, alive, all int) {
@@ -43,8 +43,8 @@
 }
 
 // TestFrozenDaemonCountsAsPartitioned verifies that PartitionedUntil follows the current time while a daemon gets no
-// message from any member that it believes to be alive, as after a freeze that it has not noticed. Once it believes all
-// of them to be dead, it has its own share.
+// message from any member that it believes to be alive, as after a freeze that it has not noticed. Once it believes
+// all of them to be dead, it has its own share.
 func TestFrozenDaemonCountsAsPartitioned(t *testing.T) {
 	shares := backendlimit.Shares{}.Next(at(1000), 4, 4, 4, at(100))
 	require.Zero(t, shares.PartitionedUntil, "the last message is recent")
--- a/backendlimit/table_test.go
+++ b/backendlimit/table_test.go
@@ -55,8 +55,8 @@
 	require.Zero(t, table.LimitedCount())
 }
 
-// TestProbeEndsOnlyLimitsNamedByProbes verifies that a probe response without a limit ends a limit that an earlier probe
-// response has named, but not one that only responses to requests have named.
+// TestProbeEndsOnlyLimitsNamedByProbes verifies that a probe response without a limit ends a limit that an earlier
+// probe response has named, but not one that only responses to requests have named.
 func TestProbeEndsOnlyLimitsNamedByProbes(t *testing.T) {
 	probe := func(response backendlimit.Response) backendlimit.Response {
 		response.Probe = true
@@ -69,8 +69,8 @@
 	require.Equal(t, backendlimit.MajorChange, table.Observe(at(70), probe(unlimited(60))))
 }
 
-// TestRestartEndsLimit verifies that the record of an earlier run of a back end is dropped, and that neither a response
-// nor a peer restores it.
+// TestRestartEndsLimit verifies that the record of an earlier run of a back end is dropped, and that neither a
+// response nor a peer restores it.
 func TestRestartEndsLimit(t *testing.T) {
 	table := backendlimit.NewTable()
 	table.Observe(at(10), limited(3.2, 0))
@@ -88,8 +88,8 @@
 	require.Equal(t, 1, table.LimitedCount())
 }
 
-// TestMergeKeepsNewestRecord verifies that the newest record wins regardless of the order of arrival, even if the clocks
-// of the daemons differ by seconds.
+// TestMergeKeepsNewestRecord verifies that the newest record wins regardless of the order of arrival, even if the
+// clocks of the daemons differ by seconds.
 func TestMergeKeepsNewestRecord(t *testing.T) {
 	fastClock, slowClock := backendlimit.NewTable(), backendlimit.NewTable()
 	fastClock.Observe(at(2000), limited(3.2, 1990)) // the clock of this daemon is 2 s ahead
@@ -104,8 +104,8 @@
 	require.Zero(t, fastClock.LimitedCount())
 }
 
-// TestForgetDropsOnlyUnneededRecords verifies that Forget drops limits that ended long ago and records of back ends that
-// are not declared, and nothing else.
+// TestForgetDropsOnlyUnneededRecords verifies that Forget drops limits that ended long ago and records of back ends
+// that are not declared, and nothing else.
 func TestForgetDropsOnlyUnneededRecords(t *testing.T) {
 	table := backendlimit.NewTable()
 	table.Observe(at(0), limited(3.2, 0))
@@ -127,8 +127,8 @@
 	require.Zero(t, table.LimitedCount())
 }
 
-// TestTablesConverge simulates daemons that observe responses in any order and exchange records late and repeatedly. Once
-// every record has reached all daemons, their tables and counts must agree.
+// TestTablesConverge simulates daemons that observe responses in any order and exchange records late and repeatedly.
+// Once every record has reached all daemons, their tables and counts must agree.
 func TestTablesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const daemons = 3
@@ -174,8 +174,8 @@
 }
 
 // TestGradualChangeIsBroadcast guards against comparing a limit with the previous one instead of the last one that was
-// broadcast. A limit that changed little with each response was then never broadcast: a daemon that grants permits still
-// used 3.2 requests a second when the back end accepted 1.
+// broadcast. A limit that changed little with each response was then never broadcast: a daemon that grants permits
+// still used 3.2 requests a second when the back end accepted 1.
 func TestGradualChangeIsBroadcast(t *testing.T) {
 	sender, receiver := backendlimit.NewTable(), backendlimit.NewTable()
 	limit := 3.2
--- a/outlier/outlier_test.go
+++ b/outlier/outlier_test.go
@@ -9,8 +9,8 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// A back end whose process has exited is ejected at once. A trial is due after exitEjection, the time
-// that a restart takes; a response reinstates the back end.
+// A back end whose process has exited is ejected at once. A trial is due after exitEjection, the
+// time that a restart takes; a response reinstates the back end.
 func TestExitEjectsAtOnce(t *testing.T) {
 	var d Detector
 	d.RecordExit(start)
