--- a/routing/exclusion_test.go
+++ b/routing/exclusion_test.go
@@ -10,7 +10,7 @@
 
 // Guards against sending a request to a back end that it is excluded from, whatever the reason for
 // which a back end is chosen.
-func TestExcludedBackendsAreNotReached(t *testing.T) {
+func TestExcludedBackendsAreNotPicked(t *testing.T) {
 	excluded := Backend{ID: "excluded", Slots: 2, Warm: true}
 	other := Backend{ID: "other", Slots: 2, Warm: true}
 	for name, test := range map[string]struct {
@@ -73,7 +73,7 @@
 
 // AllExcluded returns the earliest end of the exclusions from back ends that take requests;
 // draining ones do not count.
-func TestAllExcluded(t *testing.T) {
+func TestAllExcludedReturnsEarliestEnd(t *testing.T) {
 	group := newSlowStartGroup(1, Backend{ID: "a", Slots: 2}, Backend{ID: "b", Slots: 2}, Backend{ID: "draining", Slots: 2, Drained: true})
 	after := func(id string, seconds int) Exclusion {
 		return Exclusion{Backend: id, Until: start.Add(time.Duration(seconds) * time.Second)}
--- a/routing/group_test.go
+++ b/routing/group_test.go
@@ -35,7 +35,7 @@
 	}
 	group.RecordReport(a, Report{Slowdown: 5}, false, start)
 	for range 2 {
-		require.Equal(t, "b", mustPick(t, group, start, "").Backend.ID, "a disturbed back end was chosen")
+		require.Equal(t, "b", mustPick(t, group, start, "").Backend.ID, "a disturbed back end was picked")
 	}
 	later := start.Add(2 * time.Second)
 	require.InDelta(t, 2, a.slowdown.expected(later), 0.2)
@@ -138,8 +138,8 @@
 		}
 		inFlight = remaining
 		if picked, ok := group.Pick(now, Request{}); ok {
-			taken := time.Duration(slowdown[picked.Backend.ID] * float64(serviceTime))
-			inFlight = append(inFlight, running{picked: picked, ends: now.Add(taken)})
+			latency := time.Duration(slowdown[picked.Backend.ID] * float64(serviceTime))
+			inFlight = append(inFlight, running{picked: picked, ends: now.Add(latency)})
 		}
 	}
 	require.Equal(t, 4, group.concurrency.bySlots[4].best)
@@ -234,7 +234,7 @@
 
 // A back end without a response for its usual latency does not count as stalled, although the other
 // back ends of the service are slower on average; after twice that latency it does.
-func TestBusyIsNotStalled(t *testing.T) {
+func TestUsualLatencyDoesNotCountAsStall(t *testing.T) {
 	group := newTestGroup(Backend{ID: "busy", Slots: 3, Window: 3}, Backend{ID: "other", Slots: 3, Window: 3})
 	busy := group.byID["busy"]
 	for number := range 100 {
--- a/routing/limit_test.go
+++ b/routing/limit_test.go
@@ -152,7 +152,7 @@
 }
 
 // The limit that a back end announced does not apply after its restart.
-func TestRestartClearsLimit(t *testing.T) {
+func TestRestartEndsLimit(t *testing.T) {
 	backend := Backend{ID: "limited", Slots: 2, Warm: true, Started: 1, Limit: limitOf(0.5)}
 	group := newSlowStartGroup(1, backend)
 	require.NotNil(t, group.State("limited").Limit(start))
--- a/routing/region_test.go
+++ b/routing/region_test.go
@@ -22,9 +22,9 @@
 
 // sharedBackend is a back end that serves three requests at a time, in order of arrival.
 type sharedBackend struct {
-	region  int
-	ends    []time.Time // when each request in flight ends
-	maxHeld int         // maximum number of requests in flight
+	region          int
+	ends            []time.Time // when each request in flight ends
+	highestInFlight int         // maximum number of requests in flight
 }
 
 // add adds a request and returns when it ends.
@@ -38,7 +38,7 @@
 	}
 	end := begins.Add(serviceTime)
 	b.ends = append(b.ends, end)
-	b.maxHeld = max(b.maxHeld, len(b.ends))
+	b.highestInFlight = max(b.highestInFlight, len(b.ends))
 	return end
 }
 
@@ -112,11 +112,11 @@
 	return regions, backends
 }
 
-// maxHeld returns the maximum number of requests in flight at any back end.
-func maxHeld(backends []*sharedBackend) int {
+// highestInFlight returns the maximum number of requests in flight at any of the back ends.
+func highestInFlight(backends []*sharedBackend) int {
 	highest := 0
 	for _, backend := range backends {
-		highest = max(highest, backend.maxHeld)
+		highest = max(highest, backend.highestInFlight)
 	}
 	return highest
 }
@@ -125,14 +125,14 @@
 // each used all slots of all back ends as if it were the only one, at twice the load that all could
 // serve, back ends with three slots had up to nine requests in flight, and requests were late there
 // instead of being refused or sent to another back end. On a day of three regions this lost 0.16 of
-// the worth and another 0.1 by requests that failed at their deadline; the responses usually
-// reported 2 requests in flight, but 9 of them 448 times, 8 667 times, 7 1,154 times and 6 1,957
-// times. Since a region uses only slots that a back end of another region has recently reported
-// free, the maximum is 5 instead of 9.
+// the worth, and 0.1 by requests that failed at their deadline. The back ends usually reported 2
+// requests in flight, but also 9 (448 times), 8 (667), 7 (1,154) and 6 (1,957). Since a region uses
+// only slots that a back end of another region has recently reported free, the maximum is 5
+// instead of 9.
 func TestRegionsShareSlots(t *testing.T) {
 	regions, backends := simulateRegions([3]float64{240, 240, 240}) // twice what all back ends can serve
-	t.Logf("at most %d requests in flight at a back end", maxHeld(backends))
-	require.LessOrEqual(t, maxHeld(backends), 3+2, "three slots, and one request from each other region that tries the back end")
+	t.Logf("at most %d requests in flight at a back end", highestInFlight(backends))
+	require.LessOrEqual(t, highestInFlight(backends), 3+2, "three slots, and one request from each other region that tries the back end")
 	for _, dispatcher := range regions {
 		require.Greater(t, dispatcher.sent, 20*120*8/10, "the region's own back ends must be fully used")
 	}
@@ -142,7 +142,7 @@
 // free slots.
 func TestBusyRegionBorrowsFreeSlots(t *testing.T) {
 	regions, backends := simulateRegions([3]float64{200, 20, 20})
-	t.Logf("%d of %d went to other regions, at most %d in flight at a back end", regions[0].borrowed, regions[0].sent, maxHeld(backends))
+	t.Logf("%d of %d went to other regions, at most %d in flight at a back end", regions[0].borrowed, regions[0].sent, highestInFlight(backends))
 	require.Greater(t, regions[0].sent, 20*200*95/100)
 	require.Greater(t, regions[0].borrowed, 20*70)
 	require.Less(t, regions[1].borrowed, regions[1].sent/20, "regions with free slots must use their own back ends")
