--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -168,10 +168,10 @@
 	}
 }
 
-// TestSessionBoundToLimitedBackend checks that a request whose session is bound to a back end is
-// refused at once with a Retry-After if the request limit of the back end permits it only after its
-// wait, and that it waits if its policy allows it to wait long enough.
-func TestSessionBoundToLimitedBackend(t *testing.T) {
+// TestSessionAtLimitedBackendIsRefusedUnlessInTime checks that a request whose session is bound to
+// a back end is refused at once with a Retry-After if the request limit of the back end permits it
+// only after its wait, and that it waits if its policy allows it to wait long enough.
+func TestSessionAtLimitedBackendIsRefusedUnlessInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := dispatch.New(rand.New(rand.NewPCG(1, 1)), 10)
 		d.Configure(fixedBackends(routing.Backend{ID: "b0", Slots: 3, Limit: backendlimit.Limit{Limited: true, PerSecond: 0.25}}), 10)
--- a/dispatch/standby_test.go
+++ b/dispatch/standby_test.go
@@ -11,10 +11,10 @@
 	"github.com/tuliphall/tuliphall/routing"
 )
 
-// TestStandbyShowsBackends guards against an empty status on standby: a daemon that granted no
-// permits for a service showed operators no back ends, although they were declared and one was
+// TestStatusOnStandbyShowsBackends guards against an empty status on standby: a daemon that granted
+// no permits for a service showed operators no back ends, although they were declared and one was
 // leaving.
-func TestStandbyShowsBackends(t *testing.T) {
+func TestStatusOnStandbyShowsBackends(t *testing.T) {
 	d := dispatch.New(rand.New(rand.NewPCG(1, 1)), 10)
 	evacuated := routing.Backend{ID: "b1", Zone: "west", Slots: 1, Window: 1, Warm: true, Drained: true, Evacuated: true}
 	leaving := false
