--- a/slots/slots_test.go
+++ b/slots/slots_test.go
@@ -123,8 +123,8 @@
 	acquire(t, client, d).Done(routing.Canceled, 0, nil)
 }
 
-// TestAbandonedRequestKeepsNoPermit checks that a request whose caller has left while it waited
-// gets no permit that would never be released.
+// TestAbandonedRequestKeepsNoPermit checks that a request whose caller leaves before the reply of
+// the dispatcher does not keep a permit.
 func TestAbandonedRequestKeepsNoPermit(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	d := startDispatcher(t)
