--- a/backendlimit/shares_test.go
+++ b/backendlimit/shares_test.go
@@ -9,9 +9,9 @@
 	"github.com/tuliphall/tuliphall/backendlimit"
 )
 
-// TestSharesAfterPartition verifies that the return of unreachable daemons counts as the end of a partition, however
-// many return at a time, and that the usual membership changes do not.
-func TestSharesAfterPartition(t *testing.T) {
+// TestRejoinedDaemonsEndPartition verifies that the return of unreachable daemons counts as the end of a partition,
+// however many return at a time, and that the usual membership changes do not.
+func TestRejoinedDaemonsEndPartition(t *testing.T) {
 	var shares backendlimit.Shares
 	update := func(milliseconds, alive, all int) {
 		shares = shares.Next(at(milliseconds), alive, all, alive, at(milliseconds))
@@ -35,8 +35,8 @@
 	require.Equal(t, at(1750), shares.PartitionedUntil)
 }
 
-// TestRegionShare verifies that a region's share is proportional to its daemons.
-func TestRegionShare(t *testing.T) {
+// TestRegionShareIsProportionalToDaemons verifies that a region's share is proportional to its daemons.
+func TestRegionShareIsProportionalToDaemons(t *testing.T) {
 	require.InDelta(t, 0.25, backendlimit.Shares{}.Next(start, 8, 10, 2, start).Region, 1e-9)
 	require.Equal(t, 1.0, backendlimit.Shares{}.Next(start, 0, 0, 0, start).Region, "the share is at most 1")
 	require.Zero(t, backendlimit.Shares{}.Next(start.Add(time.Second), 1, 4, 1, start).PartitionedUntil)
