--- a/ratelimit/fleet_test.go
+++ b/ratelimit/fleet_test.go
@@ -345,11 +345,12 @@
 	t.Logf("%d schedules, fullest window %.2f of the bound", *schedules, fullest)
 }
 
-// TestPartitionAfterStart guards against both sides of a partition granting the whole rate. The network is partitioned
-// half a second after all daemons have started. The grantors of one side had exchanged reports, and those of the other
-// started to grant because they could not reach the first, whose grants they did not know. Until the members agreed,
-// after 3 s, the sides granted 100 and 85 requests a second at a rate of 100: 643 in a window with a bound of 623.
-func TestPartitionAfterStart(t *testing.T) {
+// TestBoundHoldsInPartitionAfterStart guards against both sides of a partition granting the whole rate. The network is
+// partitioned half a second after all daemons have started. The grantors of one side had exchanged reports, and those
+// of the other started to grant because they could not reach the first, whose grants they did not know. Until the
+// members agreed, after 3 s, the sides granted 100 and 85 requests a second at a rate of 100: 643 in a window with a
+// bound of 623.
+func TestBoundHoldsInPartitionAfterStart(t *testing.T) {
 	const seed = 4076
 	runSchedule(t, seed)
 }
@@ -363,10 +364,10 @@
 	runSchedule(t, seed)
 }
 
-// TestFaultsAfterPartitionAfterStart guards against exceeding the bound when, after such a partition, a dispatcher
+// TestBoundHoldsInFaultsAfterPartition guards against exceeding the bound when, after such a partition, a dispatcher
 // freezes or is suspected and another one crashes: 1,950 were granted in a window with a bound of 1,755, and 696 with
 // one of 653.
-func TestFaultsAfterPartitionAfterStart(t *testing.T) {
+func TestBoundHoldsInFaultsAfterPartition(t *testing.T) {
 	for _, seed := range []uint64{5857, 6275} {
 		runSchedule(t, seed)
 	}
