--- a/rollout/controller_test.go
+++ b/rollout/controller_test.go
@@ -384,7 +384,7 @@
 	now := time.Unix(1_700_000_000, 0)
 	order := config.Rollout{Service: "board", Version: "v2", Within: config.Duration(10 * time.Second)}
 	backends := Backends{New: 4, NewSlots: 8, OldSlots: 8}
-	t.Run("too few samples", func(t *testing.T) {
+	t.Run("rolls back after too few samples", func(t *testing.T) {
 		controller := NewController(now, order)
 		for now := now; now.Before(controller.Order().DecisionDeadline()); now = now.Add(stepInterval) {
 			controller.Step(now, backends)
@@ -394,7 +394,7 @@
 		require.Contains(t, controller.Order().Reason, "not proved")
 		require.Equal(t, routing.ExcludedVersion, controller.Rule(now).Use)
 	})
-	t.Run("no back end of the new version appears", func(t *testing.T) {
+	t.Run("rolls back without a back end of the new version", func(t *testing.T) {
 		controller := NewController(now, order)
 		controller.judge.compared = minCompared
 		for now := now; now.Before(controller.Order().DecisionDeadline()); now = now.Add(stepInterval) {
@@ -402,7 +402,7 @@
 		}
 		require.Equal(t, config.RolloutRolledBack, controller.Order().Phase)
 	})
-	t.Run("all back ends are of the new version", func(t *testing.T) {
+	t.Run("completes if all back ends are of the new version", func(t *testing.T) {
 		controller := NewController(now, order)
 		controller.Step(now, Backends{New: 4, NewSlots: 8})
 		require.Equal(t, config.RolloutMoving, controller.Order().Phase)
@@ -422,7 +422,7 @@
 		require.Equal(t, config.RolloutCompleted, controller.Order().Phase)
 		require.Equal(t, routing.AnyVersion, controller.Rule(now.Add(time.Minute)).Use, "later versions may appear without an order")
 	})
-	t.Run("another order during a rollout", func(t *testing.T) {
+	t.Run("another order starts a new rollout", func(t *testing.T) {
 		controller := NewController(now, order)
 		controller.judge.compared = 5
 		other := order
@@ -441,7 +441,7 @@
 		require.Equal(t, config.RolloutRolledBack, controller.Order().Phase)
 		require.Equal(t, objectstore.Version(7), controller.Order().Recorded, "the version of the record to replace")
 	})
-	t.Run("a store restored from an older backup has lost the decision", func(t *testing.T) {
+	t.Run("a store restored from an older backup does not revert a decision", func(t *testing.T) {
 		controller := NewController(now, order)
 		controller.enterPhase(now, config.RolloutRolledBack, "worse")
 		decided := controller.Order()
@@ -461,7 +461,7 @@
 		controller.Update(now, reordered)
 		require.Equal(t, config.RolloutRunning, controller.Order().Phase, "the same order was issued again")
 	})
-	t.Run("another dispatcher has decided", func(t *testing.T) {
+	t.Run("a decision of another dispatcher applies", func(t *testing.T) {
 		controller := NewController(now, order)
 		decided := order
 		decided.Phase = config.RolloutRolledBack
@@ -469,7 +469,7 @@
 		require.False(t, controller.Step(now, backends))
 		require.False(t, controller.ShouldExpose(now, "reads"))
 	})
-	t.Run("the deadline has passed when the order is received", func(t *testing.T) {
+	t.Run("rolls back an order received after its deadline", func(t *testing.T) {
 		passed := order
 		passed.Phase, passed.DecideBy = config.RolloutRunning, now.Add(-time.Minute).UnixMilli()
 		controller := NewController(now, passed)
