--- a/frontend/hedge_test.go
+++ b/frontend/hedge_test.go
@@ -14,10 +14,10 @@
 	"github.com/tuliphall/tuliphall/resultcode"
 )
 
-// TestHedgeThatIsRefusedDoesNotHideARun guards against the caller being told "not run" if the
-// connection of the first attempt breaks after it has run, and the back end refuses the hedge a
-// little later.
-func TestHedgeThatIsRefusedDoesNotHideARun(t *testing.T) {
+// TestRefusedHedgeKeepsRunStateUnknown guards against a response that states "not run" if the
+// connection of the first attempt breaks after it has run and a back end refuses the hedge shortly
+// afterwards.
+func TestRefusedHedgeKeepsRunStateUnknown(t *testing.T) {
 	var arrivals atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/break" {
@@ -32,14 +32,14 @@
 	}))
 	defer server.Close()
 	address := server.Listener.Addr().String()
-	services := registryOf(t, &config.Document{Revision: 1, Content: config.Content{
+	services := newTestRegistry(t, &config.Document{Revision: 1, Content: config.Content{
 		Policies: []config.Policy{{Name: "reads", Source: policy.Source{Retry: "true", Hedge: `duration("20ms")`}}},
 		Services: []config.Service{{Name: "prices", PathPrefix: "/", Policy: "reads", RefusalStatus: http.StatusTooManyRequests, RetryRatio: 1}},
 		Placements: []config.Placement{{Service: "prices", Backends: []config.Backend{
 			{ID: "b1", Address: address, Slots: 2, Warm: true}, {ID: "b2", Address: address, Slots: 2, Warm: true},
 		}}},
 	}})
-	handler := startHandler(t, services, fixedPeers{})
+	handler := newTestHandler(t, services, fixedPeers{})
 	send := func(path string) *httptest.ResponseRecorder {
 		recorder := httptest.NewRecorder()
 		handler.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, path, nil))
@@ -53,9 +53,9 @@
 	require.Equal(t, string(resultcode.Unknown), response.Header().Get(resultcode.HeaderRun), response.Body)
 }
 
-// TestBothOfARaceCount guards against a hedge not being counted as an attempt: after the connections of the first
-// attempt and its hedge have broken, a route that allows two attempts makes no other, one that allows three makes one.
-func TestBothOfARaceCount(t *testing.T) {
+// TestHedgeCountsAsAttempt guards against a hedge not being counted as an attempt: after the connections of the
+// first attempt and its hedge have broken, a route that allows two attempts makes no other, one that allows three makes one.
+func TestHedgeCountsAsAttempt(t *testing.T) {
 	for _, attempts := range []int{2, 3} {
 		var arrivals atomic.Int32
 		server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -71,13 +71,13 @@
 		for _, id := range []string{"b1", "b2", "b3", "b4"} {
 			backends = append(backends, config.Backend{ID: id, Address: server.Listener.Addr().String(), Slots: 2, Warm: true})
 		}
-		services := registryOf(t, &config.Document{Revision: 1, Content: config.Content{
+		services := newTestRegistry(t, &config.Document{Revision: 1, Content: config.Content{
 			Policies:   []config.Policy{{Name: "reads", Source: policy.Source{Retry: "true", Hedge: `duration("20ms")`}}},
 			Services:   []config.Service{{Name: "prices", PathPrefix: "/prices", Policy: "reads", RetryRatio: 1}},
 			Routes:     []config.Route{{Name: "all", PathPrefix: "/all", Shares: []config.Share{{Service: "prices", Weight: 1}}, Attempts: attempts}},
 			Placements: []config.Placement{{Service: "prices", Backends: backends}},
 		}})
-		handler := startHandler(t, services, fixedPeers{})
+		handler := newTestHandler(t, services, fixedPeers{})
 		for range 20 {
 			handler.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodGet, "/all/earn", nil))
 		}
--- a/frontend/patience_test.go
+++ b/frontend/patience_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestReturningCallersAreKnown checks that a caller that states less remaining time than is typical of
-// its route is taken to have waited for the rest, also while most callers are retrying.
-func TestReturningCallersAreKnown(t *testing.T) {
+// TestElapsedWaitOfRetryingCallers checks that a caller that states less remaining time than is typical
+// of its route is assumed to have waited for the rest, also while most callers are retrying.
+func TestElapsedWaitOfRetryingCallers(t *testing.T) {
 	var p patience
 	for range 10 {
 		require.Zero(t, p.elapsedWait("a", 4*time.Second))
@@ -26,9 +26,9 @@
 	require.Zero(t, p.elapsedWait("a", 0), "no remaining time is stated")
 }
 
-// TestOddCallersAreNotUsual guards against a few very patient callers making all others look as if they
+// TestPatienceIgnoresOutliers guards against a few very patient callers making all others look as if they
 // had been waiting.
-func TestOddCallersAreNotUsual(t *testing.T) {
+func TestPatienceIgnoresOutliers(t *testing.T) {
 	var p patience
 	for number := range 200 {
 		p.elapsedWait("a", 4*time.Second)
@@ -39,9 +39,9 @@
 	require.Zero(t, p.elapsedWait("a", 4*time.Second))
 }
 
-// TestPatienceIsForgotten checks that the memory is bounded regardless of the number of routes, and
+// TestPatienceIsBoundedAndAdapts checks that memory is bounded regardless of the number of routes, and
 // that the estimate follows callers that have become less patient.
-func TestPatienceIsForgotten(t *testing.T) {
+func TestPatienceIsBoundedAndAdapts(t *testing.T) {
 	var p patience
 	for number := range 3 * maxPatienceRoutes {
 		p.elapsedWait(fmt.Sprint(number), time.Second)
--- a/frontend/permit_test.go
+++ b/frontend/permit_test.go
@@ -41,8 +41,8 @@
 func (fixedPeers) Daemons() int   { return 2 }
 func (fixedPeers) Suspect(string) {}
 
-// registryOf returns the registry of a daemon with a document in force; nil: with no configuration.
-func registryOf(t *testing.T, document *config.Document) *service.Registry {
+// newTestRegistry returns the registry of a daemon with a document in force; nil: with no configuration.
+func newTestRegistry(t *testing.T, document *config.Document) *service.Registry {
 	t.Helper()
 	services := service.NewRegistry(service.Options{Network: network.TCP{}, Seed: 1})
 	if document == nil {
@@ -71,12 +71,12 @@
 		cancel()
 		<-stopped
 	})
-	forwarded := httptest.NewServer(startHandler(t, services, fixedPeers{}).ForwardedHandler())
+	forwarded := httptest.NewServer(newTestHandler(t, services, fixedPeers{}).ForwardedHandler())
 	t.Cleanup(forwarded.Close)
 	return &membership.Member{Name: "dispatcher", PeerAddress: listener.Addr().String(), ForwardAddress: forwarded.Listener.Addr().String()}
 }
 
-func startHandler(t *testing.T, services *service.Registry, peers Peers) *Handler {
+func newTestHandler(t *testing.T, services *service.Registry, peers Peers) *Handler {
 	t.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	client := slots.NewClient(network.TCP{}, log)
@@ -87,9 +87,9 @@
 	})
 }
 
-// TestDispatcherThatKnowsLess guards against a request failing, or being sent to a back end that is
-// drained or gone, because the dispatcher has a stale configuration.
-func TestDispatcherThatKnowsLess(t *testing.T) {
+// TestDispatcherWithStaleConfiguration guards against a request failing, or being sent to a back end that
+// is drained or removed, because the dispatcher has a stale configuration.
+func TestDispatcherWithStaleConfiguration(t *testing.T) {
 	served := make(chan string, 1)
 	serve := func(name string) string {
 		server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { served <- name }))
@@ -99,8 +99,8 @@
 	drainedAddress, freshAddress := serve("old"), serve("fresh")
 	document := func(forward bool, backends ...config.Backend) *config.Document {
 		directory := config.Directory{Revision: 1}
-		for _, one := range backends {
-			directory.Entries = append(directory.Entries, config.DirectoryEntry{Service: "prices", Revision: 1, Backend: one})
+		for _, listed := range backends {
+			directory.Entries = append(directory.Entries, config.DirectoryEntry{Service: "prices", Revision: 1, Backend: listed})
 		}
 		return &config.Document{
 			Revision:  1,
@@ -111,18 +111,18 @@
 	drained := config.Backend{ID: "old", Address: drainedAddress, Slots: 1, Drained: true}
 	known := []config.Backend{drained, {ID: "fresh", Address: freshAddress, Slots: 1}}
 	for name, dispatcherDocument := range map[string]*config.Document{
-		"no configuration":              nil,
-		"no back ends":                  document(false),
-		"a back end that is leaving":    document(false, config.Backend{ID: "old", Address: drainedAddress, Slots: 1}),
-		"a back end that is gone":       document(false, config.Backend{ID: "gone", Address: "127.0.0.1:1", Slots: 1}),
-		"only back ends that have left": document(false, drained),
-		"forwarded, no configuration":   nil,
-		"forwarded, no back ends":       document(true),
+		"no configuration":                  nil,
+		"no back ends":                      document(false),
+		"back end not known to be draining": document(false, config.Backend{ID: "old", Address: drainedAddress, Slots: 1}),
+		"removed back end":                  document(false, config.Backend{ID: "gone", Address: "127.0.0.1:1", Slots: 1}),
+		"only draining back ends":           document(false, drained),
+		"forwarded, no configuration":       nil,
+		"forwarded, no back ends":           document(true),
 	} {
 		t.Run(name, func(t *testing.T) {
 			forward := strings.HasPrefix(name, "forwarded")
-			dispatcher := startDispatcher(t, registryOf(t, dispatcherDocument))
-			handler := startHandler(t, registryOf(t, document(forward, known...)), fixedPeers{dispatcher: dispatcher})
+			dispatcher := startDispatcher(t, newTestRegistry(t, dispatcherDocument))
+			handler := newTestHandler(t, newTestRegistry(t, document(forward, known...)), fixedPeers{dispatcher: dispatcher})
 			recorder := httptest.NewRecorder()
 			ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 			defer cancel()
@@ -133,11 +133,11 @@
 	}
 }
 
-// TestNotAllReadYet guards against a daemon that has just started, and has not read the whole
-// configuration yet, giving wrong answers for routes or back ends that it does not know.
-func TestNotAllReadYet(t *testing.T) {
+// TestUnavailableUntilConfigurationIsRead guards against a daemon that has just started, and has not read the
+// whole configuration yet, giving wrong answers for routes or back ends that it does not know.
+func TestUnavailableUntilConfigurationIsRead(t *testing.T) {
 	document := &config.Document{Revision: 1, Content: config.Content{Services: []config.Service{{Name: "prices", PathPrefix: "/prices/"}}}}
-	handler := startHandler(t, registryOf(t, document), fixedPeers{})
+	handler := newTestHandler(t, newTestRegistry(t, document), fixedPeers{})
 	handler.options.Configured = func() bool { return false }
 	for _, path := range []string{"/prices/now", "/elsewhere"} {
 		recorder := httptest.NewRecorder()
--- a/service/memory_test.go
+++ b/service/memory_test.go
@@ -17,8 +17,8 @@
 	"github.com/tuliphall/tuliphall/service"
 )
 
-// heap returns the number of heap bytes in use.
-func heap() uint64 {
+// heapInUse returns the number of heap bytes in use.
+func heapInUse() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var stats runtime.MemStats
@@ -26,8 +26,8 @@
 	return stats.HeapAlloc
 }
 
-// allocated returns the number of bytes that a function allocates.
-func allocated(do func()) uint64 {
+// allocatedBytes returns the number of bytes that a function allocates.
+func allocatedBytes(do func()) uint64 {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	do()
@@ -35,8 +35,8 @@
 	return after.TotalAlloc - before.TotalAlloc
 }
 
-// documentOf returns a document with three services and the given total of listed back ends.
-func documentOf(backends int) config.Document {
+// documentWithBackends returns a document with three services and the given total of listed back ends.
+func documentWithBackends(backends int) config.Document {
 	document := config.Document{Revision: 1}
 	for service := range 3 {
 		document.Content.Services = append(document.Content.Services, config.Service{Name: fmt.Sprintf("work-%d", service), RoutesOnly: true, MaxLoad: 1})
@@ -54,23 +54,23 @@
 	return document
 }
 
-// TestStandbyKeepsLittle guards against a daemon spending memory on back ends for which it grants no
-// permits: with 10,000 back ends in force, the heap per back end and the allocation of a change to
+// TestStandbyMemoryIsBounded guards against a daemon spending much memory on back ends for which it grants
+// no permits: with 10,000 back ends in force, the heap per back end and the allocation of a change to
 // one of them are bounded.
-func TestStandbyKeepsLittle(t *testing.T) {
+func TestStandbyMemoryIsBounded(t *testing.T) {
 	const backends = 10_000
-	before := heap()
-	document := documentOf(backends)
+	before := heapInUse()
+	document := documentWithBackends(backends)
 	snapshot, err := config.NewSnapshot(document)
 	require.NoError(t, err)
 	registry := service.NewRegistry(service.Options{Network: network.TCP{}, Seed: 1, Log: slog.New(slog.DiscardHandler)})
 	require.True(t, registry.Put(snapshot))
-	heapPerBackend := (heap() - before) / backends
+	heapPerBackend := (heapInUse() - before) / backends
 
 	changed := document.Directory.Entries[7]
 	changed.Drained = true
 	var next *config.Snapshot
-	changeBytes := allocated(func() {
+	changeBytes := allocatedBytes(func() {
 		later := document
 		later.Directory, _, err = document.Directory.ApplyChange(config.DirectoryChange{After: 1, Revision: 2, Entries: []config.DirectoryEntry{changed}})
 		require.NoError(t, err)
@@ -94,10 +94,10 @@
 	runtime.KeepAlive(next)
 }
 
-// TestNextIsLikeAnew guards against a snapshot derived from an earlier one differing from a newly
-// built one, as back ends are added, changed, moved to another service and removed.
-func TestNextIsLikeAnew(t *testing.T) {
-	document := documentOf(9)
+// TestNextSnapshotEqualsRebuiltOne guards against a snapshot derived from an earlier one differing from
+// a newly built one, as back ends are added, changed, moved to another service and removed.
+func TestNextSnapshotEqualsRebuiltOne(t *testing.T) {
+	document := documentWithBackends(9)
 	snapshot, err := config.NewSnapshot(document)
 	require.NoError(t, err)
 	changes := []func(listed []config.DirectoryEntry) []config.DirectoryEntry{
--- a/service/signals_test.go
+++ b/service/signals_test.go
@@ -22,9 +22,9 @@
 	return drain.Notice{}, started == 1
 }
 
-// TestWordOnARunThatHasEnded guards against a restarted back end getting no requests because of the drain signal of
-// its earlier run.
-func TestWordOnARunThatHasEnded(t *testing.T) {
+// TestDrainSignalOfEarlierRunIsIgnored guards against a restarted back end getting no requests because of the
+// drain signal of its earlier run.
+func TestDrainSignalOfEarlierRunIsIgnored(t *testing.T) {
 	document := func(revision config.Revision, started int64) config.Document {
 		return config.Document{Revision: revision, Content: config.Content{
 			Services:   []config.Service{{Name: "work", Slots: 2}},
