--- a/pipelining/bench_test.go
+++ b/pipelining/bench_test.go
@@ -12,23 +12,23 @@
 	"github.com/tuliphall/tuliphall/pipelining"
 )
 
-// BenchmarkOneByOne measures a request over loopback whose caller waits for each response
-// before it sends the next request, with net/http alone and with reading ahead.
-func BenchmarkOneByOne(b *testing.B) {
+// BenchmarkSequentialRequests measures a request over loopback whose caller waits for each response
+// before it sends the next request, with net/http alone and with package pipelining.
+func BenchmarkSequentialRequests(b *testing.B) {
 	handler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "answer") })
-	b.Run("alone", func(b *testing.B) {
-		oneByOne(b, &http.Server{Handler: handler}, func(under net.Listener) net.Listener { return under })
+	b.Run("without pipelining", func(b *testing.B) {
+		benchmarkSequential(b, &http.Server{Handler: handler}, func(under net.Listener) net.Listener { return under })
 	})
-	b.Run("read ahead", func(b *testing.B) {
+	b.Run("with pipelining", func(b *testing.B) {
 		server := pipelining.New(pipelining.Options{
 			Handler: handler, Repeatable: func(*http.Request) bool { return true }, Closing: func() bool { return false },
 			IDHeader: "Request-Id", MaxPerConnection: 16, MaxTotal: 256, MaxReadAheadBytes: 64 << 10, MaxBufferedBodyBytes: 32 << 10,
 		})
-		oneByOne(b, &http.Server{Handler: server, ConnContext: server.ConnContext}, server.WrapListener)
+		benchmarkSequential(b, &http.Server{Handler: server, ConnContext: server.ConnContext}, server.WrapListener)
 	})
 }
 
-func oneByOne(b *testing.B, server *http.Server, wrap func(net.Listener) net.Listener) {
+func benchmarkSequential(b *testing.B, server *http.Server, wrap func(net.Listener) net.Listener) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(b, err)
 	go server.Serve(wrap(listener))
--- a/pipelining/bounds_test.go
+++ b/pipelining/limits_test.go
@@ -15,9 +15,9 @@
 	"github.com/tuliphall/tuliphall/pipelining"
 )
 
-// TestLongResponseBlocks guards against buffering more of a response than allowed: the handler
+// TestBufferedResponseIsLimited guards against buffering more of a response than allowed: the handler
 // blocks, and the rest is written once the response is attached.
-func TestLongResponseBlocks(t *testing.T) {
+func TestBufferedResponseIsLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		long := strings.Repeat("x", 1<<20)
 		var written int
@@ -44,12 +44,12 @@
 	})
 }
 
-// TestBounds guards against starting more requests early than MaxPerConnection or MaxTotal
-// allow: further requests wait.
-func TestBounds(t *testing.T) {
+// TestEarlyRequestsAreLimited guards against starting more requests early than MaxPerConnection or
+// MaxTotal allow: further requests wait.
+func TestEarlyRequestsAreLimited(t *testing.T) {
 	for name, change := range map[string]func(*pipelining.Options){
-		"of a connection": func(o *pipelining.Options) { o.MaxPerConnection = 2 },
-		"in all":          func(o *pipelining.Options) { o.MaxTotal = 2 },
+		"per connection": func(o *pipelining.Options) { o.MaxPerConnection = 2 },
+		"in total":       func(o *pipelining.Options) { o.MaxTotal = 2 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -69,9 +69,9 @@
 	}
 }
 
-// TestReadingAheadIsBounded guards against reading ahead without limit: of a caller that sends
+// TestReadAheadIsLimited guards against reading ahead without limit: of a caller that sends
 // 1,000 requests at once, only the allowed bytes are read ahead, and all requests are served.
-func TestReadingAheadIsBounded(t *testing.T) {
+func TestReadAheadIsLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestServer(t, echo, func(o *pipelining.Options) { o.MaxPerConnection, o.MaxReadAheadBytes = 1, 1024 })
 		caller := s.listener.dial()
@@ -95,9 +95,9 @@
 	})
 }
 
-// TestStreams guards against buffering the response that is being sent: flushed bytes and
-// trailers reach the caller at once, for a request that was started early too.
-func TestStreams(t *testing.T) {
+// TestResponsesAreStreamed guards against buffering the response that is being sent: flushed bytes
+// and trailers reach the caller at once, for a request that was started early too.
+func TestResponsesAreStreamed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
 			for range 3 {
@@ -127,9 +127,9 @@
 	})
 }
 
-// TestHandlerPanics guards against a daemon crash: as with net/http alone, a panic of the
-// handler of a request that was started early closes only its connection.
-func TestHandlerPanics(t *testing.T) {
+// TestHandlerPanicClosesOnlyItsConnection guards against a daemon crash: as with net/http alone, a
+// panic of the handler of a request that was started early closes only its connection.
+func TestHandlerPanicClosesOnlyItsConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path == "/1" {
--- a/pipelining/pipelining_test.go
+++ b/pipelining/pipelining_test.go
@@ -12,9 +12,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestTogether guards against serving pipelined requests one after the other: 16 requests sent
-// at once take as long as one, and the responses come in order.
-func TestTogether(t *testing.T) {
+// TestRequestsAreConcurrent guards against serving pipelined requests one after the other: 16
+// requests sent at once take as long as one, and the responses are in order.
+func TestRequestsAreConcurrent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestServer(t, echo, nil)
 		caller := s.listener.dial()
@@ -29,9 +29,9 @@
 	})
 }
 
-// TestTogetherInPieces does the same with bytes that arrive one by one, and with a request that
-// arrives later.
-func TestTogetherInPieces(t *testing.T) {
+// TestRequestsInPiecesAreConcurrent guards against serving requests one after the other if their bytes
+// arrive one by one, or if a request arrives while others are being served.
+func TestRequestsInPiecesAreConcurrent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestServer(t, echo, nil)
 		caller := s.listener.dial()
@@ -54,9 +54,9 @@
 	})
 }
 
-// TestWhatMayNotBeRepeatedWaits guards against starting a request early that may not be
-// repeated, or one behind it: it waits for all before it, and those behind it wait for it.
-func TestWhatMayNotBeRepeatedWaits(t *testing.T) {
+// TestNonRepeatableRequestIsNotStartedEarly guards against starting a request early that may not be
+// repeated, or one behind it: it is started after all requests before it, and those behind it are started after it.
+func TestNonRepeatableRequestIsNotStartedEarly(t *testing.T) {
 	for name, middle := range map[string]string{
 		"with a body":    "POST /m HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nabcd",
 		"without a body": "POST /m HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n",
@@ -73,14 +73,14 @@
 					readResponse(t, responses)
 				}
 				require.Equal(t, []time.Duration{0, 0, handlerTime, 2 * handlerTime, 2 * handlerTime},
-					[]time.Duration{s.startOf("GET /a"), s.startOf("GET /b"), s.startOf("POST /m"), s.startOf("GET /c"), s.startOf("GET /d")})
+					[]time.Duration{s.startTime("GET /a"), s.startTime("GET /b"), s.startTime("POST /m"), s.startTime("GET /c"), s.startTime("GET /d")})
 			})
 		})
 	}
 }
 
-// TestBodyBetweenHeads guards against taking a body that looks like a request for a request.
-func TestBodyBetweenHeads(t *testing.T) {
+// TestBodyIsNotTakenForRequest guards against taking a body that looks like a request for a request.
+func TestBodyIsNotTakenForRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestServer(t, echo, nil)
 		caller := s.listener.dial()
@@ -95,13 +95,13 @@
 	})
 }
 
-// TestNothingStartsAfterClose guards against starting requests behind one that closes the
+// TestNoRequestStartsAfterClose guards against starting requests behind one that closes the
 // connection.
-func TestNothingStartsAfterClose(t *testing.T) {
+func TestNoRequestStartsAfterClose(t *testing.T) {
 	for name, sent := range map[string]string{
-		"first":  "GET /a HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n" + getRequest("/z"),
-		"second": getRequest("/b") + "GET /a HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n" + getRequest("/z"),
-		"old":    "GET /a HTTP/1.0\r\nHost: h\r\n\r\n" + getRequest("/z"),
+		"first request":  "GET /a HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n" + getRequest("/z"),
+		"second request": getRequest("/b") + "GET /a HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n" + getRequest("/z"),
+		"HTTP 1.0":       "GET /a HTTP/1.0\r\nHost: h\r\n\r\n" + getRequest("/z"),
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -118,17 +118,16 @@
 	}
 }
 
-// TestStopAnswersWhatBegan guards against a planned stop that loses started requests: all of
-// them get their responses, the last response closes the connection, and no request is started
-// any more.
-func TestStopAnswersWhatBegan(t *testing.T) {
+// TestDrainCompletesStartedRequests guards against a graceful shutdown that loses started requests: all
+// of them are answered, the last response closes the connection, and no further request is started.
+func TestDrainCompletesStartedRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestServer(t, echo, nil)
 		caller := s.listener.dial()
 		defer caller.Close()
 		sendAsync(caller, getRequests(4))
 		time.Sleep(handlerTime / 2)
-		s.close()
+		s.startClosing()
 		sendAsync(caller, getRequest("/late"))
 		stopped := make(chan struct{})
 		go func() {
@@ -148,9 +147,9 @@
 	})
 }
 
-// TestCallerLeaves guards against requests that go on after their caller closed the connection:
-// all are canceled at once, also those whose responses are buffered.
-func TestCallerLeaves(t *testing.T) {
+// TestCallerDisconnectCancelsRequests guards against requests that continue after their caller has closed
+// the connection: all are canceled at once, including those whose responses are buffered.
+func TestCallerDisconnectCancelsRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestServer(t, echo, nil)
 		caller := s.listener.dial()
@@ -165,8 +164,9 @@
 	})
 }
 
-// TestOneFails guards against a refused or slow request that affects the others.
-func TestOneFails(t *testing.T) {
+// TestFailedRequestDoesNotAffectOthers guards against a refused or slow request that affects other
+// requests of the connection.
+func TestFailedRequestDoesNotAffectOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
 			switch r.URL.Path {
@@ -196,9 +196,9 @@
 	})
 }
 
-// TestAbortedResponse guards against completing a response whose handler aborted it: the connection
-// is closed within that response, after the responses before it.
-func TestAbortedResponse(t *testing.T) {
+// TestAbortedResponseClosesConnection guards against completing a response whose handler aborted it:
+// the connection is closed within that response, after the responses before it.
+func TestAbortedResponseClosesConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path == "/1" {
--- a/pipelining/strict_test.go
+++ b/pipelining/strict_test.go
@@ -16,19 +16,19 @@
 
 // Requests for the tests of refused heads.
 const (
-	plainGet   = "GET /a HTTP/1.1\r\nHost: a\r\n\r\n"
-	plainPost  = "POST /b HTTP/1.1\r\nHost: a\r\nContent-Length: 31\r\n\r\n" + "GET /a HTTP/1.1\r\nX: y\nhost: a\n\n"
-	twoLengths = "POST /c HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
-	bareFeed   = "GET /d HTTP/1.1\r\nHost: a\nX: y\r\n\r\n"
-	continued  = "GET /e HTTP/1.1\r\nHost: a\r\nX: y\r\n z\r\n\r\n"
-	chunkedTo  = "POST /g HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab\n\nc\r\n0\r\n\r\n"
-	openLine   = "POST /h HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\na\nbc" // the next head begins within a line
-	inHeader   = "GET /f HTTP/1.1\r\nHost: a\nX: GET /f HTTP/1.1\r\nY: z\r\n\r\n"
+	plainGet         = "GET /a HTTP/1.1\r\nHost: a\r\n\r\n"
+	plainPost        = "POST /b HTTP/1.1\r\nHost: a\r\nContent-Length: 31\r\n\r\n" + "GET /a HTTP/1.1\r\nX: y\nhost: a\n\n"
+	lengthAndChunked = "POST /c HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
+	bareLF           = "GET /d HTTP/1.1\r\nHost: a\nX: y\r\n\r\n"
+	foldedLine       = "GET /e HTTP/1.1\r\nHost: a\r\nX: y\r\n z\r\n\r\n"
+	chunkedPost      = "POST /g HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab\n\nc\r\n0\r\n\r\n"
+	openLinePost     = "POST /h HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\na\nbc" // the next head begins within a line
+	headInHeader     = "GET /f HTTP/1.1\r\nHost: a\nX: GET /f HTTP/1.1\r\nY: z\r\n\r\n"
 )
 
-// strictServer returns a server that refuses ambiguous heads and records the requests that its
+// newStrictServer returns a server that refuses ambiguous heads and records the requests that its
 // handler gets.
-func strictServer(t *testing.T) (address string, served *[]string) {
+func newStrictServer(t *testing.T) (address string, served *[]string) {
 	t.Helper()
 	served = new([]string)
 	pipelined := New(Options{
@@ -51,7 +51,7 @@
 }
 
 // TestAmbiguousHeadsAreRefused guards against request smuggling: an ambiguous head is refused
-// wherever it is on its connection, and the connection is closed, so that no bytes behind it
+// wherever it is on its connection, and the connection is closed, so that no bytes after it
 // are taken for a request. Requests before it are served, including bodies that look like heads.
 func TestAmbiguousHeadsAreRefused(t *testing.T) {
 	for name, test := range map[string]struct {
@@ -59,18 +59,18 @@
 		cause  error
 		served []string
 	}{
-		"both lengths":            {twoLengths + plainGet, framing.ErrLengthAndTransferEncoding, nil},
-		"a bare line feed":        {bareFeed + plainGet, framing.ErrBareLF, nil},
-		"a continued header":      {continued + plainGet, framing.ErrLineFolding, nil},
-		"a head in a header":      {inHeader, framing.ErrBareLF, nil},
-		"behind a request":        {plainGet + bareFeed + plainGet, framing.ErrBareLF, []string{"/a"}},
-		"behind a body of a head": {plainPost + plainGet + continued, framing.ErrLineFolding, []string{"/b" + plainPost[len(plainPost)-31:], "/a"}},
-		"behind any body":         {openLine + plainGet + openLine + bareFeed, framing.ErrBareLF, []string{"/ha\nbc", "/a", "/ha\nbc"}},
-		"behind chunks":           {chunkedTo + plainGet + chunkedTo + inHeader, framing.ErrBareLF, []string{"/gab\n\nc", "/a", "/gab\n\nc"}},
-		"an old transfer":         {strings.Replace(strings.Replace(twoLengths, "Content-Length: 5\r\n", "", 1), "HTTP/1.1", "HTTP/1.0", 1), framing.ErrTransferEncodingVersion, nil},
+		"length and chunked":                   {lengthAndChunked + plainGet, framing.ErrLengthAndTransferEncoding, nil},
+		"bare line feed":                       {bareLF + plainGet, framing.ErrBareLF, nil},
+		"folded line":                          {foldedLine + plainGet, framing.ErrLineFolding, nil},
+		"head within a header":                 {headInHeader, framing.ErrBareLF, nil},
+		"after a request":                      {plainGet + bareLF + plainGet, framing.ErrBareLF, []string{"/a"}},
+		"after a body that contains a head":    {plainPost + plainGet + foldedLine, framing.ErrLineFolding, []string{"/b" + plainPost[len(plainPost)-31:], "/a"}},
+		"after a body that ends within a line": {openLinePost + plainGet + openLinePost + bareLF, framing.ErrBareLF, []string{"/ha\nbc", "/a", "/ha\nbc"}},
+		"after a chunked body":                 {chunkedPost + plainGet + chunkedPost + headInHeader, framing.ErrBareLF, []string{"/gab\n\nc", "/a", "/gab\n\nc"}},
+		"chunked with HTTP 1.0":                {strings.Replace(strings.Replace(lengthAndChunked, "Content-Length: 5\r\n", "", 1), "HTTP/1.1", "HTTP/1.0", 1), framing.ErrTransferEncodingVersion, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			address, served := strictServer(t)
+			address, served := newStrictServer(t)
 			caller, err := net.Dial("tcp", address)
 			require.NoError(t, err)
 			defer caller.Close()
@@ -96,9 +96,9 @@
 	}
 }
 
-// TestLongBodiesAreNotKept guards against recording whole bodies: no more than the length of a
-// head is recorded, and the head behind a body is found.
-func TestLongBodiesAreNotKept(t *testing.T) {
+// TestLongBodiesAreNotRecorded guards against recording whole bodies: no more than the length of a
+// head is recorded, and the head after a body is found.
+func TestLongBodiesAreNotRecorded(t *testing.T) {
 	server := New(Options{Refuse: func(http.ResponseWriter, *http.Request, error) {}})
 	c := newConn(nil, server)
 	for range 100 {
--- a/pipelining/site_test.go
+++ b/pipelining/testserver_test.go
@@ -71,7 +71,7 @@
 func newTestServer(t *testing.T, handler http.HandlerFunc, change func(*pipelining.Options)) *testServer {
 	s := &testServer{t: t, begin: time.Now(), startedAt: make(map[string]time.Duration), canceled: make(map[string]time.Duration)}
 	options := pipelining.Options{
-		Handler: s.recording(handler), IDHeader: "Request-Id",
+		Handler: s.recordCalls(handler), IDHeader: "Request-Id",
 		Repeatable: func(r *http.Request) bool { return r.Method == http.MethodGet },
 		Closing:    s.isClosing, MaxPerConnection: 16, MaxTotal: 256, MaxReadAheadBytes: 64 << 10, MaxBufferedBodyBytes: 32 << 10,
 	}
@@ -91,13 +91,13 @@
 	return s.closing
 }
 
-func (s *testServer) close() {
+func (s *testServer) startClosing() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.closing = true
 }
 
-func (s *testServer) recording(next http.Handler) http.Handler {
+func (s *testServer) recordCalls(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		call := r.Method + " " + r.URL.Path
 		s.mutex.Lock()
@@ -113,7 +113,7 @@
 	})
 }
 
-func (s *testServer) startOf(call string) time.Duration {
+func (s *testServer) startTime(call string) time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	at, ok := s.startedAt[call]
