--- a/drain/table_test.go
+++ b/drain/table_test.go
@@ -21,93 +21,94 @@
 	return start.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// observed returns a signal of the run that started at the given time, in the response to a request of the given time.
-func observed(draining bool, started int64, sent float64) drain.Signal {
+// newSignal returns a signal of the run that started at the given time, in the response to a request of the given time.
+func newSignal(draining bool, started int64, sent float64) drain.Signal {
 	return drain.Signal{SignalKey: signal, Draining: draining, Started: started, Sent: at(sent)}
 }
 
-// received returns the record of a signal as a peer sends it.
-func received(draining bool, started int64, when float64) drain.Record {
+// newRecord returns the record of a signal as a peer sends it.
+func newRecord(draining bool, started int64, when float64) drain.Record {
 	return drain.Record{SignalKey: signal, Draining: draining, Started: started, At: at(when)}
 }
 
 func isDraining(table *drain.Table, started int64) bool {
-	_, leaving := table.Draining(key, started)
-	return leaving
+	_, draining := table.Draining(key, started)
+	return draining
 }
 
-// TestOwnWordIsOverruledByNothingOlder guards against a draining back end getting requests again because of an older
-// signal, a signal of another run or source, or its absence from a directory.
-func TestOwnWordIsOverruledByNothingOlder(t *testing.T) {
+// TestOnlyNewerSignalOfSameSourceEndsDraining guards against a draining back end getting requests again because of an
+// older signal, a signal of another run or source, or its absence from a directory.
+func TestOnlyNewerSignalOfSameSourceEndsDraining(t *testing.T) {
 	for name, later := range map[string]func(table *drain.Table){
-		"an answer to a request sent before":            func(table *drain.Table) { table.Observe(at(11), observed(false, 1, 9)) },
-		"an answer of the earlier run":                  func(table *drain.Table) { table.Observe(at(11), observed(false, -1, 10.5)) },
-		"another daemon's older signal":                 func(table *drain.Table) { table.Merge(at(11), received(false, 1, 9)) },
-		"another daemon's signal on an earlier run":     func(table *drain.Table) { table.Merge(at(11), received(false, -1, 11)) },
-		"the machine list, which does not say so":       func(table *drain.Table) { observeList(table, false) },
-		"the machine list, which said so, and does not": func(table *drain.Table) { observeList(table, true); observeList(table, false) },
-		"a directory without it, for a while": func(table *drain.Table) {
+		"response to an earlier request":        func(table *drain.Table) { table.Observe(at(11), newSignal(false, 1, 9)) },
+		"response of an earlier run":            func(table *drain.Table) { table.Observe(at(11), newSignal(false, -1, 10.5)) },
+		"older record of a peer":                func(table *drain.Table) { table.Merge(at(11), newRecord(false, 1, 9)) },
+		"record of a peer about an earlier run": func(table *drain.Table) { table.Merge(at(11), newRecord(false, -1, 11)) },
+		"machine list without the signal":       func(table *drain.Table) { observeMachineList(table, false) },
+		"machine list withdraws its signal":     func(table *drain.Table) { observeMachineList(table, true); observeMachineList(table, false) },
+		"undeclared for a short time": func(table *drain.Table) {
 			table.Prune(at(12), func(backend.Key) bool { return false })
 		},
-		"a directory without it, and with it, for long": func(table *drain.Table) {
+		"repeatedly undeclared": func(table *drain.Table) {
 			for second := 12; second < 7200; second += 5 {
-				lapsed := second%600 < 300
-				table.Prune(at(float64(second)), func(backend.Key) bool { return !lapsed })
+				undeclared := second%600 < 300
+				table.Prune(at(float64(second)), func(backend.Key) bool { return !undeclared })
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			table := drain.NewTable()
-			require.True(t, table.Observe(at(10), observed(true, 1, 9.9)))
-			require.False(t, table.Observe(at(10.1), observed(true, 1, 10)), "the signal is already known")
+			require.True(t, table.Observe(at(10), newSignal(true, 1, 9.9)))
+			require.False(t, table.Observe(at(10.1), newSignal(true, 1, 10)), "the signal is already known")
 			later(table)
 			require.True(t, isDraining(table, 1))
 		})
 	}
 }
 
-func observeList(table *drain.Table, draining bool) {
+func observeMachineList(table *drain.Table, draining bool) {
 	list := drain.SignalKey{Key: key, Source: drain.FromMachineList}
 	table.Observe(at(11), drain.Signal{SignalKey: list, Draining: draining, Started: 1, Sent: at(11)})
 }
 
-// TestRunsAreToldApart guards against a restarted back end being affected by the drain signal of its earlier run.
-func TestRunsAreToldApart(t *testing.T) {
+// TestDrainSignalAppliesToOneRun guards against a restarted back end being affected by the drain signal of its earlier
+// run.
+func TestDrainSignalAppliesToOneRun(t *testing.T) {
 	table := drain.NewTable()
-	table.Observe(at(10), observed(true, 1, 9))
+	table.Observe(at(10), newSignal(true, 1, 9))
 	require.True(t, isDraining(table, 1))
 	require.False(t, isDraining(table, 2))
-	require.False(t, table.Observe(at(11), observed(false, 2, 10.5)), "there is no signal to withdraw")
+	require.False(t, table.Observe(at(11), newSignal(false, 2, 10.5)), "there is no signal to withdraw")
 	require.False(t, isDraining(table, 2))
-	require.True(t, table.Observe(at(12), observed(true, 2, 11)))
+	require.True(t, table.Observe(at(12), newSignal(true, 2, 11)))
 	require.True(t, isDraining(table, 2))
-	require.False(t, table.Merge(at(13), received(false, 1, 13)), "a record of an earlier run")
+	require.False(t, table.Merge(at(13), newRecord(false, 1, 13)), "a record of an earlier run")
 	require.True(t, isDraining(table, 2))
 	require.True(t, isDraining(table, 0), "any run")
 }
 
-// TestBackAgain guards against a back end staying excluded after it has withdrawn its signal, at the daemon that
-// observed the signal and at its peers, also if the wall clock is set back.
-func TestBackAgain(t *testing.T) {
+// TestWithdrawnSignalEndsDraining guards against a back end staying excluded after it has withdrawn its signal, at the
+// daemon that observed the signal and at its peers, also if the wall clock is set back.
+func TestWithdrawnSignalEndsDraining(t *testing.T) {
 	table, other := drain.NewTable(), drain.NewTable()
-	table.Observe(at(10), observed(true, 1, 9))
+	table.Observe(at(10), newSignal(true, 1, 9))
 	record, _ := table.Record(signal)
 	require.True(t, other.Merge(at(10), record))
 	require.True(t, isDraining(other, 1))
-	require.True(t, table.Observe(at(5), observed(false, 1, 10.5)), "the wall clock was set back")
+	require.True(t, table.Observe(at(5), newSignal(false, 1, 10.5)), "the wall clock was set back")
 	record, _ = table.Record(signal)
 	require.True(t, other.Merge(at(10.6), record))
 	require.False(t, isDraining(table, 1))
 	require.False(t, isDraining(other, 1))
-	require.False(t, other.Merge(at(11), received(true, 1, 9)), "an older record that arrives late")
+	require.False(t, other.Merge(at(11), newRecord(true, 1, 9)), "an older record that arrives late")
 	require.Zero(t, other.DrainingCount())
 }
 
-// TestForgets guards against records accumulating for back ends that no longer exist, and against removing them while
-// the back ends may reappear in the directory.
-func TestForgets(t *testing.T) {
+// TestPruneRemovesUndeclaredBackends guards against records accumulating for back ends that no longer exist, and
+// against removing them while the back ends may reappear in the directory.
+func TestPruneRemovesUndeclaredBackends(t *testing.T) {
 	table := drain.NewTable()
-	table.Observe(at(10), observed(true, 1, 9))
+	table.Observe(at(10), newSignal(true, 1, 9))
 	none := func(backend.Key) bool { return false }
 	table.Prune(at(600), none)
 	require.Equal(t, 1, table.DrainingCount())
--- a/pushback/pushback_test.go
+++ b/pushback/pushback_test.go
@@ -21,38 +21,38 @@
 
 // TestParseRetryAfter checks the interpretation of regular, borderline and invalid values.
 func TestParseRetryAfter(t *testing.T) {
-	for name, one := range map[string]struct {
+	for name, test := range map[string]struct {
 		values    []string
 		want      time.Duration
 		wantError string
 	}{
-		"seconds":                 {values: []string{"4"}, want: 4 * time.Second},
-		"fractions":               {values: []string{"0.25"}, want: 250 * time.Millisecond},
-		"blanks around":           {values: []string{" 4 "}, want: 4 * time.Second},
-		"at once":                 {values: []string{"0"}},
-		"absent":                  {},
-		"a date":                  {values: []string{"Tue, 01 Jan 2030 00:00:07 GMT"}, want: 7 * time.Second},
-		"a date that is past":     {values: []string{"Tue, 01 Jan 2019 00:00:07 GMT"}},
-		"a date far away":         {values: []string{"Tue, 01 Jan 2099 00:00:07 GMT"}, want: pushback.MaxPause},
-		"huge":                    {values: []string{"1e300"}, want: pushback.MaxPause},
-		"twice: the longer":       {values: []string{"2", "4"}, want: 4 * time.Second},
-		"one of them unreadable":  {values: []string{"soon", "4"}, want: 4 * time.Second},
-		"empty":                   {values: []string{""}, wantError: `value ""`},
-		"a word":                  {values: []string{"soon"}, wantError: `value "soon"`},
-		"negative":                {values: []string{"-1"}, wantError: `value "-1"`},
-		"not a number":            {values: []string{"NaN"}, wantError: `value "NaN"`},
-		"infinite":                {values: []string{"Inf"}, wantError: `value "Inf"`},
-		"beyond what a float has": {values: []string{"1e309"}, wantError: `value "1e309"`},
-		"hexadecimal":             {values: []string{"0x10"}, wantError: `value "0x10"`},
+		"seconds":                     {values: []string{"4"}, want: 4 * time.Second},
+		"fractions":                   {values: []string{"0.25"}, want: 250 * time.Millisecond},
+		"surrounding spaces":          {values: []string{" 4 "}, want: 4 * time.Second},
+		"zero":                        {values: []string{"0"}},
+		"absent":                      {},
+		"date":                        {values: []string{"Tue, 01 Jan 2030 00:00:07 GMT"}, want: 7 * time.Second},
+		"date in the past":            {values: []string{"Tue, 01 Jan 2019 00:00:07 GMT"}},
+		"date in the distant future":  {values: []string{"Tue, 01 Jan 2099 00:00:07 GMT"}, want: pushback.MaxPause},
+		"huge":                        {values: []string{"1e300"}, want: pushback.MaxPause},
+		"two values: the longer":      {values: []string{"2", "4"}, want: 4 * time.Second},
+		"one of two values invalid":   {values: []string{"soon", "4"}, want: 4 * time.Second},
+		"empty":                       {values: []string{""}, wantError: `value ""`},
+		"word":                        {values: []string{"soon"}, wantError: `value "soon"`},
+		"negative":                    {values: []string{"-1"}, wantError: `value "-1"`},
+		"not a number":                {values: []string{"NaN"}, wantError: `value "NaN"`},
+		"infinite":                    {values: []string{"Inf"}, wantError: `value "Inf"`},
+		"out of the range of a float": {values: []string{"1e309"}, wantError: `value "1e309"`},
+		"hexadecimal":                 {values: []string{"0x10"}, wantError: `value "0x10"`},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got, err := pushback.ParseRetryAfter(one.values, start)
-			if one.wantError != "" {
-				require.ErrorContains(t, err, one.wantError)
+			got, err := pushback.ParseRetryAfter(test.values, start)
+			if test.wantError != "" {
+				require.ErrorContains(t, err, test.wantError)
 			} else {
 				require.NoError(t, err)
 			}
-			require.Equal(t, one.want, got)
+			require.Equal(t, test.want, got)
 		})
 	}
 }
@@ -77,12 +77,12 @@
 	return paused
 }
 
-// TestPauseLasts guards against a pause being shortened by a shorter one that is asked for later, or
-// lasting beyond its end.
-func TestPauseLasts(t *testing.T) {
+// TestPauseLastsUntilLatestEnd guards against a pause being shortened by a shorter one that is requested
+// later, or lasting beyond the latest end.
+func TestPauseLastsUntilLatestEnd(t *testing.T) {
 	table := pushback.NewTable()
 	require.True(t, table.RecordPause(at(0), key, 4*time.Second, 1, "r1", 0))
-	require.False(t, table.RecordPause(at(1), key, time.Second, 1, "r2", 0), "a shorter one after a longer one")
+	require.False(t, table.RecordPause(at(1), key, time.Second, 1, "r2", 0), "a shorter pause does not replace a longer one")
 	require.True(t, isPaused(table, at(3.9), 1))
 	require.False(t, isPaused(table, at(4), 1))
 	require.False(t, table.RecordPause(at(3), key, 4*time.Second, 1, "r3", 0), "the pause continues")
@@ -96,9 +96,9 @@
 	require.True(t, table.RecordPause(at(9), key, time.Second, 1, "r4", 0), "a new pause")
 }
 
-// TestPauseIsOfOneRun guards against a restarted back end getting no requests because of a pause that
-// its earlier run asked for.
-func TestPauseIsOfOneRun(t *testing.T) {
+// TestPauseAppliesToOneRun guards against a restarted back end getting no requests because of a pause that
+// its earlier run requested.
+func TestPauseAppliesToOneRun(t *testing.T) {
 	table := pushback.NewTable()
 	table.RecordPause(at(0), key, time.Minute, 1, "r1", 0)
 	require.False(t, isPaused(table, at(1), 2))
@@ -108,21 +108,21 @@
 	require.False(t, isPaused(table, at(6), 2))
 }
 
-// TestPausesEndApart checks that pauses are extended by a random amount, and never shortened, so that daemons do not
-// all resume together.
-func TestPausesEndApart(t *testing.T) {
-	for name, one := range map[string]struct{ lasts, longest time.Duration }{
-		"short": {lasts: time.Second, longest: 1100 * time.Millisecond},
-		"long":  {lasts: time.Minute, longest: time.Minute + 500*time.Millisecond},
+// TestPausesAreExtendedRandomly checks that pauses are extended by a random amount, and never shortened, so that
+// daemons do not all resume together.
+func TestPausesAreExtendedRandomly(t *testing.T) {
+	for name, test := range map[string]struct{ asked, maximum time.Duration }{
+		"short pause": {asked: time.Second, maximum: 1100 * time.Millisecond},
+		"long pause":  {asked: time.Minute, maximum: time.Minute + 500*time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for _, draw := range []float64{0, 0.5, 0.999} {
 				table := pushback.NewTable()
-				table.RecordPause(at(0), key, one.lasts, 1, "", draw)
+				table.RecordPause(at(0), key, test.asked, 1, "", draw)
 				pause, paused := table.ActivePause(at(0), key, 1)
 				require.True(t, paused)
-				require.GreaterOrEqual(t, pause.Until.Sub(at(0)), one.lasts)
-				require.LessOrEqual(t, pause.Until.Sub(at(0)), one.longest)
+				require.GreaterOrEqual(t, pause.Until.Sub(at(0)), test.asked)
+				require.LessOrEqual(t, pause.Until.Sub(at(0)), test.maximum)
 			}
 		})
 	}
--- a/resultcode/resultcode_test.go
+++ b/resultcode/resultcode_test.go
@@ -11,8 +11,8 @@
 	"github.com/tuliphall/tuliphall/resultcode"
 )
 
-// TestTableInDocs guards against the table in docs/result-codes.md differing from the code.
-func TestTableInDocs(t *testing.T) {
+// TestDocsMatchTable guards against the table in docs/result-codes.md differing from the code.
+func TestDocsMatchTable(t *testing.T) {
 	text, err := os.ReadFile("../docs/result-codes.md")
 	require.NoError(t, err)
 	rows := regexp.MustCompile(`(?m)^\| (\d+) \| .*$`).FindAllString(string(text), -1)
@@ -23,8 +23,8 @@
 	require.Equal(t, want, rows)
 }
 
-// TestRunStateFollowsNumber guards against a code whose first digit does not match its run state.
-func TestRunStateFollowsNumber(t *testing.T) {
+// TestRunStateMatchesFirstDigit guards against a code whose first digit does not match its run state.
+func TestRunStateMatchesFirstDigit(t *testing.T) {
 	states := map[resultcode.Code]resultcode.RunState{1: resultcode.Run, 2: resultcode.NotRun, 3: resultcode.Unknown}
 	for _, info := range resultcode.Table() {
 		require.Equal(t, states[info.Code/1000], info.Run, info.Name)
--- a/signals/list_test.go
+++ b/signals/list_test.go
@@ -14,16 +14,16 @@
 	"github.com/tuliphall/tuliphall/signals"
 )
 
-// notOfResponses are the fields of a dialect that name request headers, or no header.
-var notOfResponses = []string{"Deadline", "Instance", "Tenant", "SelfPrefix"}
+// nonResponseFields are the fields of a dialect that do not name response headers.
+var nonResponseFields = []string{"Deadline", "Instance", "Tenant", "SelfPrefix"}
 
-// TestEveryHeaderOfADialectIsListed guards against a signal that a dialect defines but nothing reads.
+// TestEveryHeaderOfADialectIsListed guards against a header that a dialect defines but nothing reads.
 func TestEveryHeaderOfADialectIsListed(t *testing.T) {
 	var dialect backend.Dialect
 	fields := reflect.ValueOf(&dialect).Elem()
 	for number := range fields.NumField() {
 		name, field := fields.Type().Field(number).Name, fields.Field(number)
-		if field.Kind() != reflect.String || slices.Contains(notOfResponses, name) {
+		if field.Kind() != reflect.String || slices.Contains(nonResponseFields, name) {
 			continue
 		}
 		field.SetString("X-" + name)
@@ -32,8 +32,8 @@
 	}
 }
 
-// TestListInDocs guards against the table in docs/back-end-signals.md differing from the code.
-func TestListInDocs(t *testing.T) {
+// TestDocsMatchSignalList guards against the table in docs/back-end-signals.md differing from the code.
+func TestDocsMatchSignalList(t *testing.T) {
 	text, err := os.ReadFile("../docs/back-end-signals.md")
 	require.NoError(t, err)
 	rows := regexp.MustCompile(`(?m)^\| [^|]+ \| `+"`"+`[^|]*\|.*$`).FindAllString(string(text), -1)
--- a/signals/reader_test.go
+++ b/signals/reader_test.go
@@ -22,16 +22,16 @@
 	pauses  []time.Duration
 }
 
-func (h *recorder) RecordPause(_ backend.Key, duration time.Duration, _ int64, _ string) {
-	h.pauses = append(h.pauses, duration)
+func (r *recorder) RecordPause(_ backend.Key, duration time.Duration, _ int64, _ string) {
+	r.pauses = append(r.pauses, duration)
 }
 
-func (h *recorder) Observe(signal drain.Signal) { h.signals = append(h.signals, signal) }
+func (r *recorder) Observe(signal drain.Signal) { r.signals = append(r.signals, signal) }
 
 type limitRecorder struct{ *recorder }
 
-func (h limitRecorder) Observe(_ http.Header, response backendlimit.Response) {
-	h.limits = append(h.limits, response)
+func (r limitRecorder) Observe(_ http.Header, response backendlimit.Response) {
+	r.limits = append(r.limits, response)
 }
 
 func newReader(dialect backend.Dialect) (*signals.Reader, *recorder, tally.TestScope) {
@@ -51,38 +51,38 @@
 	return response
 }
 
-// TestDrainingIsReadOfEveryAnswer guards against the drain signal of a back end being ignored because of the
+// TestDrainSignalIsReadFromEveryResponse guards against the drain signal of a back end being ignored because of the
 // status or the other headers of the response.
-func TestDrainingIsReadOfEveryAnswer(t *testing.T) {
-	leaving := drain.Signal{SignalKey: drain.SignalKey{Key: backend.Key{Service: "board", Backend: "i-1"}, Source: drain.FromBackend}, Draining: true, Started: 5, Sent: sent, RequestID: "r"}
-	back, probed := leaving, leaving
-	back.Draining, probed.RequestID = false, ""
-	for name, one := range map[string]struct {
+func TestDrainSignalIsReadFromEveryResponse(t *testing.T) {
+	draining := drain.Signal{SignalKey: drain.SignalKey{Key: backend.Key{Service: "board", Backend: "i-1"}, Source: drain.FromBackend}, Draining: true, Started: 5, Sent: sent, RequestID: "r"}
+	withdrawn, probeSignal := draining, draining
+	withdrawn.Draining, probeSignal.RequestID = false, ""
+	for name, test := range map[string]struct {
 		response signals.Response
 		want     []drain.Signal
 	}{
-		"an answer":                 {response: newResponse("r", 200, backend.HeaderDraining, "true"), want: []drain.Signal{leaving}},
-		"a failure":                 {response: newResponse("r", 500, backend.HeaderDraining, "true"), want: []drain.Signal{leaving}},
-		"a refusal":                 {response: newResponse("r", 503, backend.HeaderDraining, "true"), want: []drain.Signal{leaving}},
-		"an answer to a probe":      {response: newResponse("", 503, backend.HeaderDraining, "true"), want: []drain.Signal{probed}},
-		"twice":                     {response: newResponse("r", 200, backend.HeaderDraining, "false", backend.HeaderDraining, "true"), want: []drain.Signal{leaving}},
-		"back":                      {response: newResponse("r", 200, backend.HeaderDraining, "false"), want: []drain.Signal{back}},
-		"nothing":                   {response: newResponse("r", 200)},
-		"not readable":              {response: newResponse("r", 200, backend.HeaderDraining, "soon")},
-		"not its own answer":        {response: newResponse("r", http.StatusMisdirectedRequest, backend.HeaderDraining, "true")},
-		"unreadable beside a value": {response: newResponse("r", 200, backend.HeaderDraining, "soon", backend.HeaderDraining, "true"), want: []drain.Signal{leaving}},
+		"success":                      {response: newResponse("r", 200, backend.HeaderDraining, "true"), want: []drain.Signal{draining}},
+		"failure":                      {response: newResponse("r", 500, backend.HeaderDraining, "true"), want: []drain.Signal{draining}},
+		"refusal":                      {response: newResponse("r", 503, backend.HeaderDraining, "true"), want: []drain.Signal{draining}},
+		"response to a probe":          {response: newResponse("", 503, backend.HeaderDraining, "true"), want: []drain.Signal{probeSignal}},
+		"repeated header":              {response: newResponse("r", 200, backend.HeaderDraining, "false", backend.HeaderDraining, "true"), want: []drain.Signal{draining}},
+		"withdrawn":                    {response: newResponse("r", 200, backend.HeaderDraining, "false"), want: []drain.Signal{withdrawn}},
+		"no signal":                    {response: newResponse("r", 200)},
+		"invalid value":                {response: newResponse("r", 200, backend.HeaderDraining, "soon")},
+		"response of another back end": {response: newResponse("r", http.StatusMisdirectedRequest, backend.HeaderDraining, "true")},
+		"invalid and valid value":      {response: newResponse("r", 200, backend.HeaderDraining, "soon", backend.HeaderDraining, "true"), want: []drain.Signal{draining}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			reader, recorded, _ := newReader(backend.DefaultDialect())
-			reader.Observe(one.response)
-			require.Equal(t, one.want, recorded.signals)
+			reader.Observe(test.response)
+			require.Equal(t, test.want, recorded.signals)
 		})
 	}
 }
 
-// TestAnotherBackendAtTheAddress checks that a response of another back end counts as the end of the intended one,
-// and that none of its signals is attributed to that one.
-func TestAnotherBackendAtTheAddress(t *testing.T) {
+// TestMisdirectedResponseMeansDraining checks that a response of another back end (status 421) is taken as a drain
+// signal of the intended one, which is gone, and that no other signal of the response is attributed to that one.
+func TestMisdirectedResponseMeansDraining(t *testing.T) {
 	dialect := backend.DefaultDialect()
 	dialect.Instance = "Expected"
 	reader, recorded, _ := newReader(dialect)
@@ -102,26 +102,26 @@
 	require.EqualValues(t, 3, scope.Snapshot().Counters()["backend_signals_unreadable+"].Value())
 }
 
-// TestPausesAreReadOfRefusals guards against a back end's request for a pause being ignored, and against a back end
-// being paused because of a Retry-After header that is meant for the caller.
-func TestPausesAreReadOfRefusals(t *testing.T) {
-	for name, one := range map[string]struct {
+// TestPausesAreReadFromRefusalsOnly guards against a back end's request for a pause being ignored, and against a back
+// end being paused because of a Retry-After header that is meant for the caller.
+func TestPausesAreReadFromRefusalsOnly(t *testing.T) {
+	for name, test := range map[string]struct {
 		response signals.Response
 		want     []time.Duration
 	}{
-		"a refusal":              {response: newResponse("r", 503, "Retry-After", "4"), want: []time.Duration{4 * time.Second}},
-		"an answer to a probe":   {response: newResponse("", 503, "Retry-After", "4"), want: []time.Duration{4 * time.Second}},
-		"no time":                {response: newResponse("r", 503)},
-		"at once":                {response: newResponse("r", 503, "Retry-After", "0")},
-		"not readable":           {response: newResponse("r", 503, "Retry-After", "soon")},
-		"too many requests":      {response: newResponse("r", 429, "Retry-After", "4")},
-		"a success":              {response: newResponse("r", 200, "Retry-After", "4")},
-		"another back end's own": {response: newResponse("r", 421, "Retry-After", "4")},
+		"refusal":                      {response: newResponse("r", 503, "Retry-After", "4"), want: []time.Duration{4 * time.Second}},
+		"refusal of a probe":           {response: newResponse("", 503, "Retry-After", "4"), want: []time.Duration{4 * time.Second}},
+		"no Retry-After header":        {response: newResponse("r", 503)},
+		"zero":                         {response: newResponse("r", 503, "Retry-After", "0")},
+		"invalid value":                {response: newResponse("r", 503, "Retry-After", "soon")},
+		"status 429":                   {response: newResponse("r", 429, "Retry-After", "4")},
+		"success":                      {response: newResponse("r", 200, "Retry-After", "4")},
+		"response of another back end": {response: newResponse("r", 421, "Retry-After", "4")},
 	} {
 		t.Run(name, func(t *testing.T) {
 			reader, recorded, _ := newReader(backend.DefaultDialect())
-			reader.Observe(one.response)
-			require.Equal(t, one.want, recorded.pauses)
+			reader.Observe(test.response)
+			require.Equal(t, test.want, recorded.pauses)
 		})
 	}
 }
--- a/signals/unread_test.go
+++ b/signals/unread_test.go
@@ -14,9 +14,9 @@
 	"github.com/tuliphall/tuliphall/backend"
 )
 
-// TestUnreadHeadersAreTold guards against a signal that nothing reads going unnoticed: each such header is
+// TestUnreadHeadersAreReported guards against a signal that nothing reads going unnoticed: each such header is
 // counted every time and logged once, other headers are not.
-func TestUnreadHeadersAreTold(t *testing.T) {
+func TestUnreadHeadersAreReported(t *testing.T) {
 	var logged bytes.Buffer
 	scope := tally.NewTestScope("", nil)
 	dialect := backend.DefaultDialect()
@@ -40,9 +40,9 @@
 	require.Equal(t, maxLoggedNames, strings.Count(logged.String(), "header="), "a back end cannot fill the log")
 }
 
-// TestWhatARefusalSaysIsOurs checks that in a response that is not relayed to a caller every non-standard header
-// counts as a signal.
-func TestWhatARefusalSaysIsOurs(t *testing.T) {
+// TestNonStandardHeadersOfRefusalsAreSignals checks that in a response that is not relayed to a caller every
+// non-standard header counts as a signal.
+func TestNonStandardHeadersOfRefusalsAreSignals(t *testing.T) {
 	dialect := backend.DefaultDialect()
 	header := http.Header{}
 	for _, name := range []string{"Content-Type", "Date", "Retry-After", "Connection", backend.HeaderDraining, "Come-Back-At"} {
