--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -57,11 +57,11 @@
 	}{
 		{"answered", []string{"1s|d1|routing: chosen|" + chosen, `1.2s|d1|frontend: answered|"request":"r1","code":1000,"service":"s","backend":"b1","status":200,"backend_latency":150000000,"total":200000000`},
 			"answered", "b1", "b1 answered after 150ms; 50ms were spent", ""},
-		{"own failure", []string{`1.2s|d1|frontend: answered|"request":"r1","code":1000,"service":"s","backend":"b1","status":500`},
+		{"failure status of the back end", []string{`1.2s|d1|frontend: answered|"request":"r1","code":1000,"service":"s","backend":"b1","status":500`},
 			"back end's own failure", "b1", "status 500 of its own", ""},
-		{"unknown everywhere", []string{`0s|d1|configuration: in force|"revision":5,"before":0`, `1s|d1|frontend: failed|"request":"r1","code":2001,"run":"not-run","cause":"host a, path /x"`},
+		{"route unknown at all daemons", []string{`0s|d1|configuration: in force|"revision":5,"before":0`, `1s|d1|frontend: failed|"request":"r1","code":2001,"run":"not-run","cause":"host a, path /x"`},
 			"route unknown", "d1", "d1 had revision 5, as all others", ""},
-		{"not known yet", []string{`0s|d1|configuration: in force|"revision":5`, `0.5s|d2|configuration: in force|"revision":7,"source":"platform"`, `1s|d1|frontend: failed|"request":"r1","code":2001`},
+		{"route unknown at one daemon", []string{`0s|d1|configuration: in force|"revision":5`, `0.5s|d2|configuration: in force|"revision":7,"source":"platform"`, `1s|d1|frontend: failed|"request":"r1","code":2001`},
 			"route not known yet", "d1", "revision 5, which d1 had in force since 12:00:00.000", "Revision 7 was in force at d2 since 12:00:00.500 (from platform)."},
 		{"answered by an older configuration", []string{
 			`0s|d1|configuration: in force|"revision":25`, `0.2s|d1|platform: the store came back older: what it acknowledged last may be lost|"era":1`,
@@ -72,39 +72,39 @@
 			"daemon had no configuration yet", "d1", "started 500ms before", "refused"},
 		{"overloaded", []string{`1s|d1|frontend: answered|"request":"r0","service":"s","backend":"b1"`, "1.1s|d1|frontend: failed|" + failed + `"code":2005,"name":"wait-expired","run":"not-run","cause":"waited 31ms","retry_after":100000000`},
 			"service overloaded", "s", "to come back after 100ms. Within 2s, 1 requests of the service were refused and 1 answered", ""},
-		{"overloaded, new dispatcher", []string{`0.5s|d2|membership: dispatcher chosen|"service":"s","dispatcher":"d2","before":"d9"`, "1.1s|d1|frontend: failed|" + failed + `"code":2003,"name":"queue-full","run":"not-run"`},
+		{"overloaded after dispatcher change", []string{`0.5s|d2|membership: dispatcher chosen|"service":"s","dispatcher":"d2","before":"d9"`, "1.1s|d1|frontend: failed|" + failed + `"code":2003,"name":"queue-full","run":"not-run"`},
 			"service overloaded as its dispatcher changed", "s", "queue-full", `and "d9" before`},
-		{"overloaded, evacuated", []string{"1.1s|d1|frontend: failed|" + failed + `"code":2004,"run":"not-run","cause":"no place in time: 3 wait; 4 of 9 back ends are in evacuated zones, 2 of 9 back ends are cold"`},
+		{"overloaded with evacuated zone", []string{"1.1s|d1|frontend: failed|" + failed + `"code":2004,"run":"not-run","cause":"no place in time: 3 wait; 4 of 9 back ends are in evacuated zones, 2 of 9 back ends are cold"`},
 			"service overloaded while a zone is evacuated", "s", "4 of 9 back ends", ""},
-		{"overloaded, cold", []string{"1.1s|d1|frontend: failed|" + failed + `"code":2004,"run":"not-run","cause":"no place in time: 3 wait; 2 of 9 back ends are cold"`},
+		{"overloaded with cold back ends", []string{"1.1s|d1|frontend: failed|" + failed + `"code":2004,"run":"not-run","cause":"no place in time: 3 wait; 2 of 9 back ends are cold"`},
 			"service overloaded while back ends are cold", "s", "2 of 9 back ends", ""},
-		{"all evacuated", []string{"1.1s|d1|frontend: failed|" + failed + `"code":2006,"run":"not-run","cause":"2 of 2 back ends are in evacuated zones, the others draining"`},
+		{"all zones evacuated", []string{"1.1s|d1|frontend: failed|" + failed + `"code":2006,"run":"not-run","cause":"2 of 2 back ends are in evacuated zones, the others draining"`},
 			"zones evacuated", "s", "2 of 2 back ends", ""},
-		{"overloaded, ejected", []string{`0.5s|d2|outlier: back end ejected|"service":"s","backend":"b7"`, "1.1s|d1|frontend: failed|" + failed + `"code":2005,"run":"not-run"`},
+		{"overloaded with ejected back end", []string{`0.5s|d2|outlier: back end ejected|"service":"s","backend":"b7"`, "1.1s|d1|frontend: failed|" + failed + `"code":2005,"run":"not-run"`},
 			"service overloaded", "s", "", "left out 1 back ends for failing around then, b7 first"},
 		{"no back end", []string{`0s|d1|configuration: in force|"revision":5,"backends":12`, "1s|d1|frontend: failed|" + failed + `"code":2006`},
 			"no back end takes requests", "s", "No back end of s", "revision 5 and 12 back ends"},
-		{"broken", []string{"1s|d1|frontend: failed|" + failed + `"code":3001,"run":"unknown","cause":"back end b2: reset","sent":2,"backends":"b1 b2"`, `1s|d3|frontend: answered|"request":"r0","service":"s","backend":"b2"`},
+		{"connection broken", []string{"1s|d1|frontend: failed|" + failed + `"code":3001,"run":"unknown","cause":"back end b2: reset","sent":2,"backends":"b1 b2"`, `1s|d3|frontend: answered|"request":"r0","service":"s","backend":"b2"`},
 			"back end broke the connection", "b2", "to b1 b2; whether it ran is not known. Within 2s, b2 answered 1 others and failed 0", ""},
-		{"refused", []string{"1s|d1|frontend: failed|" + failed + `"code":2008,"run":"not-run","sent":1,"backends":"b1"`},
+		{"refused by back ends", []string{"1s|d1|frontend: failed|" + failed + `"code":2008,"run":"not-run","sent":1,"backends":"b1"`},
 			"back ends refused", "b1", "it has not run", ""},
-		{"slow", []string{"1s|d1|routing: chosen|" + chosen, `1.8s|d3|frontend: answered|"request":"r0","service":"s","backend":"b1","backend_latency":400000000,"backend_slowdown":5`, "2s|d1|frontend: failed|" + failed + `"code":3002,"sent":1,"backends":"b1","total":1000000000`},
+		{"back end slow", []string{"1s|d1|routing: chosen|" + chosen, `1.8s|d3|frontend: answered|"request":"r0","service":"s","backend":"b1","backend_latency":400000000,"backend_slowdown":5`, "2s|d1|frontend: failed|" + failed + `"code":3002,"sent":1,"backends":"b1","total":1000000000`},
 			"back end too slow", "b1", "time ran out after 1s; b1 answered others meanwhile, the slowest after 400ms with a slowdown of 5", "d2 chose b1 among 3 by a report 5ms old, with 900ms left"},
 		{"out of time at the back end", []string{"1s|d1|routing: chosen|" + chosen, `1.9s|d3|frontend: answered|"request":"r0","service":"s","backend":"b1","backend_latency":400000000,"backend_slowdown":1`, `2s|d1|frontend: answered|"request":"r1","code":1000,"service":"s","backend":"b1","backends":"b1","status":504,"total":1000000000`},
 			"back end too slow", "b1", "before b1 gave up with status 504 of its own after 1s; b1 answered others meanwhile", "d2 chose b1"},
-		{"silent", []string{`0.9s|d3|frontend: answered|"request":"r0","service":"s","backend":"b1"`, "1s|d1|routing: chosen|" + chosen, "2s|d1|frontend: failed|" + failed + `"code":3006,"sent":1,"backends":"b1","total":1000000000`},
+		{"back end does not answer", []string{`0.9s|d3|frontend: answered|"request":"r0","service":"s","backend":"b1"`, "1s|d1|routing: chosen|" + chosen, "2s|d1|frontend: failed|" + failed + `"code":3006,"sent":1,"backends":"b1","total":1000000000`},
 			"back end silent", "b1", "the caller left after 1s; b1 answered nobody after 12:00:00.900", "by a report 5ms old"},
 		{"back ends paused", []string{"1.1s|d1|frontend: failed|" + failed + `"code":2021,"run":"not-run","cause":"2 of 2 back ends have asked the daemon for a pause","retry_after":3000000000`},
 			"back ends asked for a pause", "s", "may come back after 3s", ""},
-		{"caller gone", []string{"1s|d1|frontend: failed|" + failed + `"code":2015,"total":30000000`}, "caller left while it waited", "s", "30ms", ""},
-		{"caller gone before a connection", []string{"1s|d1|frontend: failed|" + failed + `"code":2015,"sent":1,"backends":"b1","total":1000000000`}, "back end not reached", "b1", "before the caller left after 1s; it has not run", ""},
-		{"broken off by the caller", []string{`1s|d1|frontend: answer broken off|"request":"r1","service":"s","side":"caller","cause":"write: broken pipe","backends":"b1"`},
+		{"caller disconnected in the queue", []string{"1s|d1|frontend: failed|" + failed + `"code":2015,"total":30000000`}, "caller left while it waited", "s", "30ms", ""},
+		{"caller disconnected before a connection was open", []string{"1s|d1|frontend: failed|" + failed + `"code":2015,"sent":1,"backends":"b1","total":1000000000`}, "back end not reached", "b1", "before the caller left after 1s; it has not run", ""},
+		{"response aborted by the caller", []string{`1s|d1|frontend: answer broken off|"request":"r1","service":"s","side":"caller","cause":"write: broken pipe","backends":"b1"`},
 			"caller left during the answer", "s", "broken pipe", ""},
-		{"broken off by the back end", []string{`1s|d1|frontend: answer broken off|"request":"r1","service":"s","side":"backend","cause":"unexpected EOF","backends":"b1"`},
+		{"response aborted by the back end", []string{`1s|d1|frontend: answer broken off|"request":"r1","service":"s","side":"backend","cause":"unexpected EOF","backends":"b1"`},
 			"back end broke its answer off", "b1", "unexpected EOF", ""},
-		{"killed", []string{"1s|d1|routing: chosen|" + chosen, "3s|d1|daemon: started|"}, "daemon ended", "d1", "started again at 12:00:03.000", ""},
-		{"no end", []string{"1s|d1|routing: chosen|" + chosen}, "no outcome logged", "d1", "No line tells", ""},
-		{"any other", []string{"1s|d1|frontend: failed|" + failed + `"code":2011,"cause":"store down"`}, "store-unavailable", "d1", "store down", ""},
+		{"daemon restarted", []string{"1s|d1|routing: chosen|" + chosen, "3s|d1|daemon: started|"}, "daemon ended", "d1", "started again at 12:00:03.000", ""},
+		{"no outcome logged", []string{"1s|d1|routing: chosen|" + chosen}, "no outcome logged", "d1", "No line tells", ""},
+		{"other result code", []string{"1s|d1|frontend: failed|" + failed + `"code":2011,"cause":"store down"`}, "store-unavailable", "d1", "store down", ""},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			explanation, err := readLogs(t, jsonLog(test.lines...)).Explain("r1")
@@ -123,9 +123,9 @@
 	}
 }
 
-// TestLinesOfSeveralDaemons guards against mixing up lines of daemons whose clocks differ: the
+// TestLinesOfEachDaemonStayInOrder guards against mixing up lines of daemons whose clocks differ: the
 // lines of each daemon stay in order. It also reads lines to which a log collector added a prefix.
-func TestLinesOfSeveralDaemons(t *testing.T) {
+func TestLinesOfEachDaemonStayInOrder(t *testing.T) {
 	prefixed := "2.5 node-a " + strings.ReplaceAll(jsonLog(
 		`1s|d1|routing: forwarded|"request":"r1","service":"s","dispatcher":"d2"`,
 		`1.3s|d1|frontend: answered|"request":"r1","service":"s","backend":"b1","status":200`), "\n{", "\n2.5 node-a {")
@@ -145,8 +145,8 @@
 	require.ErrorIs(t, err, errors.NotFound)
 }
 
-// TestTextForm reads lines in the text format.
-func TestTextForm(t *testing.T) {
+// TestReadTextFormat reads lines in the text format.
+func TestReadTextFormat(t *testing.T) {
 	explanation, err := readLogs(t, `x time=2026-01-01T12:00:01Z level=INFO msg="frontend: failed" daemon=d1 request=12e4 code=2005 name=wait-expired run=not-run cause="waited 31ms" retry_after=100ms service=s sent=0 backends="" total=34.939697ms refused_by=d2 revision=5
 `).Explain("12e4")
 	require.NoError(t, err)
@@ -155,8 +155,8 @@
 	require.Equal(t, uint64(5), explanation.Lines[0].Revision)
 }
 
-// TestSummary guards against wrong groups of failed requests, counts and order included.
-func TestSummary(t *testing.T) {
+// TestSummarize guards against wrong groups of failed requests, counts and order included.
+func TestSummarize(t *testing.T) {
 	var lines []string
 	for number, backend := range []string{"b1", "b2", "b1"} {
 		lines = append(lines, fmt.Sprintf(`%ds|d1|frontend: failed|"request":"r%d","service":"s","code":3001,"sent":1,"backends":"%s"`, number, number, backend))
@@ -183,15 +183,15 @@
 		lines []string
 		known string
 	}{
-		"nobody said so":        {},
-		"of another back end":   {lines: []string{draining("0.5s", "d1", "b2", "daemon", "")}},
-		"another daemon knew":   {lines: []string{draining("0.5s", "d2", "b1", "back end", "r0")}},
-		"it knew by an answer":  {lines: []string{draining("0.5s", "d1", "b1", "back end", "r0")}, known: "d1 knew since 12:00:00.500 that b1 was leaving, by the back end, heard from a back end, with the answer to request r0."},
-		"it knew by a daemon":   {lines: []string{draining("0.5s", "d1", "b1", "daemon", "")}, known: "d1 knew since 12:00:00.500 that b1 was leaving, by the back end, heard from a daemon."},
-		"it heard so later":     {lines: []string{draining("1.5s", "d1", "b1", "daemon", "")}, known: "d1 did not know yet that b1 was leaving; it heard so at 12:00:01.500, by the back end, from a daemon."},
-		"the back end was back": {lines: []string{draining("0.5s", "d1", "b1", "daemon", ""), `0.7s|d1|drains: back end is back|"service":"s","backend":"b1"`}},
-		"in a pause":            {lines: []string{`0.5s|d1|pushback: back end asks for a pause|"service":"s","backend":"b1","lasts":4000000000,"by_request":"r0"`}, known: "d1 had been asked by b1 at 12:00:00.500 for a pause of 4s, with the answer to request r0."},
-		"after a pause":         {lines: []string{`0.5s|d1|pushback: back end asks for a pause|"service":"s","backend":"b1","lasts":400000000,"by_request":"r0"`}},
+		"no signal":                    {},
+		"signal of another back end":   {lines: []string{draining("0.5s", "d1", "b2", "daemon", "")}},
+		"known to another daemon only": {lines: []string{draining("0.5s", "d2", "b1", "back end", "r0")}},
+		"known from a response":        {lines: []string{draining("0.5s", "d1", "b1", "back end", "r0")}, known: "d1 knew since 12:00:00.500 that b1 was leaving, by the back end, heard from a back end, with the answer to request r0."},
+		"known from a peer":            {lines: []string{draining("0.5s", "d1", "b1", "daemon", "")}, known: "d1 knew since 12:00:00.500 that b1 was leaving, by the back end, heard from a daemon."},
+		"not known until later":        {lines: []string{draining("1.5s", "d1", "b1", "daemon", "")}, known: "d1 did not know yet that b1 was leaving; it heard so at 12:00:01.500, by the back end, from a daemon."},
+		"signal withdrawn":             {lines: []string{draining("0.5s", "d1", "b1", "daemon", ""), `0.7s|d1|drains: back end is back|"service":"s","backend":"b1"`}},
+		"during a pause":               {lines: []string{`0.5s|d1|pushback: back end asks for a pause|"service":"s","backend":"b1","lasts":4000000000,"by_request":"r0"`}, known: "d1 had been asked by b1 at 12:00:00.500 for a pause of 4s, with the answer to request r0."},
+		"after a pause":                {lines: []string{`0.5s|d1|pushback: back end asks for a pause|"service":"s","backend":"b1","lasts":400000000,"by_request":"r0"`}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			explanation, err := readLogs(t, jsonLog(append(test.lines, "1s|d1|routing: chosen|"+chosen, answered)...)).Explain("r1")
--- a/identity/identity_test.go
+++ b/identity/identity_test.go
@@ -12,20 +12,20 @@
 	"github.com/tuliphall/tuliphall/identity"
 )
 
-func snapshotOf(t testing.TB, tenants ...config.Tenant) *config.Snapshot {
+func newTestSnapshot(t testing.TB, tenants ...config.Tenant) *config.Snapshot {
 	t.Helper()
 	snapshot, err := config.NewSnapshot(config.Document{Revision: 1, Content: config.Content{Tenants: tenants}})
 	require.NoError(t, err)
 	return snapshot
 }
 
-func header(values ...string) http.Header {
+func authorizationHeader(values ...string) http.Header {
 	return http.Header{identity.HeaderAuthorization: values}
 }
 
 // TestIdentify checks the tenant or error for each form of the header.
 func TestIdentify(t *testing.T) {
-	snapshot := snapshotOf(t,
+	snapshot := newTestSnapshot(t,
 		config.Tenant{Name: "north", Keys: []config.KeyHash{config.HashKey("n-old"), config.HashKey("n-new")}},
 		config.Tenant{Name: "south", Keys: []config.KeyHash{config.HashKey("s-key")}})
 	longest := strings.Repeat("k", config.MaxKeyBytes)
@@ -34,22 +34,22 @@
 		tenant string
 		cause  error
 	}{
-		{header("Bearer n-old"), "north", nil},
-		{header("Bearer n-new"), "north", nil},
-		{header("bearer s-key"), "south", nil},
-		{header("BEARER   s-key "), "south", nil},
-		{header("Bearer s-key2"), "", identity.ErrUnknownKey},
-		{header("Bearer S-KEY"), "", identity.ErrUnknownKey},
-		{header("Bearer " + longest), "", identity.ErrUnknownKey},
-		{header("Bearer " + longest + "k"), "", identity.ErrMalformedKey},
-		{header("Bearer"), "", identity.ErrMalformedKey},
-		{header("Bearer "), "", identity.ErrMalformedKey},
-		{header("Bearer s-key n-old"), "", identity.ErrMalformedKey},
-		{header("Bearer s-key\x00"), "", identity.ErrMalformedKey},
-		{header("Basic s-key"), "", identity.ErrMalformedKey},
-		{header("s-key"), "", identity.ErrMalformedKey},
-		{header("Bearer s-key", "Bearer s-key"), "", identity.ErrRepeatedKey},
-		{header(""), "", identity.ErrNoKey},
+		{authorizationHeader("Bearer n-old"), "north", nil},
+		{authorizationHeader("Bearer n-new"), "north", nil},
+		{authorizationHeader("bearer s-key"), "south", nil},
+		{authorizationHeader("BEARER   s-key "), "south", nil},
+		{authorizationHeader("Bearer s-key2"), "", identity.ErrUnknownKey},
+		{authorizationHeader("Bearer S-KEY"), "", identity.ErrUnknownKey},
+		{authorizationHeader("Bearer " + longest), "", identity.ErrUnknownKey},
+		{authorizationHeader("Bearer " + longest + "k"), "", identity.ErrMalformedKey},
+		{authorizationHeader("Bearer"), "", identity.ErrMalformedKey},
+		{authorizationHeader("Bearer "), "", identity.ErrMalformedKey},
+		{authorizationHeader("Bearer s-key n-old"), "", identity.ErrMalformedKey},
+		{authorizationHeader("Bearer s-key\x00"), "", identity.ErrMalformedKey},
+		{authorizationHeader("Basic s-key"), "", identity.ErrMalformedKey},
+		{authorizationHeader("s-key"), "", identity.ErrMalformedKey},
+		{authorizationHeader("Bearer s-key", "Bearer s-key"), "", identity.ErrRepeatedKey},
+		{authorizationHeader(""), "", identity.ErrNoKey},
 		{http.Header{}, "", identity.ErrNoKey},
 	} {
 		caller, err := identity.Identify(snapshot, test.header, false)
@@ -64,18 +64,18 @@
 		require.NoError(t, err, "public routes need no valid key")
 		require.Nil(t, caller.Tenant)
 	}
-	caller, err := identity.Identify(snapshotOf(t), http.Header{}, false)
+	caller, err := identity.Identify(newTestSnapshot(t), http.Header{}, false)
 	require.NoError(t, err, "no key is needed if no tenants are declared")
 	require.Nil(t, caller.Tenant)
 }
 
-// TestWithdrawnKey checks that a caller is no longer valid after its key was revoked or moved to another tenant.
-func TestWithdrawnKey(t *testing.T) {
-	before := snapshotOf(t, config.Tenant{Name: "north", Keys: []config.KeyHash{config.HashKey("old"), config.HashKey("new")}})
-	after := snapshotOf(t, config.Tenant{Name: "north", Keys: []config.KeyHash{config.HashKey("new")}})
-	moved := snapshotOf(t, config.Tenant{Name: "north"}, config.Tenant{Name: "south", Keys: []config.KeyHash{config.HashKey("new")}})
+// TestRevokedKey checks that a caller is no longer valid after its key was revoked or moved to another tenant.
+func TestRevokedKey(t *testing.T) {
+	before := newTestSnapshot(t, config.Tenant{Name: "north", Keys: []config.KeyHash{config.HashKey("old"), config.HashKey("new")}})
+	after := newTestSnapshot(t, config.Tenant{Name: "north", Keys: []config.KeyHash{config.HashKey("new")}})
+	moved := newTestSnapshot(t, config.Tenant{Name: "north"}, config.Tenant{Name: "south", Keys: []config.KeyHash{config.HashKey("new")}})
 	for key, valid := range map[string]bool{"old": false, "new": true} {
-		caller, err := identity.Identify(before, header("Bearer "+key), false)
+		caller, err := identity.Identify(before, authorizationHeader("Bearer "+key), false)
 		require.NoError(t, err)
 		require.True(t, caller.StillValid(before))
 		require.Equal(t, valid, caller.StillValid(after))
@@ -84,7 +84,7 @@
 	forwarded, known := identity.IdentifyForwarded(before, "north")
 	require.True(t, known)
 	require.True(t, forwarded.StillValid(moved), "the daemon that forwards the request checks the key")
-	require.False(t, forwarded.StillValid(snapshotOf(t)))
+	require.False(t, forwarded.StillValid(newTestSnapshot(t)))
 	_, known = identity.IdentifyForwarded(before, "east")
 	require.False(t, known)
 }
@@ -98,7 +98,7 @@
 			for number := range tenants {
 				declared = append(declared, config.Tenant{Name: fmt.Sprintf("t-%d", number), Keys: []config.KeyHash{config.HashKey(fmt.Sprintf("key-%d", number))}})
 			}
-			snapshot, sent := snapshotOf(b, declared...), header("Bearer key-7")
+			snapshot, sent := newTestSnapshot(b, declared...), authorizationHeader("Bearer key-7")
 			b.ReportAllocs()
 			for b.Loop() {
 				if _, err := identity.Identify(snapshot, sent, false); err != nil {
--- a/logging/limiter_test.go
+++ b/logging/limiter_test.go
@@ -16,10 +16,10 @@
 	"github.com/tuliphall/tuliphall/logging"
 )
 
-// TestBoundNeverExceeded guards against exceeding the limit: with lines at random times, no
+// TestLimitIsNeverExceeded guards against exceeding the limit: with lines at random times, no
 // second has more lines than the bucket's capacity and what is added within the second, and
 // each line is either allowed or counted as dropped.
-func TestBoundNeverExceeded(t *testing.T) {
+func TestLimitIsNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const perSecond, lineBytes = 20, 100
 		now := time.Unix(1000, 0)
@@ -54,9 +54,9 @@
 	})
 }
 
-// TestFailuresAreKept guards against losing lines of failures in a flood of lines of requests
-// that succeeded: only the latter are dropped.
-func TestFailuresAreKept(t *testing.T) {
+// TestRoutineLinesAreDroppedFirst guards against losing lines about failures while too many lines
+// about successful requests are logged: only the latter are dropped.
+func TestRoutineLinesAreDroppedFirst(t *testing.T) {
 	now := time.Unix(1000, 0)
 	limiter := logging.NewLimiter(now, 100, 1_000_000)
 	failures := 0
@@ -71,10 +71,10 @@
 	require.NotContains(t, limiter.TakeDropped(), "failed")
 }
 
-// TestLeftOutIsTold guards against dropping lines without a report: with ten times the allowed
+// TestDroppedLinesAreReported guards against dropping lines without a report: with ten times the allowed
 // lines, the log stays within the limit, and a line each second and the counter report the
 // dropped lines by kind.
-func TestLeftOutIsTold(t *testing.T) {
+func TestDroppedLinesAreReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		target := &countingWriter{}
 		writer := logging.NewWriter(target)
@@ -126,9 +126,9 @@
 	return 0, errors.New("write failed")
 }
 
-// TestLinesOfAFullQueueAreCounted guards against losing lines uncounted: a line that the writer
-// rejects, as with a full queue, is counted as dropped.
-func TestLinesOfAFullQueueAreCounted(t *testing.T) {
+// TestLinesThatWriterRejectsAreCounted guards against losing lines without counting them: a line that
+// the writer rejects, as with a full queue, is counted as dropped.
+func TestLinesThatWriterRejectsAreCounted(t *testing.T) {
 	limiter := logging.NewLimiter(time.Now(), 100, 1_000_000)
 	logger := logging.New(failingWriter{}, logging.Options{Level: slog.LevelInfo, Daemon: "edge-1", Limiter: limiter})
 	logging.Component(logger, "frontend").Info("failed")
--- a/logging/logging_test.go
+++ b/logging/logging_test.go
@@ -15,9 +15,9 @@
 	"github.com/tuliphall/tuliphall/logging"
 )
 
-// TestErrorsAreLoggedByTheirText guards against stack traces in the log: an error is logged as
+// TestErrorsAreLoggedWithoutStackTrace guards against stack traces in the log: an error is logged as
 // its message, on one line.
-func TestErrorsAreLoggedByTheirText(t *testing.T) {
+func TestErrorsAreLoggedWithoutStackTrace(t *testing.T) {
 	for _, json := range []bool{false, true} {
 		var written bytes.Buffer
 		logger := logging.New(&written, logging.Options{JSON: json, Daemon: "edge-1"})
@@ -28,9 +28,9 @@
 	}
 }
 
-// TestStuckTargetHoldsNobodyUp guards against blocking on a target that accepts no data, here a
+// TestBlockedTargetDoesNotBlockLogging guards against blocking on a target that accepts no data, here a
 // pipe that is not read: lines are dropped, and logging does not block.
-func TestStuckTargetHoldsNobodyUp(t *testing.T) {
+func TestBlockedTargetDoesNotBlockLogging(t *testing.T) {
 	reader, target := io.Pipe()
 	writer := logging.NewWriter(target)
 	logger := logging.New(writer, logging.Options{Daemon: "edge-1"})
@@ -57,9 +57,9 @@
 	return c.text.Write(data)
 }
 
-// TestLinesAreWrittenTogether guards against a write per line: lines in quick succession are
+// TestLinesAreWrittenInBatches guards against a write per line: lines in quick succession are
 // written in few batches, and all of them are written after Close.
-func TestLinesAreWrittenTogether(t *testing.T) {
+func TestLinesAreWrittenInBatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		target := &countingWriter{}
 		writer := logging.NewWriter(target)
@@ -92,9 +92,9 @@
 	return w.countingWriter.Write(data)
 }
 
-// TestWritesAreBounded guards against writes that readers of the log truncate: each write
+// TestBatchSizeIsLimited guards against writes that readers of the log truncate: each write
 // consists of whole lines and has at most 8 KiB.
-func TestWritesAreBounded(t *testing.T) {
+func TestBatchSizeIsLimited(t *testing.T) {
 	target := &batchChecker{}
 	writer := logging.NewWriter(target)
 	logger := logging.New(writer, logging.Options{Daemon: "edge-1"})
@@ -108,9 +108,9 @@
 	require.Greater(t, target.writes, 10)
 }
 
-// TestLinesAfterCloseAreLost guards against a panic or deadlock when lines are logged after
+// TestLinesAfterCloseAreDiscarded guards against a panic or deadlock when lines are logged after
 // Close, as for a signal that arrives late.
-func TestLinesAfterCloseAreLost(t *testing.T) {
+func TestLinesAfterCloseAreDiscarded(t *testing.T) {
 	target := &countingWriter{}
 	writer := logging.NewWriter(target)
 	logger := logging.New(writer, logging.Options{Daemon: "edge-1"})
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -14,7 +14,7 @@
 	return policy.Request{Method: method, Path: path, Header: http.Header{"X-Kind": {"late"}, policy.HeaderIdempotencyKey: {"k1"}}}
 }
 
-func TestDecisions(t *testing.T) {
+func TestEvaluate(t *testing.T) {
 	program, err := policy.Compile(policy.Source{
 		Class: `path.startsWith("/history") ? "batch" : "read"`, Weight: `header["x-kind"] == "late" ? 7 : 1`,
 		Retry: `method == "GET"`, Wait: `duration("3s")`, Once: `method == "POST"`,
--- a/settings/changes_test.go
+++ b/settings/changes_test.go
@@ -27,9 +27,9 @@
 	}, settings.Compare(present, next))
 }
 
-// TestReloadedTakesAllThatIsApplicable changes each setting in turn: either Reloaded applies it, or
+// TestReloadedAppliesApplicableSettings changes each setting in turn: either Reloaded applies it, or
 // Compare reports that it needs a restart.
-func TestReloadedTakesAllThatIsApplicable(t *testing.T) {
+func TestReloadedAppliesApplicableSettings(t *testing.T) {
 	var present settings.Settings
 	present.SetDefaults()
 	eachSetting(reflect.TypeFor[settings.Settings](), nil, func(path []int) {
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -38,9 +38,9 @@
 format = "text"
 `
 
-// TestBadSettings replaces one line at a time of a valid file by an invalid one: the error names the
+// TestInvalidSettingsAreRejected replaces one line at a time of a valid file by an invalid one: the error names the
 // setting or the position.
-func TestBadSettings(t *testing.T) {
+func TestInvalidSettingsAreRejected(t *testing.T) {
 	_, err := settings.Decode("good.toml", []byte(valid))
 	require.NoError(t, err)
 	for _, test := range []struct{ line, invalid, contains string }{
@@ -82,9 +82,9 @@
 	}
 }
 
-// TestStopFitsIn checks that the notice and session times are shortened to fit the time that the
-// platform allows for a graceful shutdown.
-func TestStopFitsIn(t *testing.T) {
+// TestStopTimesFitPlatformLimit checks that the notice and session times are shortened to fit the time that the
+// platform allows for a graceful shutdown (stop.within).
+func TestStopTimesFitPlatformLimit(t *testing.T) {
 	for _, test := range []struct{ lines, notice, sessions string }{
 		{`notice = "2.1s"`, "2.1s", "0s"},
 		{`notice = "2.1s"` + "\n" + `within = "6s"`, "2.1s", "3.6s"},
