--- a/backend/reset_test.go
+++ b/backend/reset_test.go
@@ -53,10 +53,10 @@
 	})
 }
 
-// TestResetAtEachPoint resets the connection at each stage of a request that may run only
+// TestResetMeansOutcomeUnknown resets the connection at each stage of a request that may run only
 // once. The failure must say that the outcome is unknown, and no truncated response may be
 // returned.
-func TestResetAtEachPoint(t *testing.T) {
+func TestResetMeansOutcomeUnknown(t *testing.T) {
 	const bodyLength = 1 << 20
 	readHead := func(conn net.Conn) *http.Request {
 		request, err := http.ReadRequest(bufio.NewReader(conn))
@@ -109,8 +109,8 @@
 	}
 }
 
-// TestConnectionRefused checks that a request is reported as not run if no process listens.
-func TestConnectionRefused(t *testing.T) {
+// TestConnectionRefusedMeansNotRun checks that a request is reported as not run if no process listens.
+func TestConnectionRefusedMeansNotRun(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := listener.Addr().String()
@@ -160,7 +160,7 @@
 		})
 	}
 	for range idle {
-		<-arrived // each on a connection of its own
+		<-arrived // each on its own connection
 	}
 	close(release)
 	sending.Wait()
--- a/backend/short_test.go
+++ b/backend/response_test.go
@@ -37,7 +37,7 @@
 	return listener.Addr().String()
 }
 
-// serveTruncated announces a body of the given length, sends only a part of it, and closes
+// serveTruncated states a body of the given length, sends only a part of it, and closes
 // the connection.
 func serveTruncated(t *testing.T, length, sent int) (address string) {
 	return serveOnce(t, func(to net.Conn) {
@@ -76,9 +76,9 @@
 	}
 }
 
-// TestAmbiguousResponseLength checks that a response with both Content-Length and chunked encoding
+// TestAmbiguousResponseIsRejected checks that a response with both Content-Length and chunked encoding
 // is rejected and its connection closed, also after an interim response and if it arrives byte by byte.
-func TestAmbiguousResponseLength(t *testing.T) {
+func TestAmbiguousResponseIsRejected(t *testing.T) {
 	const ambiguous = "HTTP/1.1 103 Early Hints\r\nA: b\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
 	for _, piece := range []int{1, len(ambiguous)} {
 		closed := make(chan struct{})
