--- a/config/config_test.go
+++ b/config/config_test.go
@@ -34,73 +34,73 @@
 	{`[[service]]` + "\n" + `name = 5`, "name"},
 	{`[[service`, ":1:"},
 	{`[[service]]`, "setting name"},
-	{service(`name = "UPPER"`), `"UPPER"`[1:6]},
-	{service(`name = "-x"`), "setting name"},
-	{service(`name = "` + strings.Repeat("a", 64) + `"`), "setting name"},
-	{service(`name = "a"` + "\n" + `path_prefix = "no-slash"`), "path_prefix"},
-	{service(`name = "a"` + "\n" + `hosts = [""]`), "hosts"},
-	{service(`name = "a"` + "\n" + `hosts = ["a:80"]`), "hosts"},
-	{service(`name = "a"` + "\n" + `policy = "missing"`), "setting policy"},
-	{service(`name = "a"` + "\n" + `slots = -1`), "setting slots"},
-	{service(`name = "a"` + "\n" + `slots = 10001`), "setting slots"},
-	{service(`name = "a"` + "\n" + `queue_limit = -5`), "queue_limit"},
-	{service(`name = "a"` + "\n" + `queue_limit = 1000001`), "queue_limit"},
-	{service(`name = "a"` + "\n" + `deadline = "-1s"`), "deadline"},
-	{service(`name = "a"` + "\n" + `deadline = "25h"`), "deadline"},
-	{service(`name = "a"` + "\n" + `deadline = "soon"`), "deadline"},
-	{service(`name = "a"` + "\n" + `deadline = 5`), "deadline"},
-	{service(`name = "a"` + "\n" + `refusal_status = 200`), "refusal_status"},
-	{service(`name = "a"` + "\n" + `refusal_status = 600`), "refusal_status"},
-	{service(`name = "a"` + "\n" + `probe_path = "load"`), "probe_path"},
-	{service(`name = "a"` + "\n" + `probes_per_second = -1.0`), "probes_per_second"},
-	{service(`name = "a"` + "\n" + `probe_path = "/load"` + "\n" + `probes_per_second = 1001.0`), "probes_per_second"},
-	{service(`name = "a"` + "\n" + `probes_per_second = 1.0`), "probe_path"},
-	{service(`name = "a"` + "\n" + `probe_cost = "11s"`), "probe_cost"},
-	{service(`name = "a"` + "\n" + `warm_up = "2h"`), "setting warm_up"},
-	{service(`name = "a"` + "\n" + `warm_up_rate = -1.0`), "warm_up_rate"},
-	{service(`name = "a"` + "\n" + `warm_up_rate = 2.0`), "setting warm_up"},
+	{serviceText(`name = "UPPER"`), `"UPPER"`[1:6]},
+	{serviceText(`name = "-x"`), "setting name"},
+	{serviceText(`name = "` + strings.Repeat("a", 64) + `"`), "setting name"},
+	{serviceText(`name = "a"` + "\n" + `path_prefix = "no-slash"`), "path_prefix"},
+	{serviceText(`name = "a"` + "\n" + `hosts = [""]`), "hosts"},
+	{serviceText(`name = "a"` + "\n" + `hosts = ["a:80"]`), "hosts"},
+	{serviceText(`name = "a"` + "\n" + `policy = "missing"`), "setting policy"},
+	{serviceText(`name = "a"` + "\n" + `slots = -1`), "setting slots"},
+	{serviceText(`name = "a"` + "\n" + `slots = 10001`), "setting slots"},
+	{serviceText(`name = "a"` + "\n" + `queue_limit = -5`), "queue_limit"},
+	{serviceText(`name = "a"` + "\n" + `queue_limit = 1000001`), "queue_limit"},
+	{serviceText(`name = "a"` + "\n" + `deadline = "-1s"`), "deadline"},
+	{serviceText(`name = "a"` + "\n" + `deadline = "25h"`), "deadline"},
+	{serviceText(`name = "a"` + "\n" + `deadline = "soon"`), "deadline"},
+	{serviceText(`name = "a"` + "\n" + `deadline = 5`), "deadline"},
+	{serviceText(`name = "a"` + "\n" + `refusal_status = 200`), "refusal_status"},
+	{serviceText(`name = "a"` + "\n" + `refusal_status = 600`), "refusal_status"},
+	{serviceText(`name = "a"` + "\n" + `probe_path = "load"`), "probe_path"},
+	{serviceText(`name = "a"` + "\n" + `probes_per_second = -1.0`), "probes_per_second"},
+	{serviceText(`name = "a"` + "\n" + `probe_path = "/load"` + "\n" + `probes_per_second = 1001.0`), "probes_per_second"},
+	{serviceText(`name = "a"` + "\n" + `probes_per_second = 1.0`), "probe_path"},
+	{serviceText(`name = "a"` + "\n" + `probe_cost = "11s"`), "probe_cost"},
+	{serviceText(`name = "a"` + "\n" + `warm_up = "2h"`), "setting warm_up"},
+	{serviceText(`name = "a"` + "\n" + `warm_up_rate = -1.0`), "warm_up_rate"},
+	{serviceText(`name = "a"` + "\n" + `warm_up_rate = 2.0`), "setting warm_up"},
 	{"[[zone]]\nname = \"North\"", "setting name"},
 	{"[[zone]]\nname = \"a\"\n[[zone]]\nname = \"a\"\n", "a name used once"},
-	{service(`name = "a"`) + service(`name = "a"`), "a name used once"},
-	{service(`name = "a"`) + service(`name = "b"`), "path_prefix"},
-	{service(`name = "a"`+"\n"+`hosts = ["x"]`) + service(`name = "b"`+"\n"+`hosts = ["X"]`), "path_prefix"},
+	{serviceText(`name = "a"`) + serviceText(`name = "a"`), "a name used once"},
+	{serviceText(`name = "a"`) + serviceText(`name = "b"`), "path_prefix"},
+	{serviceText(`name = "a"`+"\n"+`hosts = ["x"]`) + serviceText(`name = "b"`+"\n"+`hosts = ["X"]`), "path_prefix"},
 	{"[[placement]]\nservice = \"missing\"", "setting service"},
-	{placed(""), ""},
-	{placed(`id = "B"` + "\n" + `address = "10.0.0.1:80"`), "backend.id"},
-	{placed(`id = "b"` + "\n" + `address = "host:80"`), "backend.address"},
-	{placed(`id = "b"` + "\n" + `address = "10.0.0.1"`), "backend.address"},
-	{placed(`id = "b"` + "\n" + `address = "10.0.0.1:0"`), "backend.address"},
-	{placed(`id = "b"` + "\n" + `address = "10.0.0.1:80"` + "\n" + `slots = -1`), "backend.slots"},
-	{placed(`id = "b"` + "\n" + `address = "10.0.0.1:80"` + "\n" + `connections = 10001`), "backend.connections"},
-	{placed(`id = "b"`+"\n"+`address = "10.0.0.1:80"`) + "[[placement.backend]]\nid = \"b\"\naddress = \"10.0.0.2:80\"\n", "an id used once"},
-	{placed(`id = "b"`+"\n"+`address = "10.0.0.1:80"`) + "[[placement]]\nservice = \"a\"\n", "one placement"},
-	{service("name = \"a\"\nprobe_path = \"/l\"\nprobes_per_second = 10.0\nprobe_cost = \"6ms\"") + "[[placement]]\nservice = \"a\"\n[[placement.backend]]\nid = \"b\"\naddress = \"10.0.0.1:80\"\n", "at most 0.01 of the placement's 3 slots"},
-	{rule(`name = "P!"`), "setting name"},
-	{rule(`name = "p"`) + rule(`name = "p"`), "a name used once"},
-	{rule("name = \"p\"\nclass = 'method +'"), "class: line 1"},
-	{rule("name = \"p\"\nclass = 'unknown'"), "undeclared reference"},
-	{rule("name = \"p\"\nclass = '5'"), "must give string"},
-	{rule("name = \"p\"\nweight = '\"5\"'"), "must give int"},
-	{rule("name = \"p\"\nretry = '1'"), "must give bool"},
-	{rule("name = \"p\"\nwait = '5'"), "wait: line 1"},
-	{rule("name = \"p\"\ndeadline = 'duration(\"soon\")'"), "deadline"},
-	{rule("name = \"p\"\nonce = 'path'"), "once: line 1"},
-	{rule("name = \"p\"\nkey = 'true'"), "key: line 1"},
-	{rule("name = \"p\"\nsession = '1 + 1'"), "session: line 1"},
-	{rule("name = \"p\"\nclass = '''\"a\" + \nmethod + 1'''"), "line 2"},
-	{rule("name = \"p\"\nretry = 'header.all(a, header.all(b, header.all(c, a == b && b == c)))'"), "may cost"},
-	{rule("name = \"p\"\nclass = '\"" + strings.Repeat("x", 5000) + "\"'"), "at most 4096"},
+	{placementText(""), ""},
+	{placementText(`id = "B"` + "\n" + `address = "10.0.0.1:80"`), "backend.id"},
+	{placementText(`id = "b"` + "\n" + `address = "host:80"`), "backend.address"},
+	{placementText(`id = "b"` + "\n" + `address = "10.0.0.1"`), "backend.address"},
+	{placementText(`id = "b"` + "\n" + `address = "10.0.0.1:0"`), "backend.address"},
+	{placementText(`id = "b"` + "\n" + `address = "10.0.0.1:80"` + "\n" + `slots = -1`), "backend.slots"},
+	{placementText(`id = "b"` + "\n" + `address = "10.0.0.1:80"` + "\n" + `connections = 10001`), "backend.connections"},
+	{placementText(`id = "b"`+"\n"+`address = "10.0.0.1:80"`) + "[[placement.backend]]\nid = \"b\"\naddress = \"10.0.0.2:80\"\n", "an id used once"},
+	{placementText(`id = "b"`+"\n"+`address = "10.0.0.1:80"`) + "[[placement]]\nservice = \"a\"\n", "one placement"},
+	{serviceText("name = \"a\"\nprobe_path = \"/l\"\nprobes_per_second = 10.0\nprobe_cost = \"6ms\"") + "[[placement]]\nservice = \"a\"\n[[placement.backend]]\nid = \"b\"\naddress = \"10.0.0.1:80\"\n", "at most 0.01 of the placement's 3 slots"},
+	{policyText(`name = "P!"`), "setting name"},
+	{policyText(`name = "p"`) + policyText(`name = "p"`), "a name used once"},
+	{policyText("name = \"p\"\nclass = 'method +'"), "class: line 1"},
+	{policyText("name = \"p\"\nclass = 'unknown'"), "undeclared reference"},
+	{policyText("name = \"p\"\nclass = '5'"), "must give string"},
+	{policyText("name = \"p\"\nweight = '\"5\"'"), "must give int"},
+	{policyText("name = \"p\"\nretry = '1'"), "must give bool"},
+	{policyText("name = \"p\"\nwait = '5'"), "wait: line 1"},
+	{policyText("name = \"p\"\ndeadline = 'duration(\"soon\")'"), "deadline"},
+	{policyText("name = \"p\"\nonce = 'path'"), "once: line 1"},
+	{policyText("name = \"p\"\nkey = 'true'"), "key: line 1"},
+	{policyText("name = \"p\"\nsession = '1 + 1'"), "session: line 1"},
+	{policyText("name = \"p\"\nclass = '''\"a\" + \nmethod + 1'''"), "line 2"},
+	{policyText("name = \"p\"\nretry = 'header.all(a, header.all(b, header.all(c, a == b && b == c)))'"), "may cost"},
+	{policyText("name = \"p\"\nclass = '\"" + strings.Repeat("x", 5000) + "\"'"), "at most 4096"},
 }
 
-func service(body string) string { return "[[service]]\n" + body + "\n" }
-func rule(body string) string    { return "[[policy]]\n" + body + "\n" }
-func placed(body string) string {
-	return service(`name = "a"`) + "[[placement]]\nservice = \"a\"\n[[placement.backend]]\n" + body + "\n"
+func serviceText(body string) string { return "[[service]]\n" + body + "\n" }
+func policyText(body string) string  { return "[[policy]]\n" + body + "\n" }
+func placementText(body string) string {
+	return serviceText(`name = "a"`) + "[[placement]]\nservice = \"a\"\n[[placement.backend]]\n" + body + "\n"
 }
 
-// TestBadObjects checks that each invalid object is rejected with an error that names the setting or
+// TestInvalidObjectsAreRejected checks that each invalid object is rejected with an error that names the setting or
 // the position, without a panic, and that the stored revision stays the same.
-func TestBadObjects(t *testing.T) {
+func TestInvalidObjectsAreRejected(t *testing.T) {
 	store := objectstore.NewMemory()
 	editor := config.NewEditor(store, time.Now, nil)
 	content, err := config.DecodeTOML("good.toml", []byte(valid))
@@ -131,9 +131,9 @@
 	return err
 }
 
-// TestHistory checks that earlier revisions can be restored from the history, and that a document that
-// misses some changes catches up by applying them.
-func TestHistory(t *testing.T) {
+// TestHistoryRestoresEarlierRevisions checks that earlier revisions can be restored from the history, and that a
+// document that misses some changes catches up by applying them.
+func TestHistoryRestoresEarlierRevisions(t *testing.T) {
 	editor := config.NewEditor(objectstore.NewMemory(), time.Now, nil)
 	var documents []config.Document
 	for number := range 5 {
@@ -159,7 +159,7 @@
 	require.Error(t, err, "a missing change must be an error")
 }
 
-func FuzzDecodeObjects(f *testing.F) {
+func FuzzDecodeTOML(f *testing.F) {
 	f.Add([]byte(valid))
 	for _, object := range invalid {
 		f.Add([]byte(object.text))
--- a/config/directory_test.go
+++ b/config/directory_test.go
@@ -85,14 +85,14 @@
 	return slots
 }
 
-// TestDirectoryFollows checks a random sequence of daemons listing, watching, sending each other
+// TestDirectoryMatchesListAtItsRevision checks a random sequence of daemons listing, watching, sending each other
 // changes and restarting, with some responses delayed: each directory always equals the list at its
 // revision, and no revision ever decreases.
-func TestDirectoryFollows(t *testing.T) {
+func TestDirectoryMatchesListAtItsRevision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var history listHistory
-		held := make([]config.Directory, 4)
-		daemon := rapid.IntRange(0, len(held)-1)
+		directories := make([]config.Directory, 4)
+		daemon := rapid.IntRange(0, len(directories)-1)
 		// delayed holds responses in transit.
 		type response struct {
 			to     int
@@ -100,9 +100,9 @@
 		}
 		var delayed []response
 		offer := func(to int, next config.Directory) {
-			newest, _ := config.Document{Directory: held[to]}.MergeNewest(config.Document{Directory: next})
-			require.GreaterOrEqual(t, newest.Directory.Revision, held[to].Revision)
-			held[to] = newest.Directory
+			newest, _ := config.Document{Directory: directories[to]}.MergeNewest(config.Document{Directory: next})
+			require.GreaterOrEqual(t, newest.Directory.Revision, directories[to].Revision)
+			directories[to] = newest.Directory
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"the list changes": func(t *rapid.T) {
@@ -116,18 +116,18 @@
 			},
 			"watch": func(t *rapid.T) {
 				watcher := daemon.Draw(t, "daemon")
-				next, changed, err := held[watcher].ApplyChange(history.since(held[watcher].Revision))
+				next, changed, err := directories[watcher].ApplyChange(history.since(directories[watcher].Revision))
 				require.NoError(t, err)
-				require.Equal(t, !maps.Equal(slotsOf(held[watcher]), slotsOf(next)), changed)
+				require.Equal(t, !maps.Equal(slotsOf(directories[watcher]), slotsOf(next)), changed)
 				offer(watcher, next)
 			},
 			"ask": func(t *rapid.T) {
 				to, from := daemon.Draw(t, "asks"), daemon.Draw(t, "answers")
-				if change, known := held[from].ChangesAfter(held[to].Revision); known {
+				if change, known := directories[from].ChangesAfter(directories[to].Revision); known {
 					delayed = append(delayed, response{to: to, change: change})
 					return
 				}
-				offer(to, held[from])
+				offer(to, directories[from])
 			},
 			"an answer comes": func(t *rapid.T) {
 				if len(delayed) == 0 {
@@ -136,16 +136,16 @@
 				index := rapid.IntRange(0, len(delayed)-1).Draw(t, "which")
 				arrived := delayed[index]
 				delayed = append(delayed[:index], delayed[index+1:]...)
-				next, _, err := held[arrived.to].ApplyChange(arrived.change)
+				next, _, err := directories[arrived.to].ApplyChange(arrived.change)
 				require.NoError(t, err)
 				offer(arrived.to, next)
 			},
 			"start anew": func(t *rapid.T) {
-				held[daemon.Draw(t, "daemon")] = config.Directory{}
+				directories[daemon.Draw(t, "daemon")] = config.Directory{}
 				delayed = nil
 			},
 			"": func(t *rapid.T) {
-				for number, directory := range held {
+				for number, directory := range directories {
 					require.Equal(t, history.at(directory.Revision), slotsOf(directory), "daemon %d", number)
 				}
 			},
@@ -153,9 +153,9 @@
 	})
 }
 
-// TestDirectoryForgetsDepartures checks that a daemon that may have missed a discarded tombstone is
+// TestDiscardedTombstonesRequireWholeDirectory checks that a daemon that may have missed a discarded tombstone is
 // not given changes, so that it must get the whole directory.
-func TestDirectoryForgetsDepartures(t *testing.T) {
+func TestDiscardedTombstonesRequireWholeDirectory(t *testing.T) {
 	directory := config.Directory{Revision: 1, Since: 1}
 	for number := range config.MaxTombstones + 10 {
 		next, _, err := directory.ApplyChange(config.DirectoryChange{
@@ -173,15 +173,15 @@
 	require.Len(t, change.Tombstones, config.MaxTombstones)
 }
 
-// TestDirectoryGap checks that a change that starts after the directory's revision is an error.
-func TestDirectoryGap(t *testing.T) {
+// TestChangeAfterGapIsRejected checks that a change that starts after the directory's revision is an error.
+func TestChangeAfterGapIsRejected(t *testing.T) {
 	_, _, err := config.Directory{Revision: 3}.ApplyChange(config.DirectoryChange{After: 4, Revision: 5})
 	require.ErrorContains(t, err, "after revision 3")
 }
 
-// TestDirectoryThereAndBack checks that a daemon that has seen a back end change learns that it was
+// TestRevertedChangeReachesOtherDaemons checks that a daemon that has seen a back end change learns that it was
 // changed back, even from a daemon that has seen neither change.
-func TestDirectoryThereAndBack(t *testing.T) {
+func TestRevertedChangeReachesOtherDaemons(t *testing.T) {
 	history := listHistory{{id: "b1", slots: 1}}
 	sender := history.read()
 	history = append(history, listEvent{id: "b1", slots: 2})
--- a/config/evacuation_test.go
+++ b/config/evacuation_test.go
@@ -28,9 +28,9 @@
 	require.False(t, snapshot.Targets[0].EvacuatedZones["b"])
 }
 
-// TestPartsNeverGoBack offers documents in any order to a daemon: no part of the document in force
+// TestDocumentPartsNeverGetOlder offers documents in any order to a daemon: no part of the document in force
 // ever becomes older, and each part ends up at its newest version.
-func TestPartsNeverGoBack(t *testing.T) {
+func TestDocumentPartsNeverGetOlder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		version := func(name string) objectstore.Version {
 			return objectstore.NewVersion(rapid.Uint64Range(0, 2).Draw(t, name+" era"), rapid.Uint64Range(0, 6).Draw(t, name))
--- a/config/retention_test.go
+++ b/config/retention_test.go
@@ -22,8 +22,8 @@
 	return directory
 }
 
-// TestRetentionIgnoresUnchangedEntries checks that nothing is retained if the restored directory is the same, however many back ends
-// it has, if the era is the same, or if nothing was known before.
+// TestRetentionIgnoresUnchangedEntries checks that nothing is retained if the restored directory is the same,
+// however many back ends it has, if the era is the same, or if nothing was known before.
 func TestRetentionIgnoresUnchangedEntries(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	known := config.Document{Directory: directoryAt(objectstore.NewVersion(0, 50), 1000)}
@@ -38,8 +38,8 @@
 	require.False(t, retention.Observe(now, restored, config.Document{Directory: directoryAt(objectstore.NewVersion(1, 41), 3)}))
 }
 
-// TestRetentionUntilRewritten checks, across a store rollback, one back end that has joined and one that is draining: how long
-// each is retained, and that an entry that is written again takes precedence.
+// TestRetentionUntilRewritten checks, across a store rollback, one back end that has joined and one that is
+// draining: how long each is retained, and that an entry that is written again takes precedence.
 func TestRetentionUntilRewritten(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	restored := directoryAt(objectstore.NewVersion(1, 40), 2)
--- a/config/route_test.go
+++ b/config/route_test.go
@@ -12,10 +12,10 @@
 	"github.com/tuliphall/tuliphall/config"
 )
 
-// largestError returns the maximum deviation, in requests, of a service's share in the given number of
+// maxShareDeviation returns the maximum deviation, in requests, of a service's share in the given number of
 // consecutive turns of one daemon, for any weight. The turns are points on a circle and a share is an
 // arc; the worst arcs begin and end at points.
-func largestError(turns int) float64 {
+func maxShareDeviation(turns int) float64 {
 	ratio := (math.Sqrt(5) - 1) / 2
 	points := make([]float64, turns)
 	for turn := range points {
@@ -30,9 +30,9 @@
 	return 1 + highest - lowest
 }
 
-// TestLargestError checks that the maximum deviation in 300 turns is 3.1 requests.
-func TestLargestError(t *testing.T) {
-	require.InDelta(t, 3.0996, largestError(300), 0.0001)
+// TestMaxShareDeviation checks that the maximum deviation in 300 turns is 3.1 requests.
+func TestMaxShareDeviation(t *testing.T) {
+	require.InDelta(t, 3.0996, maxShareDeviation(300), 0.0001)
 }
 
 // TestSharesAreKept distributes requests of many daemons by random weights: in each span of 300
@@ -80,7 +80,7 @@
 		if daemon < span%len(phases) {
 			turns++
 		}
-		allowed += largestError(turns) / span
+		allowed += maxShareDeviation(turns) / span
 	}
 	for range spans {
 		chosen := make(map[string]int)
--- a/config/tenant_test.go
+++ b/config/tenant_test.go
@@ -19,8 +19,8 @@
 	require.ErrorContains(t, err, "north has this one")
 }
 
-// TestTenantSettings checks that values out of range are errors that name the setting.
-func TestTenantSettings(t *testing.T) {
+// TestInvalidTenantSettingsAreRejected checks that values out of range are errors that name the setting.
+func TestInvalidTenantSettingsAreRejected(t *testing.T) {
 	for _, test := range []struct {
 		tenant  config.Tenant
 		setting string
@@ -35,9 +35,9 @@
 	}
 }
 
-// TestKeysAreHashes checks that only hashes are accepted: a key in place of a hash is an error that
+// TestOnlyKeyHashesAreAccepted checks that only hashes are accepted: a key in place of a hash is an error that
 // does not contain the key, and encoded documents do not contain it either.
-func TestKeysAreHashes(t *testing.T) {
+func TestOnlyKeyHashesAreAccepted(t *testing.T) {
 	hash := config.HashKey("secret-key")
 	text, err := hash.MarshalText()
 	require.NoError(t, err)
