--- a/pipelining/bench_test.go
+++ b/pipelining/bench_test.go
@@ -17,7 +17,7 @@
 func BenchmarkSequentialRequests(b *testing.B) {
 	handler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "answer") })
 	b.Run("without pipelining", func(b *testing.B) {
-		benchmarkSequential(b, &http.Server{Handler: handler}, func(under net.Listener) net.Listener { return under })
+		benchmarkSequential(b, &http.Server{Handler: handler}, func(inner net.Listener) net.Listener { return inner })
 	})
 	b.Run("with pipelining", func(b *testing.B) {
 		server := pipelining.New(pipelining.Options{
--- a/pipelining/limits_test.go
+++ b/pipelining/limits_test.go
@@ -144,9 +144,9 @@
 		text, err := io.ReadAll(caller)
 		require.NoError(t, err)
 		require.Contains(t, string(text), "GET /0 ")
-		again := s.listener.dial()
-		defer again.Close()
-		sendAsync(again, getRequest("/2"))
-		readResponse(t, bufio.NewReader(again))
+		secondCaller := s.listener.dial()
+		defer secondCaller.Close()
+		sendAsync(secondCaller, getRequest("/2"))
+		readResponse(t, bufio.NewReader(secondCaller))
 	})
 }
--- a/pipelining/testserver_test.go
+++ b/pipelining/testserver_test.go
@@ -45,9 +45,9 @@
 func (l *memoryListener) Addr() net.Addr { return &net.TCPAddr{} }
 
 func (l *memoryListener) dial() net.Conn {
-	near, far := net.Pipe()
-	l.connections <- far
-	return near
+	client, server := net.Pipe()
+	l.connections <- server
+	return client
 }
 
 // handlerTime is how long echo takes.
