--- a/lab/site/quiet_test.go
+++ b/lab/site/controltraffic_test.go
@@ -11,9 +11,9 @@
 	"github.com/tuliphall/tuliphall/lab/site"
 )
 
-// TestControlIsQuiet checks that the daemons of an idle fleet exchange only heartbeats
-// some time after a simultaneous start.
-func TestControlIsQuiet(t *testing.T) {
+// TestIdleControlTrafficIsBounded checks that, two minutes after a simultaneous start, the daemons of an idle fleet
+// exchange only heartbeats: each sends less than 500 bytes per second.
+func TestIdleControlTrafficIsBounded(t *testing.T) {
 	const daemons = 40
 	options := smallSite()
 	options.Daemons = daemons
@@ -31,7 +31,7 @@
 			rates = append(rates, (sent()-before)/20/daemons)
 		}
 		require.LessOrEqual(t, running.Platform.PeakWatches(), 12, "watches right after the start")
-		t.Log("bytes per second and daemon, every 20 s:", rates)
+		t.Log("bytes per second sent by each daemon, in intervals of 20 s:", rates)
 		require.Less(t, rates[len(rates)-1], int64(500))
 	})
 }
--- a/lab/site/faults_test.go
+++ b/lab/site/faults_test.go
@@ -28,19 +28,20 @@
 	return load.Options{Network: net.Host("callers"), Targets: running.Targets(), Rate: 200, Duration: duration, Seed: 5, Kinds: requestKinds()}
 }
 
-// TestWholeAnswers injects each response fault at one of four back ends.
-func TestWholeAnswers(t *testing.T) {
+// TestResponsesAreCompleteDespiteBackendFaults injects each response fault at one of four back ends of each
+// service: callers must get no incomplete response and none of another request.
+func TestResponsesAreCompleteDespiteBackendFaults(t *testing.T) {
 	for _, fault := range []backendstub.Fault{
 		backendstub.FaultCloseMidBody, backendstub.FaultCloseBeforeResponse, backendstub.FaultWrongLength,
 		backendstub.FaultExtraResponse, backendstub.FaultUnframed, backendstub.FaultError, backendstub.FaultFreeze,
 	} {
 		for _, http2 := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%s/http2=%t", fault, http2), func(t *testing.T) { testWholeAnswers(t, fault, http2) })
+			t.Run(fmt.Sprintf("%s/http2=%t", fault, http2), func(t *testing.T) { testResponsesWithBackendFault(t, fault, http2) })
 		}
 	}
 }
 
-func testWholeAnswers(t *testing.T, fault backendstub.Fault, http2 bool) {
+func testResponsesWithBackendFault(t *testing.T, fault backendstub.Fault, http2 bool) {
 	runVirtual(t, smallSite(), func(ctx context.Context, net *fakenet.Net, running *site.Site) {
 		for _, backend := range running.Backends {
 			if backend.ID == "reads-1" || backend.ID == "corrections-1" {
@@ -55,13 +56,13 @@
 		require.Positive(t, result.Answered)
 		if fault != backendstub.FaultExtraResponse {
 			// A repeatable request is retried after a fault.
-			require.Positive(t, result.Failed()+countRerun(running), "no request met the fault")
+			require.Positive(t, result.Failed()+countRepeatedRequests(running), "no request was affected by the fault")
 		}
 	})
 }
 
-// countRerun returns the number of requests that ran more than once, as repeatable ones may.
-func countRerun(running *site.Site) int {
+// countRepeatedRequests returns the number of requests that ran more than once, as repeatable requests may.
+func countRepeatedRequests(running *site.Site) int {
 	count := 0
 	for _, runs := range running.RunsByRequest() {
 		if runs > 1 {
@@ -71,7 +72,8 @@
 	return count
 }
 
-// TestNotRunUnderOverload sends ten times as many requests as the back end can serve.
+// TestNotRunUnderOverload sends ten times as many requests as the back end can serve: refused requests
+// must not have run, and the back end must still be used to 90% of its capacity.
 func TestNotRunUnderOverload(t *testing.T) {
 	siteOptions := smallSite()
 	siteOptions.Services = testServices(1)
@@ -89,8 +91,9 @@
 	})
 }
 
-// TestRejectAll makes one of eight back ends reject all requests immediately.
-func TestRejectAll(t *testing.T) {
+// TestRejectingBackendIsAvoidedUntilItRecovers makes one of eight back ends reject all requests immediately:
+// less than 1% of the requests may fail, and the back end must get requests again after it recovered.
+func TestRejectingBackendIsAvoidedUntilItRecovers(t *testing.T) {
 	siteOptions := smallSite()
 	siteOptions.Services = testServices(8)
 	runVirtual(t, siteOptions, func(ctx context.Context, net *fakenet.Net, running *site.Site) {
@@ -109,9 +112,9 @@
 	})
 }
 
-// TestOperationsWhenDispatcherDies kills the daemon that claims the operations
-// under load, while responses of the store are dropped.
-func TestOperationsWhenDispatcherDies(t *testing.T) {
+// TestOperationsRunOnceWhenDispatcherIsKilled kills the daemon that claims the operations under load, while
+// responses of the store are dropped: no operation may run twice, also when callers retry it.
+func TestOperationsRunOnceWhenDispatcherIsKilled(t *testing.T) {
 	runVirtual(t, smallSite(), func(ctx context.Context, net *fakenet.Net, running *site.Site) {
 		var done sync.WaitGroup
 		done.Go(func() {
@@ -149,7 +152,8 @@
 	return ""
 }
 
-// TestStoreDown makes the platform unavailable for half an hour.
+// TestStoreDown makes the platform unavailable for half an hour: the p99 of reads must change by at most 30%,
+// only operations may be refused, and daemons that join must get the configuration and drains from their peers.
 func TestStoreDown(t *testing.T) {
 	runVirtual(t, smallSite(), func(ctx context.Context, net *fakenet.Net, running *site.Site) {
 		baseline := load.Run(ctx, loadOptions(net, running, 5*time.Second))
@@ -171,14 +175,14 @@
 		require.Equal(t, config.Revision(1), running.Daemon("entry-4").Document().Revision)
 
 		// Draining is learned from the back end and reaches every daemon.
-		leaving := running.Backend("reads-1")
-		leaving.Stub.SetDraining(true)
+		draining := running.Backend("reads-1")
+		draining.Stub.SetDraining(true)
 		load.Run(ctx, loadOptions(net, running, 3*time.Second))
-		before := leaving.Stub.TotalRuns()
+		before := draining.Stub.TotalRuns()
 		options.Seed = 9
 		options.Targets = running.Targets()
 		load.Run(ctx, options)
-		require.Equal(t, before, leaving.Stub.TotalRuns(), "a draining back end got requests")
+		require.Equal(t, before, draining.Stub.TotalRuns(), "a draining back end got requests")
 
 		// A daemon that starts long after the broadcast learns it from its peers, also
 		// when it is the only one that remains.
@@ -196,24 +200,25 @@
 		options.Targets = running.Targets()
 		last := load.Run(ctx, options)
 		require.Positive(t, last.Answered, last.FirstFailure())
-		require.Equal(t, before, leaving.Stub.TotalRuns(), "a draining back end got requests from a new daemon")
+		require.Equal(t, before, draining.Stub.TotalRuns(), "a draining back end got requests from a new daemon")
 
 		running.Platform.SetFaults(platformstub.Faults{})
 		time.Sleep(time.Minute)
 		options.Seed = 10
-		healed := load.Run(ctx, options)
-		require.Equal(t, healed.Sent, healed.Answered, healed.FirstFailure())
+		recovered := load.Run(ctx, options)
+		require.Equal(t, recovered.Sent, recovered.Answered, recovered.FirstFailure())
 	})
 }
 
-// TestPlannedStops restarts the daemons one by one under load with long streams.
-func TestPlannedStops(t *testing.T) {
+// TestRollingRestartInterruptsNoRequest restarts the daemons one by one under load with long streams: every
+// request must be answered and every stream completed.
+func TestRollingRestartInterruptsNoRequest(t *testing.T) {
 	runVirtual(t, smallSite(), func(ctx context.Context, net *fakenet.Net, running *site.Site) {
 		var done sync.WaitGroup
 		for number := range 3 {
 			name := site.DaemonName(number)
 			target := running.Daemon(name).Addresses().Caller
-			done.Go(func() { stream(ctx, t, net, target) })
+			done.Go(func() { requireCompleteStream(ctx, t, net, target) })
 			done.Go(func() {
 				options := loadOptions(net, running, 2*time.Second)
 				options.Targets = []string{target}
@@ -231,8 +236,8 @@
 	})
 }
 
-// stream reads a response that takes ten seconds and checks that it is complete.
-func stream(ctx context.Context, t *testing.T, net *fakenet.Net, target string) {
+// requireCompleteStream reads a response that takes ten seconds and requires that it is complete.
+func requireCompleteStream(ctx context.Context, t *testing.T, net *fakenet.Net, target string) {
 	transport := &http.Transport{DialContext: func(ctx context.Context, _, address string) (conn netConn, err error) {
 		return net.Host("callers").Dial(ctx, address)
 	}}
@@ -256,9 +261,10 @@
 	require.Contains(t, string(text), "end\n", "the stream was truncated")
 }
 
-// TestRacingOperators makes several operators change the same and different objects
-// concurrently through different daemons, while responses of the store are dropped.
-func TestRacingOperators(t *testing.T) {
+// TestConcurrentChangesAreNotLost makes several operators change the same and different objects concurrently
+// through different daemons, while responses of the store are dropped: every accepted change must stay in the
+// history.
+func TestConcurrentChangesAreNotLost(t *testing.T) {
 	runVirtual(t, smallSite(), func(ctx context.Context, _ *fakenet.Net, running *site.Site) {
 		running.Platform.SetFaults(platformstub.Faults{DropResponses: 4, Delay: 5 * time.Millisecond})
 		revisions := assertMonotonicRevisions(t, running)
@@ -309,9 +315,9 @@
 			changed.Class = `"changed"`
 			document, err := running.Daemon("entry-2").Apply(ctx, config.Edit{ID: "change", Set: config.Content{Policies: []config.Policy{changed}}})
 			require.NoError(t, err)
-			begun := time.Now()
+			startedAt := time.Now()
 			require.NoError(t, running.WaitInForce(ctx, document.Revision))
-			require.Less(t, time.Since(begun), 2*time.Second)
+			require.Less(t, time.Since(startedAt), 2*time.Second)
 		})
 		result := load.Run(ctx, loadOptions(net, running, 5*time.Second))
 		done.Wait()
@@ -319,9 +325,9 @@
 	})
 }
 
-// TestHalfTheWatchersDie kills daemons that watch the store: a change written directly
-// to the store is still in force within three seconds.
-func TestHalfTheWatchersDie(t *testing.T) {
+// TestChangeIsInForceAfterWatchersAreKilled kills two daemons that watch the store: a change written directly
+// to the store must still be in force within three seconds.
+func TestChangeIsInForceAfterWatchersAreKilled(t *testing.T) {
 	options := smallSite()
 	options.Daemons = 18
 	options.Services = testServices(2)
@@ -336,25 +342,25 @@
 		}
 		require.Equal(t, 2, killed)
 		editor := config.NewEditor(running.Platform.Store(), time.Now, nil)
-		document, err := editor.Apply(ctx, config.Edit{ID: "behind", Set: config.Content{Policies: []config.Policy{{Name: "new"}}}})
+		document, err := editor.Apply(ctx, config.Edit{ID: "direct", Set: config.Content{Policies: []config.Policy{{Name: "new"}}}})
 		require.NoError(t, err)
-		begun := time.Now()
+		startedAt := time.Now()
 		for !running.InForce(document.Revision) {
 			time.Sleep(10 * time.Millisecond)
-			require.Less(t, time.Since(begun), 3*time.Second)
+			require.Less(t, time.Since(startedAt), 3*time.Second)
 		}
 	})
 }
 
-// TestDeclaredChangesHoldWhenPlatformComesBackOlder rolls the platform's store back behind changes of operators: they
-// stay in force at every daemon and are written again, also if another change was made to the restored
-// configuration, and later changes are in force in time.
-func TestDeclaredChangesHoldWhenPlatformComesBackOlder(t *testing.T) {
+// TestChangesSurviveStoreRollback rolls the platform's store back to a state before changes of operators: they
+// must stay in force at every daemon and be written again, also if another change was made to the restored
+// configuration, and later changes must be in force in time.
+func TestChangesSurviveStoreRollback(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		// behind is a change written directly to the store right after the rollback.
-		behind string
-	}{{name: "nothing comes in between"}, {name: "a change is made on the older copy", behind: "behind"}} {
+		// changeAfterRollback is the ID of a change written directly to the store right after the rollback.
+		changeAfterRollback string
+	}{{name: "no other change"}, {name: "a change to the restored configuration", changeAfterRollback: "direct"}} {
 		t.Run(test.name, func(t *testing.T) {
 			runVirtual(t, smallSite(), func(ctx context.Context, _ *fakenet.Net, running *site.Site) {
 				change := func(id string) config.Edit {
@@ -363,21 +369,21 @@
 				apply := func(id string) {
 					document, err := running.Daemon("entry-1").Apply(ctx, change(id))
 					require.NoError(t, err)
-					begun := time.Now()
+					startedAt := time.Now()
 					require.NoError(t, running.WaitInForce(ctx, document.Revision))
-					require.Less(t, time.Since(begun), 2*time.Second)
+					require.Less(t, time.Since(startedAt), 2*time.Second)
 				}
 				apply("early")
-				copied := running.Platform.Store().Snapshot()
+				backup := running.Platform.Store().Snapshot()
 				apply("lost-1")
 				apply("lost-2")
 				time.Sleep(2 * time.Second)
-				running.Platform.RollBack(copied)
+				running.Platform.RollBack(backup)
 				expected := []string{"early", "lost-1", "lost-2"}
-				if test.behind != "" {
-					_, err := config.NewEditor(running.Platform.Store(), time.Now, nil).Apply(ctx, change(test.behind))
+				if test.changeAfterRollback != "" {
+					_, err := config.NewEditor(running.Platform.Store(), time.Now, nil).Apply(ctx, change(test.changeAfterRollback))
 					require.NoError(t, err)
-					expected = append(expected, test.behind)
+					expected = append(expected, test.changeAfterRollback)
 				}
 				requireChanges := func(document config.Document, ids []string) {
 					for _, id := range ids {
@@ -385,7 +391,7 @@
 						require.True(t, found, "%s in revision %d", id, document.Revision)
 					}
 				}
-				for begun := time.Now(); time.Since(begun) < 10*time.Second; time.Sleep(100 * time.Millisecond) {
+				for rolledBackAt := time.Now(); time.Since(rolledBackAt) < 10*time.Second; time.Sleep(100 * time.Millisecond) {
 					for _, daemon := range running.Daemons() {
 						requireChanges(daemon.Document(), []string{"early", "lost-1", "lost-2"})
 					}
@@ -408,13 +414,13 @@
 // configuration from their peers.
 func TestUnconfiguredDaemonDispatchesNothing(t *testing.T) {
 	runVirtual(t, smallSite(), func(ctx context.Context, net *fakenet.Net, running *site.Site) {
-		made := loadOptions(net, running, 10*time.Second)
-		made.Kinds = requestKinds()[:1]
+		options := loadOptions(net, running, 10*time.Second)
+		options.Kinds = requestKinds()[:1]
 		running.Platform.SetFaults(platformstub.Faults{Unresponsive: true})
 		for _, name := range []string{"entry-4", "entry-5", "entry-6"} {
 			require.NoError(t, running.StartDaemon(name))
 		}
-		result := load.Run(ctx, made)
+		result := load.Run(ctx, options)
 		require.Equal(t, result.Sent, result.Answered, result.FirstFailure())
 		require.NotNil(t, running.Daemon("entry-4").Document().History)
 	})
--- a/lab/site/watch_test.go
+++ b/lab/site/revisionmonitor_test.go
@@ -15,37 +15,37 @@
 
 type netConn = net.Conn
 
-// revisionWatch polls the revisions in force while a test runs.
-type revisionWatch struct {
+// revisionMonitor polls the revisions in force at the daemons while a test runs.
+type revisionMonitor struct {
 	done    chan struct{}
 	running sync.WaitGroup
 }
 
 // assertMonotonicRevisions fails the test if a daemon returns to an older revision.
-func assertMonotonicRevisions(t *testing.T, running *site.Site) *revisionWatch {
-	return watchRevisionChanges(running, func(name string, was, is config.Revision) {
+func assertMonotonicRevisions(t *testing.T, running *site.Site) *revisionMonitor {
+	return monitorRevisions(running, func(name string, was, is config.Revision) {
 		assert.Fail(t, "revision went backwards", "%s from revision %d to %d", name, was, is)
 	})
 }
 
 // recordRevisionRegressions adds a problem to a random schedule if a daemon returns to an older revision.
-func recordRevisionRegressions(w *faultRun) *revisionWatch {
-	return watchRevisionChanges(w.site, func(name string, was, is config.Revision) {
-		w.addProblem("%s returned from revision %d to %d", name, was, is)
+func recordRevisionRegressions(r *faultRun) *revisionMonitor {
+	return monitorRevisions(r.site, func(name string, was, is config.Revision) {
+		r.addProblem("%s returned from revision %d to %d", name, was, is)
 	})
 }
 
 const revisionPollInterval = 50 * time.Millisecond
 
-func watchRevisionChanges(running *site.Site, report func(name string, was, is config.Revision)) *revisionWatch {
-	watch := &revisionWatch{done: make(chan struct{})}
-	watch.running.Go(func() {
+func monitorRevisions(running *site.Site, report func(name string, was, is config.Revision)) *revisionMonitor {
+	monitor := &revisionMonitor{done: make(chan struct{})}
+	monitor.running.Go(func() {
 		seen := make(map[*daemon.Daemon]config.Revision)
 		ticker := time.NewTicker(revisionPollInterval)
 		defer ticker.Stop()
 		for {
 			select {
-			case <-watch.done:
+			case <-monitor.done:
 				return
 			case <-ticker.C:
 			}
@@ -58,10 +58,10 @@
 			}
 		}
 	})
-	return watch
+	return monitor
 }
 
-func (w *revisionWatch) stop() {
-	close(w.done)
-	w.running.Wait()
+func (r *revisionMonitor) stop() {
+	close(r.done)
+	r.running.Wait()
 }
--- a/lab/site/schedule_test.go
+++ b/lab/site/schedule_test.go
@@ -83,85 +83,85 @@
 	changes        int
 }
 
-func (w *faultRun) addProblem(format string, arguments ...any) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.problems = append(w.problems, fmt.Sprintf(format, arguments...))
+func (r *faultRun) addProblem(format string, arguments ...any) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.problems = append(r.problems, fmt.Sprintf(format, arguments...))
 }
 
 // markStopped marks a daemon as stopped. It returns false if the daemon is marked already or no other
 // would remain.
-func (w *faultRun) markStopped(name string) bool {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	if w.stopped[name] || len(w.stopped) >= 2 {
+func (r *faultRun) markStopped(name string) bool {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	if r.stopped[name] || len(r.stopped) >= 2 {
 		return false
 	}
-	w.stopped[name] = true
+	r.stopped[name] = true
 	return true
 }
 
-func (w *faultRun) restartDaemon(name string) {
-	if err := w.site.StartDaemon(name); err != nil {
-		w.addProblem("daemon %s does not start: %v", name, err)
+func (r *faultRun) restartDaemon(name string) {
+	if err := r.site.StartDaemon(name); err != nil {
+		r.addProblem("daemon %s does not start: %v", name, err)
 	}
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	delete(w.stopped, name)
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	delete(r.stopped, name)
 }
 
-// setPlatform injects platform faults for a time.
-func (w *faultRun) setPlatform(length time.Duration, change func(*platformstub.Faults)) {
-	w.mutex.Lock()
-	change(&w.platformFaults)
-	w.site.Platform.SetFaults(w.platformFaults)
-	w.mutex.Unlock()
+// setPlatformFaults injects platform faults for a time.
+func (r *faultRun) setPlatformFaults(length time.Duration, change func(*platformstub.Faults)) {
+	r.mutex.Lock()
+	change(&r.platformFaults)
+	r.site.Platform.SetFaults(r.platformFaults)
+	r.mutex.Unlock()
 	time.Sleep(length)
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.platformFaults = platformstub.Faults{}
-	w.site.Platform.SetFaults(w.platformFaults)
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.platformFaults = platformstub.Faults{}
+	r.site.Platform.SetFaults(r.platformFaults)
 }
 
 // inject injects a fault and ends it.
-func (w *faultRun) inject(injected fault) {
+func (r *faultRun) inject(injected fault) {
 	daemon, other := site.DaemonName(injected.target), site.DaemonName(injected.other)
-	backends := []*site.Backend{w.site.Backend(fmt.Sprintf("reads-%d", injected.target+1)), w.site.Backend(fmt.Sprintf("corrections-%d", injected.target+1))}
+	backends := []*site.Backend{r.site.Backend(fmt.Sprintf("reads-%d", injected.target+1)), r.site.Backend(fmt.Sprintf("corrections-%d", injected.target+1))}
 	switch injected.kind {
 	case "platform-down":
-		w.setPlatform(injected.length, func(f *platformstub.Faults) { f.Down = true })
+		r.setPlatformFaults(injected.length, func(f *platformstub.Faults) { f.Down = true })
 	case "platform-silent":
-		w.setPlatform(injected.length, func(f *platformstub.Faults) { f.Unresponsive = true })
+		r.setPlatformFaults(injected.length, func(f *platformstub.Faults) { f.Unresponsive = true })
 	case "platform-slow":
-		w.setPlatform(injected.length, func(f *platformstub.Faults) { f.Delay = 500 * time.Millisecond })
+		r.setPlatformFaults(injected.length, func(f *platformstub.Faults) { f.Delay = 500 * time.Millisecond })
 	case "lost-answers":
-		w.setPlatform(injected.length, func(f *platformstub.Faults) { f.DropResponses = injected.count })
+		r.setPlatformFaults(injected.length, func(f *platformstub.Faults) { f.DropResponses = injected.count })
 	case "broken-watches":
-		w.setPlatform(time.Second, func(f *platformstub.Faults) { f.BreakWatches = true })
+		r.setPlatformFaults(time.Second, func(f *platformstub.Faults) { f.BreakWatches = true })
 	case "stale-machines":
-		w.site.Platform.SetMachinesFrozen(true)
+		r.site.Platform.SetMachinesFrozen(true)
 		time.Sleep(injected.length)
-		w.site.Platform.SetMachinesFrozen(false)
+		r.site.Platform.SetMachinesFrozen(false)
 	case "kill":
-		if w.markStopped(daemon) {
-			w.site.KillDaemon(daemon)
+		if r.markStopped(daemon) {
+			r.site.KillDaemon(daemon)
 			time.Sleep(injected.length)
-			w.restartDaemon(daemon)
+			r.restartDaemon(daemon)
 		}
 	case "planned-stop":
-		w.plannedStop(daemon, injected.length)
+		r.plannedStop(daemon, injected.length)
 	case "cut-daemons":
-		w.net.SetPartitioned(daemon, other, true)
+		r.net.SetPartitioned(daemon, other, true)
 		time.Sleep(injected.length)
-		w.net.SetPartitioned(daemon, other, false)
+		r.net.SetPartitioned(daemon, other, false)
 	case "cut-platform":
-		w.net.SetPartitioned(daemon, "platform", true)
+		r.net.SetPartitioned(daemon, "platform", true)
 		time.Sleep(injected.length)
-		w.net.SetPartitioned(daemon, "platform", false)
+		r.net.SetPartitioned(daemon, "platform", false)
 	case "freeze":
-		w.net.SetFrozen(daemon, true)
+		r.net.SetFrozen(daemon, true)
 		time.Sleep(injected.length)
-		w.net.SetFrozen(daemon, false)
+		r.net.SetFrozen(daemon, false)
 	case "drain":
 		for _, backend := range backends {
 			backend.Stub.SetDraining(true)
@@ -171,15 +171,15 @@
 			backend.Stub.SetDraining(false)
 		}
 	case "race":
-		w.raceOperators(injected.count)
+		r.applyConcurrentChanges(injected.count)
 	case "frozen-backend":
-		w.breakBackends(backends, backendstub.FaultFreeze, injected.length)
+		r.setBackendFault(backends, backendstub.FaultFreeze, injected.length)
 	default:
-		w.breakBackends(backends, backendstub.Fault(injected.kind), injected.length)
+		r.setBackendFault(backends, backendstub.Fault(injected.kind), injected.length)
 	}
 }
 
-func (w *faultRun) breakBackends(backends []*site.Backend, kind backendstub.Fault, length time.Duration) {
+func (r *faultRun) setBackendFault(backends []*site.Backend, kind backendstub.Fault, length time.Duration) {
 	for _, backend := range backends {
 		backend.Stub.SetFault(kind)
 	}
@@ -190,33 +190,33 @@
 }
 
 // plannedStop performs a planned stop of a daemon, which must not cut requests, and starts it again.
-func (w *faultRun) plannedStop(name string, length time.Duration) {
-	if !w.markStopped(name) {
+func (r *faultRun) plannedStop(name string, length time.Duration) {
+	if !r.markStopped(name) {
 		return
 	}
-	ctx, cancel := context.WithTimeout(w.ctx, 5*time.Minute)
+	ctx, cancel := context.WithTimeout(r.ctx, 5*time.Minute)
 	defer cancel()
-	if err := w.site.StopDaemon(ctx, name); err != nil {
-		w.addProblem("planned stop of %s: %v", name, err)
+	if err := r.site.StopDaemon(ctx, name); err != nil {
+		r.addProblem("planned stop of %s: %v", name, err)
 	}
 	time.Sleep(length)
-	w.restartDaemon(name)
+	r.restartDaemon(name)
 }
 
-// raceOperators makes operators change the same object concurrently through different daemons.
-func (w *faultRun) raceOperators(operators int) {
+// applyConcurrentChanges makes operators change the same object concurrently through different daemons.
+func (r *faultRun) applyConcurrentChanges(operators int) {
 	var done sync.WaitGroup
 	for operator := range operators {
-		w.mutex.Lock()
-		w.changes++
-		id := fmt.Sprintf("change-%d", w.changes)
-		w.mutex.Unlock()
+		r.mutex.Lock()
+		r.changes++
+		id := fmt.Sprintf("change-%d", r.changes)
+		r.mutex.Unlock()
 		done.Go(func() {
-			running := w.site.Daemon(site.DaemonName(operator % 3))
+			running := r.site.Daemon(site.DaemonName(operator % 3))
 			if running == nil {
 				return
 			}
-			ctx, cancel := context.WithTimeout(w.ctx, 10*time.Second)
+			ctx, cancel := context.WithTimeout(r.ctx, 10*time.Second)
 			defer cancel()
 			edit := config.Edit{ID: id, Set: config.Content{Policies: []config.Policy{{Name: "contested"}}}}
 			document, err := running.Apply(ctx, edit)
@@ -224,7 +224,7 @@
 				return
 			}
 			if _, found := document.FindChange(id); !found {
-				w.addProblem("accepted change %s is not in the history", id)
+				r.addProblem("accepted change %s is not in the history", id)
 			}
 		})
 	}
@@ -233,10 +233,10 @@
 
 // sendLoad sends requests to the running daemons, and retries a failed operation
 // with the same key through another daemon.
-func (w *faultRun) sendLoad(seed uint64, length time.Duration) *load.Result {
-	return load.Run(w.ctx, load.Options{
-		Network: w.net.Host("callers"), Rate: requestsPerSecond, Duration: length, Seed: seed, Kinds: requestKinds(), RetryUnanswered: true,
-		Targets: w.site.Targets(), Timeout: time.Minute,
+func (r *faultRun) sendLoad(seed uint64, length time.Duration) *load.Result {
+	return load.Run(r.ctx, load.Options{
+		Network: r.net.Host("callers"), Rate: requestsPerSecond, Duration: length, Seed: seed, Kinds: requestKinds(), RetryUnanswered: true,
+		Targets: r.site.Targets(), Timeout: time.Minute,
 	})
 }
 
@@ -256,41 +256,41 @@
 	if err != nil {
 		return []string{err.Error()}
 	}
-	w := &faultRun{ctx: ctx, net: net, site: running, stopped: make(map[string]bool)}
-	watch := recordRevisionRegressions(w)
-	begun := time.Now()
+	r := &faultRun{ctx: ctx, net: net, site: running, stopped: make(map[string]bool)}
+	watch := recordRevisionRegressions(r)
+	startedAt := time.Now()
 	for _, injected := range faults {
-		w.injections.Go(func() {
+		r.injections.Go(func() {
 			time.Sleep(injected.at)
-			w.inject(injected)
+			r.inject(injected)
 		})
 	}
-	result := w.sendLoad(1, scheduleLength)
-	w.injections.Wait()
-	time.Sleep(max(scheduleLength-time.Since(begun), 0) + 30*time.Second)
+	result := r.sendLoad(1, scheduleLength)
+	r.injections.Wait()
+	time.Sleep(max(scheduleLength-time.Since(startedAt), 0) + 30*time.Second)
 	watch.stop()
-	w.checkResult(result)
-	w.checkProbes()
-	w.checkHealed()
+	r.checkResult(result)
+	r.checkProbes()
+	r.checkRecovery()
 	running.Close()
 	time.Sleep(shutdownTime)
-	return w.problems
+	return r.problems
 }
 
 // checkResult compares the responses to callers with the runs at the back ends.
-func (w *faultRun) checkResult(result *load.Result) {
-	runs := w.site.RunsByRequest()
+func (r *faultRun) checkResult(result *load.Result) {
+	runs := r.site.RunsByRequest()
 	if result.WrongResponses > 0 {
-		w.addProblem("%d responses were wrong or incomplete", result.WrongResponses)
+		r.addProblem("%d responses were wrong or incomplete", result.WrongResponses)
 	}
 	for _, outcome := range result.Outcomes {
 		if outcome.Run == resultcode.NotRun && runs[outcome.Name] > 0 {
-			w.addProblem("%s was reported as not run, and ran", outcome.Name)
+			r.addProblem("%s was reported as not run, and ran", outcome.Name)
 		}
 	}
-	for key, count := range w.site.RunsByKey() {
+	for key, count := range r.site.RunsByKey() {
 		if count > 1 {
-			w.addProblem("operation %s ran %d times", key, count)
+			r.addProblem("operation %s ran %d times", key, count)
 		}
 	}
 }
@@ -300,10 +300,10 @@
 
 // checkProbes checks that probes stay within the budget. The network may delay one
 // probe so that it arrives together with the next one; a third is a violation.
-func (w *faultRun) checkProbes() {
+func (r *faultRun) checkProbes() {
 	for _, name := range []string{"reads", "corrections"} {
 		var probes []time.Time
-		for _, backend := range w.site.Backends {
+		for _, backend := range r.site.Backends {
 			if backend.Service == name {
 				probes = append(probes, backend.Stub.ProbeTimes()...)
 			}
@@ -311,31 +311,33 @@
 		sort.Slice(probes, func(i, j int) bool { return probes[i].Before(probes[j]) })
 		for index := 2; index < len(probes); index++ {
 			if gap := probes[index].Sub(probes[index-2]); gap < time.Second/probesPerSecond-probeJitter {
-				w.addProblem("three probes of %s within %s", name, gap)
+				r.addProblem("three probes of %s within %s", name, gap)
 			}
 		}
 	}
 }
 
-// checkHealed checks that the site has recovered after all faults.
-func (w *faultRun) checkHealed() {
-	result := w.sendLoad(2, 20*time.Second)
+// checkRecovery checks that, after all faults, the site answers every request and the daemons agree on the members and
+// the revision.
+func (r *faultRun) checkRecovery() {
+	result := r.sendLoad(2, 20*time.Second)
 	if result.Answered < result.Sent {
-		w.addProblem("after the faults %d of %d failed: %s", result.Failed(), result.Sent, result.FirstFailure())
+		r.addProblem("after the faults %d of %d failed: %s", result.Failed(), result.Sent, result.FirstFailure())
 	}
-	if !w.site.MembershipComplete() {
-		w.addProblem("after the faults not every daemon knows every other")
+	if !r.site.MembershipComplete() {
+		r.addProblem("after the faults not every daemon knows all others")
 	}
 	revisions := make(map[config.Revision]bool)
-	for _, running := range w.site.Daemons() {
+	for _, running := range r.site.Daemons() {
 		revisions[running.Document().Revision] = true
 	}
 	if len(revisions) != 1 {
-		w.addProblem("after the faults the revisions in force are %v", revisions)
+		r.addProblem("after the faults the revisions in force are %v", revisions)
 	}
 }
 
-// TestRandomFaults runs random schedules of ten minutes in virtual time. To run more:
+// TestRandomFaults injects random schedules of faults, of ten minutes each in virtual time, and checks the
+// guarantees to callers, the probe budget and the recovery. To run more:
 // go test ./lab/site -run TestRandomFaults -rapid.checks=1000.
 func TestRandomFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
@@ -348,27 +350,27 @@
 	})
 }
 
-// TestCheckersCanFail violates each guarantee on purpose and checks that its checker
-// reports it.
-func TestCheckersCanFail(t *testing.T) {
+// TestCheckersDetectViolations violates each guarantee on purpose and checks that its checker reports it. It
+// guards against checks that can never fail.
+func TestCheckersDetectViolations(t *testing.T) {
 	for _, test := range []struct {
 		name    string
-		violate func(w *faultRun, result *load.Result)
+		violate func(r *faultRun, result *load.Result)
 	}{
-		{"wrong answer", func(_ *faultRun, result *load.Result) { result.WrongResponses++ }},
-		{"false not run", func(w *faultRun, result *load.Result) {
-			for name := range w.site.RunsByRequest() {
+		{"wrong response", func(_ *faultRun, result *load.Result) { result.WrongResponses++ }},
+		{"reported as not run, had run", func(r *faultRun, result *load.Result) {
+			for name := range r.site.RunsByRequest() {
 				result.Outcomes = append(result.Outcomes, load.Outcome{Name: name, Run: resultcode.NotRun})
 				return
 			}
 		}},
-		{"second run", func(w *faultRun, _ *load.Result) {
-			for _, backend := range w.site.Backends {
+		{"ran twice", func(r *faultRun, _ *load.Result) {
+			for _, backend := range r.site.Backends {
 				if backend.Service == "corrections" {
 					request, _ := http.NewRequest(http.MethodPost, "http://"+backend.Address+"/corrections", nil)
 					request.Header.Set(policy.HeaderIdempotencyKey, "some-operation")
 					client := http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, _, address string) (netConn, error) {
-						return w.net.Host("callers").Dial(ctx, address)
+						return r.net.Host("callers").Dial(ctx, address)
 					}}}
 					if response, err := client.Do(request); err == nil {
 						response.Body.Close()
@@ -377,12 +379,12 @@
 				}
 			}
 		}},
-		{"probes over budget", func(w *faultRun, _ *load.Result) {
+		{"probes over budget", func(r *faultRun, _ *load.Result) {
 			for range 3 {
 				client := http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, address string) (netConn, error) {
-					return w.net.Host("callers").Dial(ctx, address)
+					return r.net.Host("callers").Dial(ctx, address)
 				}}}
-				if response, err := client.Get("http://" + w.site.Backends[0].Address + backendstub.PathLoad); err == nil {
+				if response, err := client.Get("http://" + r.site.Backends[0].Address + backendstub.PathLoad); err == nil {
 					response.Body.Close()
 				}
 			}
@@ -390,15 +392,15 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			runVirtual(t, smallSite(), func(ctx context.Context, net *fakenet.Net, running *site.Site) {
-				w := &faultRun{ctx: ctx, net: net, site: running, stopped: make(map[string]bool)}
-				result := w.sendLoad(1, 5*time.Second)
-				w.checkResult(result)
-				w.checkProbes()
-				require.Empty(t, w.problems)
-				test.violate(w, result)
-				w.checkResult(result)
-				w.checkProbes()
-				require.NotEmpty(t, w.problems)
+				r := &faultRun{ctx: ctx, net: net, site: running, stopped: make(map[string]bool)}
+				result := r.sendLoad(1, 5*time.Second)
+				r.checkResult(result)
+				r.checkProbes()
+				require.Empty(t, r.problems)
+				test.violate(r, result)
+				r.checkResult(result)
+				r.checkProbes()
+				require.NotEmpty(t, r.problems)
 			})
 		})
 	}
--- a/lab/site/site_test.go
+++ b/lab/site/site_test.go
@@ -14,9 +14,9 @@
 	"github.com/tuliphall/tuliphall/lab/site"
 )
 
-// TestWholePath sends requests over TCP through real daemons to back ends, with the
-// configuration read from the platform.
-func TestWholePath(t *testing.T) {
+// TestEveryRequestIsAnsweredOverTCP sends requests over TCP through daemons to back ends, with the configuration
+// read from the platform.
+func TestEveryRequestIsAnsweredOverTCP(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
 	running, err := site.Start(ctx, site.Options{
--- a/lab/site/virtual_test.go
+++ b/lab/site/virtual_test.go
@@ -25,17 +25,17 @@
 // testServices returns the services reads, which is retried, and corrections, whose requests
 // have idempotency keys.
 func testServices(backends int) []site.Service {
-	work := backendstub.Options{MeanServiceTime: 5 * time.Millisecond, Seed: 3}
+	backendOptions := backendstub.Options{MeanServiceTime: 5 * time.Millisecond, Seed: 3}
 	return []site.Service{
 		{
 			Config:   config.Service{Name: "reads", PathPrefix: "/reads", Policy: "reads", RefusalStatus: http.StatusServiceUnavailable},
 			Policy:   config.Policy{Name: "reads", Source: policy.Source{Retry: "true", Weight: "10", Deadline: `duration("2s")`}},
-			Backends: backends, Backend: work,
+			Backends: backends, Backend: backendOptions,
 		},
 		{
 			Config:   config.Service{Name: "corrections", PathPrefix: "/corrections", Policy: "corrections", RefusalStatus: http.StatusServiceUnavailable},
 			Policy:   config.Policy{Name: "corrections", Source: policy.Source{Once: "true", Weight: "20", Deadline: `duration("5s")`}},
-			Backends: backends, Backend: work,
+			Backends: backends, Backend: backendOptions,
 		},
 	}
 }
@@ -110,7 +110,7 @@
 	}
 }
 
-// TestForwardedService sends requests for a service that is forwarded to its dispatcher.
+// TestForwardedService checks that requests for a service that is forwarded to its dispatcher are all answered.
 func TestForwardedService(t *testing.T) {
 	services := testServices(4)
 	services[0].Config.Forward = true
@@ -121,7 +121,9 @@
 	})
 }
 
-func TestVirtualSite(t *testing.T) {
+// TestEveryRequestIsAnsweredInVirtualTime checks that a site without faults answers every request, on the in-memory
+// network.
+func TestEveryRequestIsAnsweredInVirtualTime(t *testing.T) {
 	runVirtual(t, site.Options{Zones: []string{"zone-a", "zone-b"}, Daemons: 3, Services: testServices(4)}, func(ctx context.Context, net *fakenet.Net, running *site.Site) {
 		result := load.Run(ctx, load.Options{Network: net.Host("callers"), Targets: running.Targets(), Rate: 300, Duration: 5 * time.Second, Seed: 1, Kinds: requestKinds()})
 		require.Equal(t, result.Sent, result.Answered, result.FirstFailure())
