--- a/lab/account/account_test.go
+++ b/lab/account/account_test.go
@@ -17,7 +17,7 @@
 )
 
 // causes are the log lines of one request per cause. The class has an objective of 250 ms; a late response earns a
-// tenth of the value. The report counts two more requests, for which there are no lines.
+// tenth of the value. The report counts two more requests, for which there are no log lines.
 var causes = []struct {
 	cause string
 	lines []string
@@ -43,34 +43,34 @@
 	{"failed: back end silent", []string{chosen("first", "b9", 5, 0), failed(3002)}},
 }
 
-const fields = `"service":"s","class":"safe-128-250"`
+const requestFields = `"service":"s","class":"safe-128-250"`
 
 func chosen(kind, backend string, reportAge, waited int) string {
 	return fmt.Sprintf(`"msg":"routing: chosen",%s,"attempt_kind":%q,"backend":%q,"dispatcher":"d1","reason":"least-load","candidates":3,"report_age":%d,"waited":%d,"remaining":900000000`,
-		fields, kind, backend, reportAge*1e6, waited*1e6)
+		requestFields, kind, backend, reportAge*1e6, waited*1e6)
 }
 
 func answered(backend string, latency, total, sent, inFlight, slowdown int, hedge string) string {
 	return fmt.Sprintf(`"msg":"frontend: answered",%s,"code":1000,"backend":%q,"status":200,"backend_latency":%d,"total":%d,"sent":%d,"backend_in_flight":%d,"backend_slowdown":%d,"hedge":%q`,
-		fields, backend, latency*1e6, total*1e6, sent, inFlight, slowdown, hedge)
+		requestFields, backend, latency*1e6, total*1e6, sent, inFlight, slowdown, hedge)
 }
 
 func answeredWith(status int) string {
-	return fmt.Sprintf(`"msg":"frontend: answered",%s,"code":1000,"backend":"b1","status":%d,"total":1000000`, fields, status)
+	return fmt.Sprintf(`"msg":"frontend: answered",%s,"code":1000,"backend":"b1","status":%d,"total":1000000`, requestFields, status)
 }
 
 func refused(code int, cause string) string {
-	return fmt.Sprintf(`"msg":"frontend: failed",%s,"code":%d,"run":"not-run","cause":%q`, fields, code, cause)
+	return fmt.Sprintf(`"msg":"frontend: failed",%s,"code":%d,"run":"not-run","cause":%q`, requestFields, code, cause)
 }
 
 func failed(code int) string {
-	return fmt.Sprintf(`"msg":"frontend: failed",%s,"code":%d,"run":"unknown","cause":"it broke","sent":1,"backends":"b9","total":900000000`, fields, code)
+	return fmt.Sprintf(`"msg":"frontend: failed",%s,"code":%d,"run":"unknown","cause":"it broke","sent":1,"backends":"b9","total":900000000`, requestFields, code)
 }
 
-const attemptFailed = `"msg":"frontend: attempt failed",` + fields + `,"attempt":1,"code":3001,"cause":"it broke","retry":"again"`
+const attemptFailed = `"msg":"frontend: attempt failed",` + requestFields + `,"attempt":1,"code":3001,"cause":"it broke","retry":"again"`
 
-// logOf returns the log of a day in which each cause occurs once, two seconds apart.
-func logOf(t *testing.T) (*explain.Log, time.Time) {
+// logOfCauses returns the log of a day in which each cause occurs once, two seconds apart.
+func logOfCauses(t *testing.T) (*explain.Log, time.Time) {
 	var text strings.Builder
 	start := time.Date(2026, 1, 1, 12, 0, 0, 0, time.UTC)
 	for number, cause := range causes {
@@ -86,7 +86,7 @@
 	return log, firstTime
 }
 
-const site = `
+const classSpecs = `
 [[classes]]
 name = "reads"
 kind = "safe"
@@ -108,15 +108,15 @@
 	return path
 }
 
-// TestEachCauseIsNamed checks that each loss is put under the cause that the log lines were written for, and that
+// TestLossesAreAttributedToCauses checks that each loss is attributed to the cause that its log lines show, and that
 // the sum is the loss according to the report.
-func TestEachCauseIsNamed(t *testing.T) {
+func TestLossesAreAttributedToCauses(t *testing.T) {
 	const earned = (80 + 0.1*11) / 99
 	report, err := dayreport.Read(writeFile(t, "report.json", fmt.Sprintf(reportText, earned, earned)))
 	require.NoError(t, err)
-	specs, err := dayreport.ReadClassSpecs(writeFile(t, "site.toml", site))
+	specs, err := dayreport.ReadClassSpecs(writeFile(t, "site.toml", classSpecs))
 	require.NoError(t, err)
-	log, start := logOf(t)
+	log, start := logOfCauses(t)
 	breakdown := account.Compute(account.Day{Report: report, ClassSpecs: specs, Log: log, Start: start})
 	require.InDelta(t, breakdown.ReportedFraction, breakdown.LostFraction, 0.02*breakdown.ReportedFraction)
 	require.Zero(t, breakdown.UnexplainedShare())
@@ -148,8 +148,7 @@
 	require.Equal(t, []account.Loss{{Cause: "price: machine-seconds", Fraction: 0.04}}, breakdown.Penalties)
 }
 
-// TestWhatNoLineExplains checks that losses without any log lines are unexplained.
-func TestWhatNoLineExplains(t *testing.T) {
+func TestLossesWithoutLogLinesAreUnexplained(t *testing.T) {
 	report, err := dayreport.Read(writeFile(t, "report.json", fmt.Sprintf(reportText, 0.9, 0.9)))
 	require.NoError(t, err)
 	breakdown := account.Compute(account.Day{Report: report, ClassSpecs: []dayreport.ClassSpec{{Name: "reads", Kind: "safe", Objective: 250, Value: 1}}, Log: explain.NewLog()})
@@ -158,12 +157,12 @@
 	require.Greater(t, breakdown.UnexplainedShare(), 0.5)
 }
 
-// TestReportsThatCannotBeRead checks the errors for invalid reports and class specifications.
-func TestReportsThatCannotBeRead(t *testing.T) {
+// TestInvalidInputsAreRejected checks the errors for invalid reports and class specifications.
+func TestInvalidInputsAreRejected(t *testing.T) {
 	for name, text := range map[string]string{
-		"no JSON":     "day",
-		"no kinds":    `{"G": 1}`,
-		"a short row": `{"classes": [{"name": "reads"}], "prices": [["a"]]}`,
+		"not JSON":             "day",
+		"no classes":           `{"G": 1}`,
+		"incomplete price row": `{"classes": [{"name": "reads"}], "prices": [["a"]]}`,
 	} {
 		_, err := dayreport.Read(writeFile(t, "report.json", text))
 		require.ErrorContains(t, err, "report", name)
@@ -172,8 +171,8 @@
 	require.ErrorContains(t, err, "no classes")
 }
 
-// days returns the reports of a build. Their scores vary by day, at random by seed, and by the given difference.
-func days(seed uint64, difference float64) []account.DayResult {
+// dayResults returns the reports of a build. Their scores vary by day, at random by seed, and by the given difference.
+func dayResults(seed uint64, difference float64) []account.DayResult {
 	day, noise := rand.New(rand.NewPCG(1, 1)), rand.New(rand.NewPCG(seed, 2))
 	results := make([]account.DayResult, 12)
 	for index := range results {
@@ -186,20 +185,20 @@
 // TestCompare checks that a difference between two builds is significant and one between two runs of the same build
 // is not, although scores vary far more from day to day.
 func TestCompare(t *testing.T) {
-	sameBuild, err := account.Compare(days(1, 0), days(2, 0))
+	sameBuild, err := account.Compare(dayResults(1, 0), dayResults(2, 0))
 	require.NoError(t, err)
 	require.Equal(t, "worth", sameBuild[0].Name)
 	require.False(t, sameBuild[0].Significant())
-	otherBuild, err := account.Compare(days(1, 0), days(2, -0.03))
+	otherBuild, err := account.Compare(dayResults(1, 0), dayResults(2, -0.03))
 	require.NoError(t, err)
 	require.True(t, otherBuild[0].Significant())
 	require.InDelta(t, -0.03, otherBuild[0].Mean, 0.01)
-	_, err = account.Compare(days(1, 0), nil)
+	_, err = account.Compare(dayResults(1, 0), nil)
 	require.ErrorContains(t, err, "12 reports before and 0 after")
 }
 
-// TestDayWithoutAPrice checks that a penalty or cause counts as 0 on days whose report does not have it.
-func TestDayWithoutAPrice(t *testing.T) {
+// TestMissingPenaltyOrCauseCountsAsZero checks that a penalty or cause counts as 0 on days on which it does not occur.
+func TestMissingPenaltyOrCauseCountsAsZero(t *testing.T) {
 	withPenalty := account.DayResult{Report: dayreport.Report{Penalties: []dayreport.Penalty{{Name: "calls", Fraction: 0.02}}}, Losses: []account.Loss{{Cause: "late", Fraction: 0.1}}}
 	differences, err := account.Compare([]account.DayResult{{}, {}}, []account.DayResult{withPenalty, {}})
 	require.NoError(t, err)
--- a/lab/simulation/replay_test.go
+++ b/lab/simulation/replay_test.go
@@ -56,7 +56,7 @@
 		t.Run(name, func(t *testing.T) {
 			outcome := replayAll(t, name)
 			for class, got := range outcome.Classes {
-				t.Logf("%s: asked %d, in time %.3f, late %.3f, gave up %.3f; refused %.3f, twice %.3f, held %s, %s at p99; hedges %.3f; p99 %s",
+				t.Logf("%s: %d requests, in time %.3f, late %.3f, gave up %.3f; refused %.3f, repeatedly %.3f, refusal delay %s at p50, %s at p99; hedges %.3f; p99 %s",
 					class, got.Requests, got.Share(got.InTime), got.Share(got.Late), got.Share(got.GaveUp),
 					got.Share(got.Refused), got.Share(got.RefusedRepeatedly), got.RefusalDelayAt(50), got.RefusalDelayAt(99), got.Share(got.Hedges), got.LatencyAt(99))
 				require.GreaterOrEqual(t, got.Share(got.InTime), want.minInTime[class], class)
@@ -67,9 +67,9 @@
 	}
 }
 
-// TestColdAndEvacuatedAreSpared checks that no cold back end fails or gets more requests than
+// TestColdRateAndEvacuationAreRespected checks that no cold back end fails or gets more requests than
 // evenly spaced ones at its rate, and that no evacuated one gets any.
-func TestColdAndEvacuatedAreSpared(t *testing.T) {
+func TestColdRateAndEvacuationAreRespected(t *testing.T) {
 	for _, name := range []string{"cold", "evacuated"} {
 		outcome := replayAll(t, name)
 		require.Zero(t, outcome.ColdFailures, name)
@@ -78,8 +78,8 @@
 	}
 }
 
-// TestEveryPatternIsPlayed checks that each pattern file has limits and a description.
-func TestEveryPatternIsPlayed(t *testing.T) {
+// TestEveryPatternHasBounds checks that each pattern file has limits and a description.
+func TestEveryPatternHasBounds(t *testing.T) {
 	paths, err := filepath.Glob("patterns/*.toml")
 	require.NoError(t, err)
 	require.Len(t, paths, len(patterns))
@@ -91,8 +91,8 @@
 	}
 }
 
-// TestSameSeedSameReplay checks that replays are deterministic.
-func TestSameSeedSameReplay(t *testing.T) {
+// TestReplayIsDeterministic checks that the same pattern and seed give the same results.
+func TestReplayIsDeterministic(t *testing.T) {
 	pattern, err := simulation.LoadPattern("patterns/slow.toml")
 	require.NoError(t, err)
 	first, second := simulation.Replay(pattern, 7).Total(), simulation.Replay(pattern, 7).Total()
@@ -100,18 +100,18 @@
 	require.Equal(t, first.Refused, second.Refused)
 }
 
-// TestRefusedAtOnce offers five times the capacity: requests that get no permit must be
-// refused without delay, and as many must be answered in time as at capacity.
-func TestRefusedAtOnce(t *testing.T) {
+// TestExcessRequestsAreRefusedWithoutDelay offers five times the capacity: requests that get no permit must be
+// refused without delay, and at least 90% as many must be answered in time as at capacity.
+func TestExcessRequestsAreRefusedWithoutDelay(t *testing.T) {
 	overload, capacity := replayAll(t, "overload").Total(), replayAll(t, "capacity").Total()
 	require.LessOrEqual(t, overload.RefusalDelayAt(50), 5*time.Millisecond)
 	require.LessOrEqual(t, overload.RefusalDelayAt(99), 95*time.Millisecond, "the arrival rate is not known during the first second")
 	require.GreaterOrEqual(t, float64(overload.InTime), 0.9*float64(capacity.InTime))
 }
 
-// TestUrgentIsServedFirst checks that, when two classes share back ends in a burst, the one
+// TestHigherWeightGetsLargerShareAnswered checks that, when two classes share back ends in a burst, the class
 // with the higher weight gets at least as large a share of its requests answered.
-func TestUrgentIsServedFirst(t *testing.T) {
+func TestHigherWeightGetsLargerShareAnswered(t *testing.T) {
 	classes := replayAll(t, "urgent").Classes
 	write, read := classes["write"], classes["read"]
 	require.GreaterOrEqual(t, write.Share(write.InTime), read.Share(read.InTime))
--- a/lab/simulation/simulation_test.go
+++ b/lab/simulation/simulation_test.go
@@ -11,8 +11,8 @@
 	"github.com/tuliphall/tuliphall/routing"
 )
 
-// product is the system that the daemons implement.
-func product() simulation.System {
+// tuliphallSystem is the system under test as the daemons implement it.
+func tuliphallSystem() simulation.System {
 	return simulation.System{
 		Name: "tuliphall", Picker: func(simulation.Oracle) routing.Picker { return routing.LeastLoad{} },
 		Overcommit: routing.DefaultOvercommit, Dispatchers: 1, Permits: true, LoadReports: true,
@@ -28,11 +28,11 @@
 	}
 }
 
-// TestSameSeedSameResult checks that the simulator is deterministic.
-func TestSameSeedSameResult(t *testing.T) {
+// TestRunIsDeterministic checks that the same scenario and seed give the same results.
+func TestRunIsDeterministic(t *testing.T) {
 	scenario := priceQuery(0.85, 3*time.Second)
 	scenario.Noise = simulation.Noise{Slowdown: 3, Noisy: 50 * time.Millisecond, Quiet: 450 * time.Millisecond}
-	first, second := simulation.Run(scenario, product()), simulation.Run(scenario, product())
+	first, second := simulation.Run(scenario, tuliphallSystem()), simulation.Run(scenario, tuliphallSystem())
 	require.Equal(t, first.Answered, second.Answered)
 	require.Equal(t, first.Quantile(99), second.Quantile(99))
 	require.Equal(t, first.Attempts, second.Attempts)
@@ -47,35 +47,35 @@
 	return float64(interval.Sent[worker]) / float64(total)
 }
 
-// TestRejectingServer has one of ten back ends reject every request from second 3 to 8: it
+// TestRejectingBackendIsAvoidedUntilItRecovers has one of ten back ends reject every request from second 3 to 8: it
 // must get less than 1% of the requests meanwhile and more than 5% again afterwards.
-func TestRejectingServer(t *testing.T) {
+func TestRejectingBackendIsAvoidedUntilItRecovers(t *testing.T) {
 	scenario := priceQuery(0.7, 20*time.Second)
 	scenario.Faults = []simulation.Fault{{Kind: simulation.FaultReject, Worker: 4, From: 3 * time.Second, Until: 8 * time.Second}}
-	result := simulation.Run(scenario, product())
+	result := simulation.Run(scenario, tuliphallSystem())
 	for _, interval := range result.Intervals {
 		switch {
 		case interval.From >= 4*time.Second && interval.From < 8*time.Second:
 			require.Less(t, shareOf(interval, 4), 0.01, "at %s", interval.From)
 		case interval.From >= 18*time.Second && interval.From < 19*time.Second:
-			require.Greater(t, shareOf(interval, 4), 0.05, "no requests again at %s", interval.From)
+			require.Greater(t, shareOf(interval, 4), 0.05, "too few requests after the recovery, at %s", interval.From)
 		}
 	}
 	require.Zero(t, result.RefusedAfterRun)
 	require.Less(t, float64(result.Failed), 0.001*float64(result.Offered))
 }
 
-// TestSlowServer slows one of ten back ends down tenfold from second 3 to 10 and limits
+// TestSlowBackendEffectOnP99IsBounded slows one of ten back ends down tenfold from second 3 to 10 and limits
 // the effect on p99. The p99 of half a second depends on the five slowest of 700 requests
 // and varies by half between intervals, so the test takes the whole time, for ten seeds.
-func TestSlowServer(t *testing.T) {
+func TestSlowBackendEffectOnP99IsBounded(t *testing.T) {
 	for seed := uint64(1); seed <= 10; seed++ {
 		baseline := priceQuery(0.7, 10*time.Second)
 		baseline.Seed = seed
-		expected := simulation.Run(baseline, product())
+		expected := simulation.Run(baseline, tuliphallSystem())
 		scenario := baseline
 		scenario.Faults = []simulation.Fault{{Kind: simulation.FaultSlow, Worker: 4, From: 3 * time.Second, Until: 10 * time.Second, Factor: 10}}
-		result := simulation.Run(scenario, product())
+		result := simulation.Run(scenario, tuliphallSystem())
 		slowed := hdrhistogram.New(1, time.Minute.Microseconds(), 3)
 		for _, interval := range result.Intervals {
 			if interval.From >= 5*time.Second && interval.From < 9500*time.Millisecond {
@@ -97,17 +97,17 @@
 	}
 }
 
-// TestOverload offers two and five times the capacity: goodput must stay near capacity,
+// TestGoodputUnderOverload offers two and five times the capacity: goodput must stay near capacity,
 // and the p99 of the class of high weight within twice that at low load.
-func TestOverload(t *testing.T) {
+func TestGoodputUnderOverload(t *testing.T) {
 	baseline := priceQuery(0.5, 5*time.Second)
 	baseline.Classes = overloadClasses()
-	unloaded := simulation.Run(baseline, product()).Classes["high"].ValueAtQuantile(99)
+	unloaded := simulation.Run(baseline, tuliphallSystem()).Classes["high"].ValueAtQuantile(99)
 	for _, load := range []float64{2, 5} {
 		scenario := priceQuery(load, 8*time.Second)
 		scenario.Classes = overloadClasses()
 		scenario.Queue = 1000
-		result := simulation.Run(scenario, product())
+		result := simulation.Run(scenario, tuliphallSystem())
 		require.Greater(t, result.Goodput(), 0.95*result.Capacity, "load %g", load)
 		require.Zero(t, result.RefusedAfterRun)
 		high := result.Classes["high"].ValueAtQuantile(99)
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -17,9 +17,9 @@
 	_ "github.com/tuliphall/tuliphall/launch"
 )
 
-// TestCheckersCanFail breaks each promise that the report checks, and expects exactly the
+// TestCheckersDetectViolations breaks each promise that the report checks, and expects exactly the
 // violation that belongs to it. It guards against checks that can never fail.
-func TestCheckersCanFail(t *testing.T) {
+func TestCheckersDetectViolations(t *testing.T) {
 	response := func(status int, id string) *http.Response {
 		return &http.Response{StatusCode: status, Header: http.Header{"Request-Id": {id}}}
 	}
@@ -76,21 +76,21 @@
 	}
 }
 
-// TestFaultsExcuseBounds checks that promises with a bound are not checked during a fault and for some time
+// TestBoundsAreNotCheckedDuringFaults checks that promises with a bound are not checked during a fault and for some time
 // after it.
-func TestFaultsExcuseBounds(t *testing.T) {
+func TestBoundsAreNotCheckedDuringFaults(t *testing.T) {
 	r := newReport(io.Discard)
 	r.lastFaultEnd = time.Now().Add(-time.Minute)
-	ended := r.beginFault()
+	endFault := r.beginFault()
 	r.recordDrainingArrival("i-1", "s-1", drainBound+time.Second)
-	ended()
+	endFault()
 	r.recordDrainingArrival("i-1", "s-1", drainBound+time.Second)
 	require.Empty(t, r.violations)
 }
 
-// TestScheduleRepeats checks that a seed always gives the same schedule, that its faults
-// are ordered and within its time, and that every kind occurs.
-func TestScheduleRepeats(t *testing.T) {
+// TestScheduleIsDeterministic checks that a seed always gives the same schedule, that its faults are in order
+// of time and within the duration, and that every kind occurs.
+func TestScheduleIsDeterministic(t *testing.T) {
 	drawn := make(map[FaultKind]bool)
 	for seed := range uint64(40) {
 		schedule := NewSchedule(seed, 20, time.Second, time.Minute)
@@ -120,9 +120,9 @@
 	require.Positive(t, result.Counts["status 200"])
 }
 
-// TestStartWaitsForTheEarlierLife guards against a restart while the earlier incarnation of a daemon, which
-// another fault is stopping, still runs. Its exit was then taken for an exit of the new incarnation.
-func TestStartWaitsForTheEarlierLife(t *testing.T) {
+// TestStartWaitsForPreviousIncarnation guards against a restart while the previous incarnation of a daemon, which
+// another fault is stopping, still runs. Its exit would be taken for an exit of the new incarnation.
+func TestStartWaitsForPreviousIncarnation(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "slow-to-stop")
 	script := "#!/bin/sh\ntrap 'sleep 0.3; exit 0' TERM\nwhile :; do sleep 0.05; done\n"
 	require.NoError(t, os.WriteFile(binary, []byte(script), 0o700))
