--- a/dissemination/follower_test.go
+++ b/dissemination/follower_test.go
@@ -23,32 +23,32 @@
 )
 
 // fakePeers are the peers of a daemon that knows no other daemon. The daemon is a watcher unless
-// othersChosen is set.
+// othersWatch is set.
 type fakePeers struct {
-	announced    atomic.Int32
-	relayed      atomic.Int32
-	fetched      atomic.Int32
-	othersChosen bool
+	announced   atomic.Int32
+	relayed     atomic.Int32
+	fetched     atomic.Int32
+	othersWatch bool
 }
 
-func (l *fakePeers) Rank(string, int) (int, int, bool) { return 0, 1, !l.othersChosen }
-func (l *fakePeers) HasAnnouncer(context.Context, string, int) bool {
-	return l.othersChosen
+func (p *fakePeers) Rank(string, int) (int, int, bool) { return 0, 1, !p.othersWatch }
+func (p *fakePeers) HasAnnouncer(context.Context, string, int) bool {
+	return p.othersWatch
 }
-func (l *fakePeers) RegionSize() int { return 1 }
-func (l *fakePeers) Announce(context.Context, string, int) {
-	l.announced.Add(1)
+func (p *fakePeers) RegionSize() int { return 1 }
+func (p *fakePeers) Announce(context.Context, string, int) {
+	p.announced.Add(1)
 }
-func (l *fakePeers) Relay(context.Context) {
-	l.announced.Add(1)
-	l.relayed.Add(1)
+func (p *fakePeers) Relay(context.Context) {
+	p.announced.Add(1)
+	p.relayed.Add(1)
 }
-func (l *fakePeers) FetchDocument(context.Context, string, config.Document) (config.Document, error) {
-	l.fetched.Add(1)
+func (p *fakePeers) FetchDocument(context.Context, string, config.Document) (config.Document, error) {
+	p.fetched.Add(1)
 	return config.Document{}, errors.New("no peers")
 }
 
-// scriptedSource is empty until a test declares a document.
+// scriptedSource has no document until a test sends one to declared.
 type scriptedSource struct {
 	reads    atomic.Int32
 	watches  atomic.Int32
@@ -57,7 +57,7 @@
 
 func (s *scriptedSource) Read(context.Context) (config.Document, error) {
 	s.reads.Add(1)
-	return config.Document{}, errors.NotFoundf("declaration")
+	return config.Document{}, errors.NotFoundf("configuration")
 }
 
 func (s *scriptedSource) Required() bool { return true }
@@ -104,9 +104,9 @@
 	return follower
 }
 
-// TestFirstDeclarationIsWaitedFor starts a watcher before any configuration exists: it reads the
+// TestWatcherWaitsForFirstConfiguration starts a watcher before any configuration exists: it reads the
 // store once and then watches it, instead of polling.
-func TestFirstDeclarationIsWaitedFor(t *testing.T) {
+func TestWatcherWaitsForFirstConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &scriptedSource{declared: make(chan config.Document, 1)}
 		follower := startFollower(t, source, &fakePeers{}, 0)
@@ -120,12 +120,12 @@
 	})
 }
 
-// TestFirstDeclarationIsTold starts a daemon that is not a watcher before any configuration
-// exists: it reads the store once and is then notified by a peer.
-func TestFirstDeclarationIsTold(t *testing.T) {
+// TestNonWatcherGetsFirstConfigurationFromPeer starts a daemon that is not a watcher before any configuration
+// exists: it reads the store once, does not watch it, and gets the first configuration from a peer.
+func TestNonWatcherGetsFirstConfigurationFromPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &scriptedSource{declared: make(chan config.Document)}
-		follower := startFollower(t, source, &fakePeers{othersChosen: true}, 0)
+		follower := startFollower(t, source, &fakePeers{othersWatch: true}, 0)
 		time.Sleep(3 * time.Second)
 		require.EqualValues(t, 1, source.reads.Load())
 		require.EqualValues(t, 0, source.watches.Load())
@@ -134,12 +134,12 @@
 	})
 }
 
-// TestFirstStart starts a daemon that is not a watcher together with the whole system: it does not
-// call the store at all.
-func TestFirstStart(t *testing.T) {
+// TestNonWatcherDoesNotCallStoreAtFirstStart starts a daemon that is not a watcher together with the whole
+// system: it does not call the store at all.
+func TestNonWatcherDoesNotCallStoreAtFirstStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &scriptedSource{declared: make(chan config.Document)}
-		follower := runFollower(t, &fakePeers{othersChosen: true}, Options{Sources: []Source{source}, FirstStart: true})
+		follower := runFollower(t, &fakePeers{othersWatch: true}, Options{Sources: []Source{source}, FirstStart: true})
 		time.Sleep(2 * time.Second)
 		require.NoError(t, follower.Offer(config.Document{Revision: 4}, "another"))
 		<-follower.Configured()
@@ -158,9 +158,9 @@
 	return config.Document{Revision: 5}, nil
 }
 
-// TestOthersAreNotAskedWhileTheStoreIsRead learns of newer peers during the initial read of the
-// store, when no document may be fetched from them, and afterwards.
-func TestOthersAreNotAskedWhileTheStoreIsRead(t *testing.T) {
+// TestNoFetchFromPeersDuringInitialRead has a daemon learn of newer peers during the initial read of the store,
+// when it must not fetch the document from them, and afterwards, when it must.
+func TestNoFetchFromPeersDuringInitialRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		peers := &fakePeers{}
 		follower := startFollower(t, &slowSource{}, peers, 0)
@@ -176,9 +176,9 @@
 	})
 }
 
-// TestQuickChangesAreTakenTogether checks that the watch pauses for the interval after a change,
-// so that further changes within it are received together.
-func TestQuickChangesAreTakenTogether(t *testing.T) {
+// TestWatchPausesAfterChange checks that the next watch begins only the watch interval after a change, so that
+// further changes within it are received together.
+func TestWatchPausesAfterChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &scriptedSource{declared: make(chan config.Document, 1)}
 		peers := &fakePeers{}
@@ -197,19 +197,19 @@
 	})
 }
 
-// TestNewsFromOthersIsAnnounced checks that a watcher announces a change received from another
+// TestChangeFromPeerIsAnnouncedAndRelayed checks that a watcher announces a change received from another
 // daemon to its assigned members and also relays it, and that other daemons only relay it.
-func TestNewsFromOthersIsAnnounced(t *testing.T) {
+func TestChangeFromPeerIsAnnouncedAndRelayed(t *testing.T) {
 	for name, test := range map[string]struct {
-		othersChosen bool
-		announced    int32
+		othersWatch bool
+		announced   int32
 	}{
-		"it watches":   {announced: 1},
-		"others watch": {othersChosen: true},
+		"watcher":       {announced: 1},
+		"not a watcher": {othersWatch: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				peers := &fakePeers{othersChosen: test.othersChosen}
+				peers := &fakePeers{othersWatch: test.othersWatch}
 				follower := startFollower(t, &scriptedSource{declared: make(chan config.Document, 1)}, peers, 500*time.Millisecond)
 				require.NoError(t, follower.Offer(config.Document{Revision: 1}, "edge-1"))
 				time.Sleep(time.Millisecond)
@@ -220,9 +220,9 @@
 	}
 }
 
-// TestOlderDocumentsArePassedOver offers documents in random order, with older and newer parts:
-// the version of each part in force never decreases.
-func TestOlderDocumentsArePassedOver(t *testing.T) {
+// TestOlderDocumentPartsAreIgnored offers documents in random order, with older and newer parts: the version of
+// each part in force must never decrease.
+func TestOlderDocumentPartsAreIgnored(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		follower := NewFollower(Options{
 			Sources: make([]Source, 2), Services: service.NewRegistry(service.Options{Network: network.TCP{}}),
@@ -246,7 +246,7 @@
 			require.Equal(t, highest, follower.Position())
 			if highest.Revision > 0 {
 				_, found := follower.options.Services.Find(fmt.Sprintf("revision-%d", highest.Revision))
-				require.True(t, found, "requests are not served with the revision reported in force")
+				require.True(t, found, "requests are not served with the revision that is reported as in force")
 			}
 		}
 	})
--- a/dissemination/source_test.go
+++ b/dissemination/source_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestWatchesAreRenewedInTurn simulates the watchers after a change that all received at once:
-// exactly one of them renews its watch in every gap.
+// TestWatchesAreRenewedInTurn simulates the watchers after a change that all received at once: exactly one of
+// them must renew its watch in every gap.
 func TestWatchesAreRenewedInTurn(t *testing.T) {
 	const gap = 600 * time.Millisecond
 	for _, watchers := range []int{1, 3, 13, 18, 20} {
@@ -26,8 +26,8 @@
 	}
 }
 
-// TestWatchLengthIsBounded checks that a watch never exceeds the maximum duration.
-func TestWatchLengthIsBounded(t *testing.T) {
+// TestWatchDurationIsBounded checks that a watch never exceeds the maximum duration.
+func TestWatchDurationIsBounded(t *testing.T) {
 	require.Equal(t, maxWatchDuration, watchDuration(0, 0, 18, true), "without a gap")
 	require.Equal(t, maxWatchDuration, watchDuration(time.Second, 849, 850, true))
 	require.Equal(t, time.Second, watchDuration(time.Second, 0, 0, false), "a daemon that knows no other")
