--- a/peer/announce_test.go
+++ b/peer/announce_test.go
@@ -31,9 +31,9 @@
 func (*fakeConfiguration) RecordNewerPeer(membership.Member, config.Position) {}
 func (*fakeConfiguration) Offer(config.Document, string) error                { return nil }
 
-// TestNewsIsHandedOverOnce announces the same change from several daemons: only one of them is to
-// deliver it, and another one only if the first fails to.
-func TestNewsIsHandedOverOnce(t *testing.T) {
+// TestAnnouncedChangeIsDeliveredOnce announces the same change from several daemons: only one of them must be
+// asked to deliver it, and another one only if the first fails to.
+func TestAnnouncedChangeIsDeliveredOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		configuration := &fakeConfiguration{}
 		configuration.directory.Store(1)
--- a/peer/announcers_test.go
+++ b/peer/announcers_test.go
@@ -19,9 +19,9 @@
 	return members
 }
 
-// TestEveryMemberHasItsTellers checks that each member is assigned to two announcers other than
+// TestEveryMemberHasAnnouncers checks that each member is assigned to two announcers other than
 // itself, or to as many as there are, and that no announcer has far more members than the others.
-func TestEveryMemberHasItsTellers(t *testing.T) {
+func TestEveryMemberHasAnnouncers(t *testing.T) {
 	for _, size := range []int{1, 2, 7, 18, 142, 850} {
 		members := newMembers(size)
 		for _, count := range []int{1, 2, 3, 4, 8} {
@@ -45,9 +45,9 @@
 	}
 }
 
-// TestTellersDoNotDependOnOthers checks that daemons that know the same watchers agree on the
+// TestAnnouncersDoNotDependOnOtherMembers checks that daemons that know the same watchers agree on the
 // announcers of a member, even if they know different other members.
-func TestTellersDoNotDependOnOthers(t *testing.T) {
+func TestAnnouncersDoNotDependOnOtherMembers(t *testing.T) {
 	members := newMembers(60)
 	watchers := membership.Choose(members, "watch", 4)
 	for _, watcher := range watchers {
