--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -53,8 +53,8 @@
 	return !c.down[a] && !c.down[b] && (c.partitioned == nil || !c.partitioned(a, b))
 }
 
-// period has every running daemon perform its exchange of one period.
-func (c *cluster) period() {
+// runPeriod has every running daemon perform its exchange of one runPeriod.
+func (c *cluster) runPeriod() {
 	c.now = c.now.Add(membership.Period)
 	for number, state := range c.states {
 		if c.down[number] {
@@ -92,14 +92,14 @@
 		if condition() {
 			return count
 		}
-		c.period()
+		c.runPeriod()
 	}
 	t.Fatalf("not within %d periods", limit)
 	return 0
 }
 
-// allKnow reports whether every running daemon sees exactly the running daemons as serving.
-func (c *cluster) allKnow() bool {
+// converged reports whether every running daemon sees exactly the running daemons as serving.
+func (c *cluster) converged() bool {
 	running := len(c.states) - len(c.down)
 	for number, state := range c.states {
 		if !c.down[number] && len(state.Serving()) != running {
@@ -109,33 +109,35 @@
 	return true
 }
 
+// TestJoinAndDeath checks that all daemons learn of daemons that join, die, and restart under the same name.
 func TestJoinAndDeath(t *testing.T) {
 	c := newCluster(60)
-	c.periodsUntil(t, 30, c.allKnow)
+	c.periodsUntil(t, 30, c.converged)
 	c.down[7] = true
-	c.periodsUntil(t, 40, c.allKnow)
+	c.periodsUntil(t, 40, c.converged)
 	// The daemon restarts under the same name with a higher incarnation.
 	delete(c.down, 7)
 	c.add(7, 2)
-	c.periodsUntil(t, 40, c.allKnow)
+	c.periodsUntil(t, 40, c.converged)
 }
 
-// TestDigestsAgree: daemons that know the same members have the same digest, so they do not sync.
+// TestDigestsAgree checks that daemons that know the same members have the same digest, so they do not sync.
 func TestDigestsAgree(t *testing.T) {
 	c := newCluster(50)
-	c.periodsUntil(t, 30, c.allKnow)
+	c.periodsUntil(t, 30, c.converged)
 	for range 10 {
-		c.period()
+		c.runPeriod()
 	}
 	for _, state := range c.states {
 		require.Equal(t, c.states[0].Digest(), state.Digest())
 	}
 }
 
-// TestPartitionHeals partitions the fleet until each side has declared the other dead.
+// TestPartitionHeals partitions the fleet until each side has declared the other dead: afterwards both sides must
+// know each other again.
 func TestPartitionHeals(t *testing.T) {
 	c := newCluster(40)
-	c.periodsUntil(t, 30, c.allKnow)
+	c.periodsUntil(t, 30, c.converged)
 	c.partitioned = func(a, b int) bool { return a%2 != b%2 }
 	c.periodsUntil(t, 200, func() bool {
 		for _, state := range c.states {
@@ -146,24 +148,24 @@
 		return true
 	})
 	c.partitioned = nil
-	c.periodsUntil(t, 100, c.allKnow)
+	c.periodsUntil(t, 100, c.converged)
 }
 
-// TestFalseSuspicionIsRefuted has a running daemon suspected.
+// TestFalseSuspicionIsRefuted checks that a running daemon that is falsely suspected is seen as alive again.
 func TestFalseSuspicionIsRefuted(t *testing.T) {
 	c := newCluster(10)
-	c.periodsUntil(t, 30, c.allKnow)
+	c.periodsUntil(t, 30, c.converged)
 	c.states[0].MarkUnreachable(c.now, "daemon-005")
 	for range 20 {
-		c.period()
+		c.runPeriod()
 	}
-	require.True(t, c.allKnow())
+	require.True(t, c.converged())
 	for _, member := range c.states[0].Members() {
 		require.Equal(t, membership.Alive, member.Status, member.Name)
 	}
 }
 
-// TestVersionFollowsStatus: the version must change with every change of a member's status,
+// TestVersionFollowsStatus checks that the version changes with every change of a member's status,
 // suspicion and refutation included, as views are cached by it.
 func TestVersionFollowsStatus(t *testing.T) {
 	now := time.Unix(1000, 0)
@@ -186,19 +188,19 @@
 	changed("dead")
 }
 
-// TestLeave: a daemon that announces its leave is removed without being suspected first.
+// TestLeave checks that a daemon that announces its leave is removed without being suspected first.
 func TestLeave(t *testing.T) {
 	c := newCluster(10)
-	c.periodsUntil(t, 30, c.allKnow)
+	c.periodsUntil(t, 30, c.converged)
 	c.states[3].Leave()
 	for other := range 3 {
 		c.exchange(3, other)
 	}
 	c.down[3] = true
-	require.LessOrEqual(t, c.periodsUntil(t, 10, c.allKnow), 5)
+	require.LessOrEqual(t, c.periodsUntil(t, 10, c.converged), 5)
 }
 
-// TestChooseIsStable: when a member leaves, only its own keys move.
+// TestChooseIsStable checks that, when a member leaves, only the keys of that member move to others.
 func TestChooseIsStable(t *testing.T) {
 	members := newCluster(20).states[0].Serving()
 	require.NotEmpty(t, members)
