--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -13,15 +13,15 @@
 )
 
 // acquireOrRenew renews or acquires a lease and reports whether it is held then.
-func acquireOrRenew(t *testing.T, held *lease.Lease) bool {
+func acquireOrRenew(t *testing.T, holder *lease.Lease) bool {
 	t.Helper()
-	require.NoError(t, held.AcquireOrRenew(t.Context()))
-	return held.Valid()
+	require.NoError(t, holder.AcquireOrRenew(t.Context()))
+	return holder.Valid()
 }
 
-// TestRestartedHolderGoesOn: a daemon that held the lease before it restarted acquires it again at
-// once, and another daemon only after its lifetime.
-func TestRestartedHolderGoesOn(t *testing.T) {
+// TestRestartedHolderReacquiresAtOnce checks that a daemon that held the lease before it restarted acquires it again
+// at once, and another daemon only after its lifetime.
+func TestRestartedHolderReacquiresAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := objectstore.NewMemory()
 		require.True(t, acquireOrRenew(t, lease.New(store, "duty", "edge-1@10.0.0.1:7000", nil)))
@@ -41,25 +41,25 @@
 	})
 }
 
-// suspendedClock is the clock of a machine that is suspended, during which the monotonic clock stands still.
+// suspendedClock is the clock of a machine that is suspended, during which the monotonic clock stops.
 type suspendedClock struct{ suspended time.Duration }
 
 func (s *suspendedClock) now() time.Time {
 	return time.Now().Add(s.suspended)
 }
 
-// TestSleepingHolderHasNoRight suspends the machine of a lease's holder. The lease must be invalid
+// TestLeaseOfSuspendedMachineExpires suspends the machine of a lease's holder. The lease must be invalid
 // before other daemons may acquire it, although the monotonic clock has not advanced.
-func TestSleepingHolderHasNoRight(t *testing.T) {
+func TestLeaseOfSuspendedMachineExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		for _, slept := range []time.Duration{time.Second, 5 * time.Second, 30 * time.Second} {
+		for _, suspension := range []time.Duration{time.Second, 5 * time.Second, 30 * time.Second} {
 			store := objectstore.NewMemory()
 			machine := &suspendedClock{}
-			held := lease.New(store, "duty", "edge-1@10.0.0.1:7000", machine.now)
-			require.True(t, acquireOrRenew(t, held))
-			machine.suspended = slept
-			require.Equal(t, slept < lease.Lifetime-2*time.Second, held.Valid(), slept)
-			require.Equal(t, held.Valid(), held.Remaining() > 0)
+			holder := lease.New(store, "duty", "edge-1@10.0.0.1:7000", machine.now)
+			require.True(t, acquireOrRenew(t, holder))
+			machine.suspended = suspension
+			require.Equal(t, suspension < lease.Lifetime-2*time.Second, holder.Valid(), suspension)
+			require.Equal(t, holder.Valid(), holder.Remaining() > 0)
 		}
 	})
 }
@@ -85,34 +85,34 @@
 	return s.Memory.Put(ctx, key, value, expected)
 }
 
-// TestLostLeaseHasOneHolder: after a store rollback the lease is missing, or is that of an earlier
-// holder. No two daemons may hold it at the same time, whenever they learn of the rollback, and one
-// must hold it soon after all have learned of it.
-func TestLostLeaseHasOneHolder(t *testing.T) {
+// TestAtMostOneHolderAfterStoreRollback rolls the store back, so that the lease is missing or is that of an earlier
+// holder. No two daemons may hold it at the same time, whenever they learn of the rollback, and one must hold it soon
+// after all have learned of it.
+func TestAtMostOneHolderAfterStoreRollback(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		// earlier: the backup holds the lease of the daemon that held it before.
-		earlier bool
+		// backupHasEarlierLease: the backup holds the lease of the daemon that held it before.
+		backupHasEarlierLease bool
 		// holderDelay is the time until the holder next calls the store, and otherDelay that until the other daemon does.
 		holderDelay, otherDelay time.Duration
 	}{
 		{name: "the lease is missing, the holder learns first", otherDelay: 2 * time.Second},
 		{name: "the lease is missing, the holder learns last", holderDelay: 2 * time.Second},
 		{name: "the lease is missing, the holder does not learn of it", holderDelay: time.Minute},
-		{name: "the lease is that of an earlier holder, which learns first", earlier: true, holderDelay: 2 * time.Second},
-		{name: "the lease is that of an earlier holder, the holder does not learn of it", earlier: true, holderDelay: time.Minute},
+		{name: "the lease is that of an earlier holder, which learns first", backupHasEarlierLease: true, holderDelay: 2 * time.Second},
+		{name: "the lease is that of an earlier holder, the holder does not learn of it", backupHasEarlierLease: true, holderDelay: time.Minute},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				memory := objectstore.NewMemory()
-				held, other := lease.New(&daemonStore{Memory: memory}, "duty", "edge-1", nil), lease.New(&daemonStore{Memory: memory}, "duty", "edge-2", nil)
+				holder, other := lease.New(&daemonStore{Memory: memory}, "duty", "edge-1", nil), lease.New(&daemonStore{Memory: memory}, "duty", "edge-2", nil)
 				backup := memory.Snapshot()
-				if test.earlier {
+				if test.backupHasEarlierLease {
 					require.True(t, acquireOrRenew(t, other))
 					backup = memory.Snapshot()
 				}
-				require.Equal(t, test.earlier, !acquireOrRenew(t, held))
-				for !acquireOrRenew(t, held) {
+				require.Equal(t, test.backupHasEarlierLease, !acquireOrRenew(t, holder))
+				for !acquireOrRenew(t, holder) {
 					time.Sleep(time.Second)
 				}
 				require.False(t, acquireOrRenew(t, other))
@@ -121,33 +121,33 @@
 				heldAgain := false
 				for tick := 0; time.Since(rolledBackAt) < 3*lease.Lifetime; tick++ {
 					if since := time.Since(rolledBackAt); since >= test.holderDelay && tick%30 == 0 {
-						acquireOrRenew(t, held)
+						acquireOrRenew(t, holder)
 					}
 					if since := time.Since(rolledBackAt); since >= test.otherDelay && tick%30 == 10 {
 						acquireOrRenew(t, other)
 					}
-					require.False(t, held.Valid() && other.Valid(), time.Since(rolledBackAt))
-					heldAgain = heldAgain || tick > 100 && (held.Valid() || other.Valid())
+					require.False(t, holder.Valid() && other.Valid(), time.Since(rolledBackAt))
+					heldAgain = heldAgain || tick > 100 && (holder.Valid() || other.Valid())
 					time.Sleep(100 * time.Millisecond)
 				}
 				require.True(t, heldAgain)
-				require.True(t, held.Valid() || other.Valid())
+				require.True(t, holder.Valid() || other.Valid())
 			})
 		})
 	}
 }
 
-// TestHolderThatHearsOfReturnHasNoRight: a holder's lease is invalid as soon as its daemon learns of
-// the store rollback, whatever its clock says, and valid again after the next renewal.
-func TestHolderThatHearsOfReturnHasNoRight(t *testing.T) {
+// TestStoreRollbackInvalidatesLease checks that a lease is invalid as soon as its holder learns of the store
+// rollback, whatever its clock says, and valid again after the next renewal.
+func TestStoreRollbackInvalidatesLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := objectstore.NewMemory()
 		backup := store.Snapshot()
-		held := lease.New(store, "duty", "edge-1", nil)
-		require.True(t, acquireOrRenew(t, held))
+		holder := lease.New(store, "duty", "edge-1", nil)
+		require.True(t, acquireOrRenew(t, holder))
 		store.RollBack(backup)
-		require.False(t, held.Valid())
-		require.LessOrEqual(t, held.Remaining(), time.Duration(0))
-		require.True(t, acquireOrRenew(t, held))
+		require.False(t, holder.Valid())
+		require.LessOrEqual(t, holder.Remaining(), time.Duration(0))
+		require.True(t, acquireOrRenew(t, holder))
 	})
 }
