--- a/operation/operation_test.go
+++ b/operation/operation_test.go
@@ -23,11 +23,11 @@
 // faultyStore is a slow store that fails calls, and loses the responses of writes that took effect.
 type faultyStore struct {
 	*objectstore.Memory
-	mutex  sync.Mutex
-	random *rand.Rand
-	lost   float64 // share of writes whose response is lost
-	down   float64 // share of writes that fail
-	writes int
+	mutex            sync.Mutex
+	random           *rand.Rand
+	responseLossRate float64 // share of writes whose response is lost
+	failureRate      float64 // share of writes that fail
+	writes           int
 }
 
 func (s *faultyStore) draw(share float64) bool {
@@ -39,14 +39,14 @@
 // Put implements objectstore.Store.
 func (s *faultyStore) Put(ctx context.Context, key objectstore.Key, value []byte, expected objectstore.Version) (objectstore.Version, error) {
 	time.Sleep(5 * time.Millisecond)
-	if s.draw(s.down) {
+	if s.draw(s.failureRate) {
 		return 0, objectstore.ErrUnavailable
 	}
 	s.mutex.Lock()
 	s.writes++
 	s.mutex.Unlock()
 	version, err := s.Memory.Put(ctx, key, value, expected)
-	if s.draw(s.lost) {
+	if s.draw(s.responseLossRate) {
 		return 0, objectstore.ErrOutcomeUnknown
 	}
 	return version, err
@@ -66,9 +66,9 @@
 
 // claimEvent is the input and output of one operation in a history.
 type claimEvent struct {
-	key      string
-	released bool // the operation releases the claim of the one before it
-	claimed  bool
+	key     string
+	release bool // the operation releases the claim of the one before it
+	claimed bool
 }
 
 // model allows a key to be claimed once until it is released. A refused claim is always allowed, as
@@ -90,7 +90,7 @@
 	Step: func(state, input, output any) (bool, any) {
 		taken := state.(bool)
 		switch {
-		case input.(claimEvent).released:
+		case input.(claimEvent).release:
 			return true, false
 		case !output.(claimEvent).claimed:
 			return true, taken
@@ -104,15 +104,15 @@
 func TestClaimsAreLinearizable(t *testing.T) {
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
-			store := &faultyStore{Memory: objectstore.NewMemory(), random: rand.New(rand.NewPCG(seed, 1)), lost: 0.2, down: 0.1}
-			history := race(t, store, seed)
+			store := &faultyStore{Memory: objectstore.NewMemory(), random: rand.New(rand.NewPCG(seed, 1)), responseLossRate: 0.2, failureRate: 0.1}
+			history := claimConcurrently(t, store, seed)
 			require.True(t, porcupine.CheckOperations(model, history), "seed %d", seed)
 		})
 	}
 }
 
-// race runs three daemons with two callers each, which claim a few keys concurrently.
-func race(t *testing.T, store objectstore.Store, seed uint64) []porcupine.Operation {
+// claimConcurrently runs three daemons with two callers each, which claim a few keys concurrently.
+func claimConcurrently(t *testing.T, store objectstore.Store, seed uint64) []porcupine.Operation {
 	var mutex sync.Mutex
 	var history []porcupine.Operation
 	record := func(client int, called time.Time, input, output claimEvent) {
@@ -144,7 +144,7 @@
 					if random.IntN(3) == 0 {
 						called = time.Now()
 						claim.Release()
-						record(client, called, claimEvent{key: key, released: true}, claimEvent{})
+						record(client, called, claimEvent{key: key, release: true}, claimEvent{})
 						continue
 					}
 					claim.Finish(operation.Result{Status: 200, Complete: true})
@@ -157,8 +157,9 @@
 	return history
 }
 
-// TestHistoryCheckCanFail checks that the model rejects a key that was claimed twice.
-func TestHistoryCheckCanFail(t *testing.T) {
+// TestModelRejectsDoubleClaim checks that the model rejects a history in which a key is claimed twice. It guards
+// against a check that can never fail.
+func TestModelRejectsDoubleClaim(t *testing.T) {
 	twice := []porcupine.Operation{
 		{ClientId: 0, Input: claimEvent{key: "a"}, Output: claimEvent{claimed: true}, Call: 0, Return: 1},
 		{ClientId: 1, Input: claimEvent{key: "a"}, Output: claimEvent{claimed: true}, Call: 2, Return: 3},
@@ -166,8 +167,8 @@
 	require.False(t, porcupine.CheckOperations(model, twice))
 }
 
-// TestReplayAndReuse checks the replies to claims of a key that was claimed before.
-func TestReplayAndReuse(t *testing.T) {
+// TestRepeatedClaimOfKey checks the replies to claims of a key that was claimed before.
+func TestRepeatedClaimOfKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &faultyStore{Memory: objectstore.NewMemory(), random: rand.New(rand.NewPCG(1, 1))}
 		first, second := newClaimer(store), newClaimer(store)
@@ -188,8 +189,9 @@
 	})
 }
 
-// TestLongJournal fills many segments, has another daemon read them, and waits until they expire.
-func TestLongJournal(t *testing.T) {
+// TestClaimsAreBatchedAndSegmentsExpire fills many segments of the journal, has another daemon read them, and waits
+// until they expire.
+func TestClaimsAreBatchedAndSegmentsExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &faultyStore{Memory: objectstore.NewMemory(), random: rand.New(rand.NewPCG(1, 1))}
 		first := newClaimer(store)
@@ -225,8 +227,8 @@
 	})
 }
 
-// TestOldClaimIsNotUsable holds a claim past its lifetime, as a paused daemon does.
-func TestOldClaimIsNotUsable(t *testing.T) {
+// TestClaimExpires checks that a claim that is held past its lifetime, as by a paused daemon, is invalid.
+func TestClaimExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		claimer := newClaimer(objectstore.NewMemory())
 		claim, _, failure := claimer.Claim(t.Context(), "swaps", "key", 1)
@@ -238,12 +240,12 @@
 	})
 }
 
-// TestClaimOfSleepingMachineIsNotUsable suspends the machine while it holds a claim that it has not
+// TestClaimOfSuspendedMachineExpires suspends the machine while it holds a claim that it has not
 // used. Once the claim's lifetime has passed, the claim must be invalid, although the monotonic clock
 // has not advanced.
-func TestClaimOfSleepingMachineIsNotUsable(t *testing.T) {
+func TestClaimOfSuspendedMachineExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		for _, slept := range []time.Duration{time.Second, 5 * time.Second, 30 * time.Second} {
+		for _, suspension := range []time.Duration{time.Second, 5 * time.Second, 30 * time.Second} {
 			var offset time.Duration
 			claimer := operation.NewClaimer(operation.Options{
 				Store: objectstore.NewMemory(), WriteLimiter: rate.NewLimiter(100, 1), Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
@@ -251,8 +253,8 @@
 			})
 			claim, _, failure := claimer.Claim(t.Context(), "swaps", "key", 1)
 			require.Nil(t, failure)
-			offset = slept
-			require.Equal(t, slept < operation.ClaimLifetime, claim.Valid(), slept)
+			offset = suspension
+			require.Equal(t, suspension < operation.ClaimLifetime, claim.Valid(), suspension)
 			claimer.Close(t.Context())
 		}
 	})
--- a/operation/rollback_test.go
+++ b/operation/rollback_test.go
@@ -12,10 +12,10 @@
 	"github.com/tuliphall/tuliphall/resultcode"
 )
 
-// TestClaimIsNotGrantedAgainWhenStoreComesBackOlder: a store rollback loses claims and outcomes, and
-// another daemon claims the same keys, first at once and then repeatedly. No claim may be granted,
-// and the recorded result must be available again.
-func TestClaimIsNotGrantedAgainWhenStoreComesBackOlder(t *testing.T) {
+// TestClaimIsNotGrantedAgainAfterStoreRollback rolls the store back, which loses claims and results. Another daemon
+// claims the same keys, first at once and then repeatedly: no claim may be granted, and the recorded result must be
+// available again.
+func TestClaimIsNotGrantedAgainAfterStoreRollback(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		// partOfJournal: the backup holds a part of the journal, which the other daemon has read. startsLater: the
@@ -34,12 +34,12 @@
 				defer first.Close(t.Context())
 				backup := store.Snapshot()
 				if test.partOfJournal {
-					require.NotNil(t, claimed(t, first, "early"))
-					require.Nil(t, claimed(t, other, "early"))
+					require.NotNil(t, tryClaim(t, first, "early"))
+					require.Nil(t, tryClaim(t, other, "early"))
 					backup = store.Snapshot()
 				}
-				require.NotNil(t, claimed(t, first, "running"))
-				claimed(t, first, "done").Finish(operation.Result{Status: 201, Body: []byte("done"), Complete: true})
+				require.NotNil(t, tryClaim(t, first, "running"))
+				tryClaim(t, first, "done").Finish(operation.Result{Status: 201, Body: []byte("done"), Complete: true})
 				time.Sleep(time.Second)
 
 				store.RollBack(backup)
@@ -50,7 +50,7 @@
 				defer other.Close(t.Context())
 				for rolledBackAt := time.Now(); time.Since(rolledBackAt) < 20*time.Second; time.Sleep(100 * time.Millisecond) {
 					for _, key := range []string{"running", "done"} {
-						require.Nil(t, claimed(t, other, key), "%s, %s after the rollback", key, time.Since(rolledBackAt))
+						require.Nil(t, tryClaim(t, other, key), "%s, %s after the rollback", key, time.Since(rolledBackAt))
 					}
 					if since := time.Since(rolledBackAt); test.twice && since > 7*time.Second && since < 8*time.Second {
 						store.RollBack(backup)
@@ -61,27 +61,27 @@
 				require.Equal(t, "done", string(result.Body))
 				_, _, failure = other.Claim(t.Context(), "swaps", "running", 1)
 				require.Equal(t, resultcode.OperationUnknown, failure.Code)
-				require.NotNil(t, claimed(t, other, "new"), "other keys can be claimed")
+				require.NotNil(t, tryClaim(t, other, "new"), "other keys must be granted")
 			})
 		})
 	}
 }
 
-// claimed claims a key, and returns nil if the claim is refused.
-func claimed(t *testing.T, claimer *operation.Claimer, key string) *operation.Claim {
+// tryClaim claims a key, and returns nil if the claim is refused.
+func tryClaim(t *testing.T, claimer *operation.Claimer, key string) *operation.Claim {
 	claim, _, _ := claimer.Claim(t.Context(), "swaps", key, 1)
 	return claim
 }
 
-// TestClaimsAreRefusedWhileLostOnesMayBeMissing: during the grace period after a store rollback,
-// while other daemons may not have written lost claims again, a claim is refused at once, so the
-// operation has certainly not run, and with a Retry-After.
-func TestClaimsAreRefusedWhileLostOnesMayBeMissing(t *testing.T) {
+// TestClaimsAreRefusedDuringRollbackGracePeriod checks that during the grace period after a store rollback, while
+// other daemons may not have written lost claims again, a claim is refused at once, so that the operation has
+// certainly not run, and with a Retry-After.
+func TestClaimsAreRefusedDuringRollbackGracePeriod(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := objectstore.NewMemory()
 		claimer := newClaimer(store)
 		defer claimer.Close(t.Context())
-		require.NotNil(t, claimed(t, claimer, "early"))
+		require.NotNil(t, tryClaim(t, claimer, "early"))
 		store.RollBack(store.Snapshot())
 		startedAt := time.Now()
 		_, _, failure := claimer.Claim(t.Context(), "swaps", "new", 1)
@@ -89,6 +89,6 @@
 		require.Less(t, time.Since(startedAt), 100*time.Millisecond)
 		require.Positive(t, failure.RetryAfter)
 		time.Sleep(failure.RetryAfter)
-		require.NotNil(t, claimed(t, claimer, "new"))
+		require.NotNil(t, tryClaim(t, claimer, "new"))
 	})
 }
