--- a/measure/measure_test.go
+++ b/measure/measure_test.go
@@ -33,21 +33,21 @@
 // runDaemon follows the order of checks in Prober: lease, budget, and the lease again at the moment of
 // use. skipFinalCheck omits the last one.
 func (f *fleet) runDaemon(ctx context.Context, name string, rate float64, daemon daemonLifetime, skipFinalCheck bool) {
-	held := lease.New(f.store, "service", name, nil)
+	holder := lease.New(f.store, "service", name, nil)
 	var budget measure.Budget
 	wasValid := false
 	for step := 0; ctx.Err() == nil; step++ {
 		if step%30 == 0 {
 			// The in-memory store fails only with a conflict, which is not an error here.
-			_ = held.AcquireOrRenew(ctx)
+			_ = holder.AcquireOrRenew(ctx)
 		}
-		valid := held.Valid()
+		valid := holder.Valid()
 		if valid && !wasValid {
 			budget.Reset(time.Now(), rate)
 		}
 		wasValid = valid
 		time.Sleep(daemon.pauses[step%len(daemon.pauses)])
-		if wasValid && (skipFinalCheck || held.Valid()) && budget.Spend(time.Now(), rate) {
+		if wasValid && (skipFinalCheck || holder.Valid()) && budget.Spend(time.Now(), rate) {
 			f.mutex.Lock()
 			f.probes = append(f.probes, time.Now())
 			f.mutex.Unlock()
@@ -83,8 +83,8 @@
 	return daemons, rate
 }
 
-// run runs the fleet in virtual time, and returns the number of probes over the budget and of all.
-func run(t *testing.T, daemons []daemonLifetime, rate float64, skipFinalCheck bool) (excess, probes int) {
+// runFleet runs the fleet in virtual time, and returns the number of probes over the budget and of all.
+func runFleet(t *testing.T, daemons []daemonLifetime, rate float64, skipFinalCheck bool) (excess, probes int) {
 	synctest.Test(t, func(*testing.T) {
 		f := &fleet{store: objectstore.NewMemory()}
 		var running sync.WaitGroup
@@ -102,12 +102,12 @@
 	return excess, probes
 }
 
-// TestBudgetNeverExceeded checks random fleets with pauses and restarts.
+// TestBudgetNeverExceeded checks that random fleets, with pauses and restarts, never exceed the probe budget.
 func TestBudgetNeverExceeded(t *testing.T) {
 	total := 0
 	rapid.Check(t, func(rt *rapid.T) {
 		daemons, rate := drawFleet(rt)
-		excess, probes := run(t, daemons, rate, false)
+		excess, probes := runFleet(t, daemons, rate, false)
 		total += probes
 		if excess > 0 {
 			rt.Fatalf("%d of %d probes exceed the budget of %g per second", excess, probes, rate)
@@ -118,17 +118,18 @@
 	}
 }
 
-// TestBudgetCheckCanFail: the check catches a daemon that does not check its lease at the moment of
-// use, and so sends a probe after a pause in which another daemon has acquired the lease.
-func TestBudgetCheckCanFail(t *testing.T) {
+// TestBudgetCheckDetectsProbeAfterLeaseExpiry checks that the check of the budget detects a daemon that does not
+// check its lease at the moment of use, and so sends a probe after a pause in which another daemon has acquired the
+// lease.
+func TestBudgetCheckDetectsProbeAfterLeaseExpiry(t *testing.T) {
 	paused := daemonLifetime{duration: 200 * time.Second, pauses: make([]time.Duration, 200)}
 	paused.pauses[100] = 30 * time.Second
 	other := daemonLifetime{startsAfter: time.Second, duration: 200 * time.Second, pauses: []time.Duration{0}}
-	excess, _ := run(t, []daemonLifetime{paused, other}, 2, true)
+	excess, _ := runFleet(t, []daemonLifetime{paused, other}, 2, true)
 	if excess == 0 {
-		t.Fatal("a probe after the end of the lease was not detected")
+		t.Fatal("a probe after the expiry of the lease was not detected")
 	}
-	if excess, _ = run(t, []daemonLifetime{paused, other}, 2, false); excess > 0 {
+	if excess, _ = runFleet(t, []daemonLifetime{paused, other}, 2, false); excess > 0 {
 		t.Fatal("the budget was exceeded despite the check at the moment of use")
 	}
 }
--- a/measure/probe_test.go
+++ b/measure/probe_test.go
@@ -23,9 +23,9 @@
 	*o = append(*o, response)
 }
 
-// TestProbeAnsweredByAnotherBackend: the prober did not read which instance a health response names.
-// When an address had moved to another back end, that one's load, health and limit were attributed to
-// the previous one, until a request was refused with 421.
+// TestProbeAnsweredByAnotherBackend guards against a prober that does not read which instance a health response
+// names. When an address has moved to another back end, the load, health and limit of that back end would be
+// attributed to the previous one, until a request is refused with 421.
 //
 // For example, a probe of i-1 answered by i-2 ("Instance-Id: i-2", "Endpoint-Load-Metrics: TEXT
 // named_metrics.in_flight=0") gave i-1 a load of 0 and the health of i-2. Such a response must have
