--- a/quarantine/fingerprint_test.go
+++ b/quarantine/fingerprint_test.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestBroadFingerprint: retries from another address or with another query share the broad
-// fingerprint, and other requests do not.
+// TestBroadFingerprint checks that retries from another address or with another query share the broad fingerprint,
+// and that other requests do not.
 func TestBroadFingerprint(t *testing.T) {
 	repeat := identity
 	repeat.Caller, repeat.Target = "10.9.9.9", "/funds/17"
--- a/quarantine/rollback_test.go
+++ b/quarantine/rollback_test.go
@@ -14,9 +14,9 @@
 	"github.com/tuliphall/tuliphall/objectstore"
 )
 
-// TestHeldRequestsAreSavedAgainWhenStoreComesBackOlder: a store rollback loses the quarantined
-// requests; the trackers save them again within 5 s, by one write in total.
-func TestHeldRequestsAreSavedAgainWhenStoreComesBackOlder(t *testing.T) {
+// TestQuarantineIsSavedAgainAfterStoreRollback rolls the store back, which loses the quarantined requests: the
+// trackers must save them again within 5 s, with one write in total.
+func TestQuarantineIsSavedAgainAfterStoreRollback(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := objectstore.NewMemory()
 		backup := store.Snapshot()
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -52,7 +52,7 @@
 	require.False(t, quarantined)
 }
 
-// TestSameBackendCountsOnce: many daemons may observe the same back end crash.
+// TestSameBackendCountsOnce checks that a crash that many daemons observe counts once.
 func TestSameBackendCountsOnce(t *testing.T) {
 	table := NewTable(Policy{})
 	for number := range 5 {
@@ -61,7 +61,8 @@
 	require.Equal(t, 1, table.CrashCount(at(0), 7))
 }
 
-// TestCoincidentCrashesCountOnce: a rack failure ends many back ends without any request being the cause.
+// TestCoincidentCrashesCountOnce checks that crashes at the same time count as one, because a rack failure ends many
+// back ends without any request being the cause.
 func TestCoincidentCrashesCountOnce(t *testing.T) {
 	table := NewTable(Policy{})
 	for number := range 5 {
@@ -72,7 +73,7 @@
 	require.Equal(t, 2, table.CrashCount(at(0), 7))
 }
 
-// TestResponseClearsCrashes: a response clears a request's crashes, also while it is quarantined, but not a
+// TestResponseClearsCrashes checks that a response clears a request's crashes, also while it is quarantined, but not a
 // quarantine by an operator. Crashes from before the response have no effect afterwards.
 func TestResponseClearsCrashes(t *testing.T) {
 	table := NewTable(Policy{})
@@ -93,8 +94,9 @@
 	require.True(t, quarantined)
 }
 
-// TestReleaseTakesWhateverTheClocks: the clock of the daemon that saw the crashes may be an hour ahead.
-func TestReleaseTakesWhateverTheClocks(t *testing.T) {
+// TestReleaseDespiteClockSkew checks that a release takes effect if the clock of the daemon that observed the crashes
+// is an hour ahead.
+func TestReleaseDespiteClockSkew(t *testing.T) {
 	table := NewTable(Policy{Duration: 3 * time.Hour})
 	for number := range 3 {
 		table.Merge(at(0), crashRecord(7, BackendRun(number), time.Hour+time.Duration(number)*time.Second))
@@ -109,8 +111,8 @@
 	require.False(t, changed)
 }
 
-// TestEndingsLapse: crashes expire if no others follow within the crash window.
-func TestEndingsLapse(t *testing.T) {
+// TestCrashesExpire checks that crashes expire if no others follow within the crash window.
+func TestCrashesExpire(t *testing.T) {
 	table := NewTable(Policy{})
 	table.Merge(at(0), crashRecord(7, 1, 0))
 	require.Equal(t, 1, table.CrashCount(at(DefaultCrashWindow-time.Second), 7))
@@ -124,9 +126,9 @@
 // records draws a record of one request.
 var records = rapid.Custom(func(t *rapid.T) Record {
 	record := Record{
-		Fingerprint: 7, ClearedAt: Timestamp(rapid.IntRange(0, 5).Draw(t, "cleared")), ManualAt: Timestamp(rapid.IntRange(0, 5).Draw(t, "ordered")),
+		Fingerprint: 7, ClearedAt: Timestamp(rapid.IntRange(0, 5).Draw(t, "cleared")), ManualAt: Timestamp(rapid.IntRange(0, 5).Draw(t, "manual")),
 	}
-	for range rapid.IntRange(0, 12).Draw(t, "endings") {
+	for range rapid.IntRange(0, 12).Draw(t, "crashes") {
 		record.Crashes = append(record.Crashes, Crash{
 			Backend: BackendRun(rapid.IntRange(1, 12).Draw(t, "backend")), At: Timestamp(rapid.IntRange(1, 9).Draw(t, "at")),
 		})
@@ -134,16 +136,16 @@
 	return merge(Record{Fingerprint: 7}, record)
 })
 
-// TestOrderOfNewsDoesNotMatter: daemons that have received the same records, in any order and any
-// number of times, end with the same record.
-func TestOrderOfNewsDoesNotMatter(t *testing.T) {
+// TestMergeOrderDoesNotMatter checks that daemons that have received the same records, in any order and any number of
+// times, end with the same record.
+func TestMergeOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		checkOrder(t, records.Draw(t, "a"), records.Draw(t, "b"), records.Draw(t, "c"))
 	})
 }
 
-// TestMergeOrderOfSameCrashes: records with different times for the same crash merge to the same
-// time in any order.
+// TestMergeOrderOfSameCrashes checks that records with different times for the same crash merge to the same time in
+// any order.
 func TestMergeOrderOfSameCrashes(t *testing.T) {
 	early := Record{Fingerprint: 7, Crashes: []Crash{{Backend: 1, At: 1}, {Backend: 2, At: 1}}}
 	late := Record{Fingerprint: 7, Crashes: []Crash{{Backend: 1, At: 1}, {Backend: 2, At: 9}}}
@@ -157,8 +159,8 @@
 	require.True(t, equal(merge(merge(a, b), c), merge(a, merge(b, c))), "associative")
 }
 
-// TestFloodOfDistinctRequests records 100,000 distinct requests, each with one crash: memory stays
-// bounded, a quarantined request is not evicted in favor of others, and a lookup takes no longer.
+// TestFloodOfDistinctRequests records 100,000 distinct requests, each with one crash: memory must stay bounded, a
+// quarantined request must not be evicted in favor of others, and a lookup must take no longer.
 func TestFloodOfDistinctRequests(t *testing.T) {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -189,9 +191,9 @@
 	require.Zero(t, benchmark.AllocsPerOp())
 }
 
-// bystanders simulates a service whose back ends one request crashes, one after the other, until it
-// is quarantined, and returns how many other requests are quarantined then.
-func bystanders(random *rand.Rand, requests int, successRate float64) (quarantined, crashes int) {
+// countQuarantinedBystanders simulates a service whose back ends are crashed by one request, one after the other, until
+// it is quarantined. It returns how many other requests are quarantined then, and the number of crashes.
+func countQuarantinedBystanders(random *rand.Rand, requests int, successRate float64) (quarantined, crashes int) {
 	table := NewTable(Policy{})
 	const culprit = Fingerprint(1)
 	for run := BackendRun(1); ; run++ {
@@ -213,11 +215,11 @@
 	return len(table.Quarantined(at(time.Minute))) - 1, crashes
 }
 
-// TestBystandersAreSeldomHeld counts how often requests are quarantined that were only in flight
+// TestBystandersAreSeldomQuarantined counts how often requests are quarantined that were only in flight
 // when another request crashed the back ends. With 5 distinct requests and no responses in between,
 // this happens in one case of four; with 50, in three of a thousand; with responses in between, in
 // one of a thousand or none.
-func TestBystandersAreSeldomHeld(t *testing.T) {
+func TestBystandersAreSeldomQuarantined(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for _, test := range []struct {
 		requests    int
@@ -227,7 +229,7 @@
 		const runs = 1000
 		total := 0
 		for range runs {
-			quarantined, crashes := bystanders(random, test.requests, test.successRate)
+			quarantined, crashes := countQuarantinedBystanders(random, test.requests, test.successRate)
 			require.Equal(t, DefaultCrashThreshold, crashes)
 			total += quarantined
 		}
