--- a/lab/site/controltraffic_test.go
+++ b/lab/site/controltraffic_test.go
@@ -12,7 +12,7 @@
 )
 
 // TestIdleControlTrafficIsBounded checks that, two minutes after a simultaneous start, the daemons of an idle fleet
-// exchange only heartbeats: each sends less than 500 bytes per second.
+// exchange only heartbeats: each sends less than 500 bytes per second. At most 12 watches may be open at a time.
 func TestIdleControlTrafficIsBounded(t *testing.T) {
 	const daemons = 40
 	options := smallSite()
--- a/lab/site/faults_test.go
+++ b/lab/site/faults_test.go
@@ -391,7 +391,7 @@
 						require.True(t, found, "%s in revision %d", id, document.Revision)
 					}
 				}
-				for rolledBackAt := time.Now(); time.Since(rolledBackAt) < 10*time.Second; time.Sleep(100 * time.Millisecond) {
+				for startedAt := time.Now(); time.Since(startedAt) < 10*time.Second; time.Sleep(100 * time.Millisecond) {
 					for _, daemon := range running.Daemons() {
 						requireChanges(daemon.Document(), []string{"early", "lost-1", "lost-2"})
 					}
--- a/lab/site/revisionmonitor_test.go
+++ b/lab/site/revisionmonitor_test.go
@@ -23,21 +23,21 @@
 
 // assertMonotonicRevisions fails the test if a daemon returns to an older revision.
 func assertMonotonicRevisions(t *testing.T, running *site.Site) *revisionMonitor {
-	return monitorRevisions(running, func(name string, was, is config.Revision) {
-		assert.Fail(t, "revision went backwards", "%s from revision %d to %d", name, was, is)
+	return monitorRevisions(running, func(name string, previous, current config.Revision) {
+		assert.Fail(t, "revision went backwards", "%s from revision %d to %d", name, previous, current)
 	})
 }
 
 // recordRevisionRegressions adds a problem to a random schedule if a daemon returns to an older revision.
 func recordRevisionRegressions(r *faultRun) *revisionMonitor {
-	return monitorRevisions(r.site, func(name string, was, is config.Revision) {
-		r.addProblem("%s returned from revision %d to %d", name, was, is)
+	return monitorRevisions(r.site, func(name string, previous, current config.Revision) {
+		r.addProblem("%s returned from revision %d to %d", name, previous, current)
 	})
 }
 
 const revisionPollInterval = 50 * time.Millisecond
 
-func monitorRevisions(running *site.Site, report func(name string, was, is config.Revision)) *revisionMonitor {
+func monitorRevisions(running *site.Site, report func(name string, previous, current config.Revision)) *revisionMonitor {
 	monitor := &revisionMonitor{done: make(chan struct{})}
 	monitor.running.Go(func() {
 		seen := make(map[*daemon.Daemon]config.Revision)
