--- a/operation/rollback_test.go
+++ b/operation/rollback_test.go
@@ -61,7 +61,7 @@
 				require.Equal(t, "done", string(result.Body))
 				_, _, failure = other.Claim(t.Context(), "swaps", "running", 1)
 				require.Equal(t, resultcode.OperationUnknown, failure.Code)
-				require.NotNil(t, tryClaim(t, other, "new"), "other keys must be granted")
+				require.NotNil(t, tryClaim(t, other, "new"), "claims of other keys must be granted")
 			})
 		})
 	}
