--- a/dissemination/announce.go
+++ b/dissemination/announce.go
@@ -48,7 +48,7 @@
 // from another daemon, as their own watch pauses after each change and may report the next one
 // late. When only the daemons that the store had notified announced, the last of 20 daemons
 // learned of a second change up to 0.7 s after the first daemon; now it does within 0.1 s
-// (TestNewsRightAfterNews).
+// (TestConcurrentChangesReachAllDaemons).
 func (f *Follower) announceAsWatcher(ctx context.Context) bool {
 	if !f.isWatcher() {
 		return false
--- a/frontend/handler.go
+++ b/frontend/handler.go
@@ -167,7 +167,7 @@
 	defer timer.Stop()
 	a := &attempter{handler: h, call: c, writer: w, deadline: timer}
 	// A request that crashes back ends is kept from further ones, whichever daemon receives it. Without
-	// this, one request crashed 81 back ends in 20 s (TestCrashingRequestIsStopped).
+	// this, one request crashed 81 back ends in 20 s (TestCrashingRequestIsQuarantined).
 	if refused := h.options.Quarantine.Check(c.fingerprints); refused != nil {
 		a.respondFailure(refused)
 		return
--- a/lab/objectstub/mortal_test.go
+++ b/lab/objectstub/crashing_backend_test.go
@@ -92,7 +92,7 @@
 }
 
 func crashingHost(name string) string {
-	return "mortal-" + name
+	return "crashing-" + name
 }
 
 // start starts the back end at its address with a new id.
--- a/lab/objectstub/troubles_test.go
+++ b/lab/objectstub/disruptions_test.go
@@ -34,7 +34,7 @@
 			time.Sleep(startTime)
 		}
 	}},
-	{name: "all daemons are killed, and others start", divergent: true, apply: func(f *fleet, load *randomLoad) {
+	{name: "all daemons are replaced", divergent: true, apply: func(f *fleet, load *randomLoad) {
 		load.pausedWhile(func() {
 			f.replaceAllDaemons()
 			time.Sleep(startTime)
@@ -58,20 +58,20 @@
 		time.Sleep(4 * time.Second)
 		f.net.SetFrozen(host, false)
 	}},
-	{name: "requests must not be repeated", apply: func(_ *fleet, load *randomLoad) { load.nonRepeatable.Store(true) }},
-	{name: "requests are pipelined, and wait for permits", apply: func(f *fleet, _ *randomLoad) {
+	{name: "requests are not repeatable", apply: func(_ *fleet, load *randomLoad) { load.nonRepeatable.Store(true) }},
+	{name: "pipelined requests wait for permits", apply: func(f *fleet, _ *randomLoad) {
 		f.burst(200)
 		for number := range 20 {
 			go f.pipeline(number%daemons, fmt.Sprintf("/one/safe/together-%d", number), 4)
 			time.Sleep(200 * time.Millisecond)
 		}
 	}},
-	{name: "others refuse, so that requests are sent again", apply: func(f *fleet, _ *randomLoad) {
+	{name: "other back ends reject requests, so that these are retried", apply: func(f *fleet, _ *randomLoad) {
 		for _, worker := range f.workers[len(f.workers)/2:] {
 			worker.update(func() { worker.rejects = true })
 		}
 	}},
-	{name: "others are disturbed, so that requests get second attempts", apply: func(f *fleet, _ *randomLoad) {
+	{name: "other back ends are disturbed, so that requests are hedged", apply: func(f *fleet, _ *randomLoad) {
 		for _, worker := range f.workers[2:] {
 			worker.update(func() { worker.disturbPeriod = 150 * time.Millisecond })
 		}
--- a/lab/objectstub/news_test.go
+++ b/lab/objectstub/dissemination_test.go
@@ -17,16 +17,16 @@
 
 // awaitRoute waits until every daemon serves a route, and returns how long that took.
 func (f *fleet) awaitRoute(path string) time.Duration {
-	begun := time.Now()
+	start := time.Now()
 	for number := range daemons {
 		for f.send(number, path).status != http.StatusOK {
-			if time.Since(begun) > time.Minute {
+			if time.Since(start) > time.Minute {
 				f.t.Fatalf("daemon %d does not serve %s", number, path)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
 	}
-	return time.Since(begun)
+	return time.Since(start)
 }
 
 // TestConfigurationInForce checks that a new configuration is in force everywhere in time,
@@ -47,19 +47,19 @@
 // awaitInForce waits until every daemon has a revision of the configuration or of the
 // directory, and returns how long that took.
 func (f *fleet) awaitInForce(revision uint64) time.Duration {
-	begun := time.Now()
+	start := time.Now()
 	for f.countInForce(revision) < len(f.daemons) {
-		if time.Since(begun) > time.Minute {
+		if time.Since(start) > time.Minute {
 			f.t.Fatalf("revision %d did not reach all daemons", revision)
 		}
 		time.Sleep(time.Millisecond)
 	}
-	return time.Since(begun)
+	return time.Since(start)
 }
 
-// TestNewsReachesAll changes the configuration and the directory in a fleet where only a
+// TestChangesReachAllDaemons changes the configuration and the directory in a fleet where only a
 // few daemons watch the store: all others get every change in time.
-func TestNewsReachesAll(t *testing.T) {
+func TestChangesReachAllDaemons(t *testing.T) {
 	runFleet(t, 60, 3, func(f *fleet) {
 		for number := range 30 {
 			time.Sleep(2 * time.Second)
@@ -72,9 +72,9 @@
 	})
 }
 
-// TestNewsRightAfterNews makes two changes at the same time, so that some of the daemons that watch the store
+// TestConcurrentChangesReachAllDaemons makes two changes at the same time, so that some of the daemons that watch the store
 // already pause when the second one is made: once one daemon has it, all get it in the usual time.
-func TestNewsRightAfterNews(t *testing.T) {
+func TestConcurrentChangesReachAllDaemons(t *testing.T) {
 	runFleet(t, 20, 2, func(f *fleet) {
 		slowest := time.Duration(0)
 		for number := range 100 {
@@ -105,9 +105,9 @@
 	return heard
 }
 
-// TestNewsWithoutTellers changes the configuration while some of the daemons that watch the
+// TestChangeWhileSomeWatchersAreDown changes the configuration while some of the daemons that watch the
 // store have been killed and are not yet known to be down: the others broadcast the change.
-func TestNewsWithoutTellers(t *testing.T) {
+func TestChangeWhileSomeWatchersAreDown(t *testing.T) {
 	runFleet(t, 40, 1, func(f *fleet) {
 		killed := 0
 		var remaining []*daemon.Daemon
@@ -126,9 +126,9 @@
 	})
 }
 
-// TestNewsWithoutAnyTeller changes the configuration right after all daemons that watch the
+// TestChangeAfterAllWatchersArePoweredOff changes the configuration right after all daemons that watch the
 // store and most others were powered off: the remaining daemons watch the store instead.
-func TestNewsWithoutAnyTeller(t *testing.T) {
+func TestChangeAfterAllWatchersArePoweredOff(t *testing.T) {
 	for _, size := range []int{13, 18, 60} {
 		for _, pause := range []time.Duration{0, 300 * time.Millisecond, time.Second} {
 			runFleet(t, size, 1, func(f *fleet) {
@@ -145,9 +145,9 @@
 	}
 }
 
-// TestStandingInListsNothing powers the watching daemons off: the daemons that watch instead
+// TestNewWatchersDoNotListBackends powers the watching daemons off: the daemons that watch instead
 // continue from the revision they got from peers, and do not list all back ends again.
-func TestStandingInListsNothing(t *testing.T) {
+func TestNewWatchersDoNotListBackends(t *testing.T) {
 	runFleet(t, 18, 3, func(f *fleet) {
 		f.writeEntry(f.workers[0], "draining")
 		f.store.Compact() // the revision read at startup is too old to continue from
@@ -236,20 +236,20 @@
 // seedPort is the peer port of seeds whose addresses are known before they start.
 const seedPort = 7000
 
-// TestKnownSoonAfterAllStart replaces all daemons at the same time: the new daemons soon
+// TestMembershipAfterAllDaemonsAreReplaced replaces all daemons at the same time: the new daemons soon
 // know each other, so that they agree on the dispatcher.
-func TestKnownSoonAfterAllStart(t *testing.T) {
+func TestMembershipAfterAllDaemonsAreReplaced(t *testing.T) {
 	const size = 60
 	runFleet(t, size, 1, func(f *fleet) {
 		f.replaceAllDaemons()
-		begun := time.Now()
+		start := time.Now()
 		for _, member := range f.daemons {
 			for member.AliveCount() < size {
-				require.Less(f.t, time.Since(begun), time.Minute)
+				require.Less(f.t, time.Since(start), time.Minute)
 				time.Sleep(time.Millisecond)
 			}
 		}
-		require.Less(f.t, time.Since(begun), 1200*time.Millisecond)
+		require.Less(f.t, time.Since(start), 1200*time.Millisecond)
 	})
 }
 
@@ -264,9 +264,9 @@
 	return chosen
 }
 
-// TestOneDispatcherAfterAllStart replaces all daemons at the same time: the new daemons
+// TestOneDispatcherAfterAllDaemonsAreReplaced replaces all daemons at the same time: the new daemons
 // agree on the dispatcher long before they all know each other, while callers return.
-func TestOneDispatcherAfterAllStart(t *testing.T) {
+func TestOneDispatcherAfterAllDaemonsAreReplaced(t *testing.T) {
 	const size = 60
 	runFleet(t, size, 1, func(f *fleet) {
 		f.replaceAllDaemons()
@@ -279,10 +279,10 @@
 	})
 }
 
-// TestChangeAfterAllStart replaces all daemons at the same time and changes the
+// TestChangeAfterAllDaemonsAreReplaced replaces all daemons at the same time and changes the
 // configuration right after the new daemons have read it: the change is in force everywhere
 // as soon as they know each other.
-func TestChangeAfterAllStart(t *testing.T) {
+func TestChangeAfterAllDaemonsAreReplaced(t *testing.T) {
 	for _, size := range []int{13, 60} {
 		runFleet(t, size, 1, func(f *fleet) {
 			f.replaceAllDaemons()
@@ -293,16 +293,16 @@
 	}
 }
 
-// TestStopAmongSilentMembers stops a daemon whose peers do not respond: announcing the stop
+// TestStopWithUnresponsivePeers stops a daemon whose peers do not respond: announcing the stop
 // to them does not extend the notice of the platform.
-func TestStopAmongSilentMembers(t *testing.T) {
+func TestStopWithUnresponsivePeers(t *testing.T) {
 	run(t, 1, func(f *fleet) {
 		stopped := f.daemons[0]
 		defer func() { f.daemons = nil }()
 		f.powerOff(func(member *daemon.Daemon, _ int) bool { return member != stopped })
-		begun := time.Now()
+		start := time.Now()
 		require.NoError(t, stopped.Stop(f.t.Context()))
-		require.Less(t, time.Since(begun), time.Duration(settings.DefaultNotice)+100*time.Millisecond)
+		require.Less(t, time.Since(start), time.Duration(settings.DefaultNotice)+100*time.Millisecond)
 	})
 }
 
--- a/lab/objectstub/disturbed_test.go
+++ b/lab/objectstub/disturbed_backend_test.go
@@ -9,10 +9,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestDisturbedAtTheStart slows a worker down right before requests reach it, long after its last
+// TestEarlyHedgeForDisturbedBackend slows a worker down right before requests reach it, long after its last
 // load report: repeatable requests get a second attempt at the other worker within a few
 // milliseconds through any daemon, and not only once they are slow.
-func TestDisturbedAtTheStart(t *testing.T) {
+func TestEarlyHedgeForDisturbedBackend(t *testing.T) {
 	run(t, 2, func(f *fleet) {
 		f.service["healthPath"] = "/health"
 		f.configure("/one/")
@@ -26,9 +26,9 @@
 		for number := range 8 {
 			worker := f.workers[number%2]
 			worker.update(func() { worker.disturbed = true })
-			begun := time.Now()
+			start := time.Now()
 			require.Equal(t, http.StatusOK, f.send(number%daemons, "/one/safe/").status)
-			if time.Since(begun) > 160*time.Millisecond {
+			if time.Since(start) > 160*time.Millisecond {
 				late++
 			}
 			worker.update(func() { worker.disturbed = false })
--- a/lab/objectstub/leaving_test.go
+++ b/lab/objectstub/draining_test.go
@@ -66,11 +66,11 @@
 	w.update(func() { w.draining = true })
 }
 
-// TestLeavingBackendThatStoreDoesNotKnow guards against requests to a back end whose responses report that it is
+// TestDrainingBackendWhileStoreIsDown guards against requests to a back end whose responses report that it is
 // draining while the store, which is down, still lists it as ready.
-func TestLeavingBackendThatStoreDoesNotKnow(t *testing.T) {
+func TestDrainingBackendWhileStoreIsDown(t *testing.T) {
 	run(t, 4, func(f *fleet) {
-		load := f.randomLoad(limitedLoad)
+		load := f.randomLoad(loadInterval)
 		time.Sleep(2 * time.Second)
 		f.store.SetFaults(objectstub.Faults{Down: true})
 		f.workers[0].startDraining()
@@ -86,24 +86,24 @@
 	})
 }
 
-// TestLeavingBackendInTroubles guards against requests to a back end whose responses report that it is draining,
+// TestDrainingBackendDuringDisruptions guards against requests to a back end whose responses report that it is draining,
 // during disruptions and for every way by which requests reach back ends.
-func TestLeavingBackendInTroubles(t *testing.T) {
+func TestDrainingBackendDuringDisruptions(t *testing.T) {
 	disruptions := []disruption{
-		{name: "none, and the store never lists it as draining", apply: func(*fleet, *randomLoad) {}},
-		{name: "the store is down, and back", apply: func(f *fleet, _ *randomLoad) {
+		{name: "no disruption, and the store never lists it as draining", apply: func(*fleet, *randomLoad) {}},
+		{name: "the store is down and recovers", apply: func(f *fleet, _ *randomLoad) {
 			f.store.SetFaults(objectstub.Faults{Down: true})
 			time.Sleep(5 * time.Second)
 			f.store.SetFaults(objectstub.Faults{})
 		}},
-		{name: "watches of the store stall", apply: func(f *fleet, _ *randomLoad) { f.store.SetFaults(objectstub.Faults{StallWatches: true}) }},
+		{name: "watches stall", apply: func(f *fleet, _ *randomLoad) { f.store.SetFaults(objectstub.Faults{StallWatches: true}) }},
 		{name: "the store lists it as ready again", apply: func(f *fleet, _ *randomLoad) {
 			for range 3 {
 				f.writeEntry(f.workers[0], "ready")
 				time.Sleep(time.Second)
 			}
 		}},
-		{name: "its entry lapses and comes back", apply: func(f *fleet, _ *randomLoad) {
+		{name: "its entry is removed and written again", apply: func(f *fleet, _ *randomLoad) {
 			for range 3 {
 				f.store.Remove("servers", f.workers[0].id)
 				time.Sleep(1500 * time.Millisecond)
@@ -111,17 +111,17 @@
 				time.Sleep(1500 * time.Millisecond)
 			}
 		}},
-		{name: "the store compacts its history", apply: func(f *fleet, _ *randomLoad) {
+		{name: "history is compacted", apply: func(f *fleet, _ *randomLoad) {
 			f.writeEntry(f.workers[1], "ready")
 			f.store.Compact()
 		}},
-		{name: "configurations come", apply: func(f *fleet, _ *randomLoad) {
+		{name: "the configuration changes", apply: func(f *fleet, _ *randomLoad) {
 			for range 5 {
 				f.configure("/one/")
 				time.Sleep(500 * time.Millisecond)
 			}
 		}},
-		{name: "the service is taken out of the configuration, and put back", apply: func(f *fleet, load *randomLoad) {
+		{name: "the service is removed from the configuration and added again", apply: func(f *fleet, load *randomLoad) {
 			load.pausedWhile(func() {
 				f.split = map[string]int{"other": 1}
 				f.configure("/one/")
@@ -135,7 +135,7 @@
 	for _, test := range append(disruptions, commonDisruptions...) {
 		t.Run(test.name, func(t *testing.T) {
 			run(t, 6, func(f *fleet) {
-				load := f.randomLoad(limitedLoad)
+				load := f.randomLoad(loadInterval)
 				time.Sleep(2 * time.Second)
 				f.workers[0].startDraining()
 				said := time.Now()
@@ -154,9 +154,9 @@
 	}
 }
 
-// TestAllLeave checks that requests are refused immediately with Retry-After while every back end is draining, and
+// TestRequestsAreRefusedWhileAllBackendsDrain checks that requests are refused immediately with Retry-After while every back end is draining, and
 // served as soon as one has restarted.
-func TestAllLeave(t *testing.T) {
+func TestRequestsAreRefusedWhileAllBackendsDrain(t *testing.T) {
 	run(t, 3, func(f *fleet) {
 		f.earnRetryBudget()
 		for _, worker := range f.workers {
@@ -169,11 +169,11 @@
 		ran := f.workers[0].total() + f.workers[1].total() + f.workers[2].total()
 		for number := range daemons {
 			for _, path := range []string{"/one/safe/", "/one/unsafe/"} {
-				begun := time.Now()
+				start := time.Now()
 				got := f.send(number, path)
 				require.Equal(t, http.StatusServiceUnavailable, got.status)
 				require.NotEmpty(t, got.header.Get("Retry-After"))
-				require.Less(t, time.Since(begun), 50*time.Millisecond)
+				require.Less(t, time.Since(start), 50*time.Millisecond)
 			}
 		}
 		require.Equal(t, ran, f.workers[0].total()+f.workers[1].total()+f.workers[2].total())
--- a/lab/objectstub/evacuation_test.go
+++ b/lab/objectstub/evacuation_test.go
@@ -22,8 +22,8 @@
 	usualEvacuationTime = time.Second
 	// reconnectTime is the time after a fault until daemons count as connected again.
 	reconnectTime = 3 * time.Second
-	// requestGap is the interval between two requests.
-	requestGap = 4 * time.Millisecond
+	// requestInterval is the interval between two requests.
+	requestInterval = 4 * time.Millisecond
 )
 
 // assignZones assigns the first workers to a zone and the others to another one that is equally
@@ -66,7 +66,7 @@
 }
 
 var evacuationDisruptions = []evacuationDisruption{
-	{name: "calm", maxDelay: usualEvacuationTime},
+	{name: "no disruption", maxDelay: usualEvacuationTime},
 	{name: "watches stall and history is compacted", maxDelay: evacuationBound,
 		before: func(f *fleet) { f.store.SetFaults(objectstub.Faults{StallWatches: true}) },
 		after: func(f *fleet) {
@@ -74,15 +74,15 @@
 			f.store.Compact()
 			f.store.SetFaults(objectstub.Faults{})
 		}},
-	{name: "the store is down from then on", maxDelay: 4*time.Second + reconnectTime,
+	{name: "the store is down after the acknowledgement", maxDelay: 4*time.Second + reconnectTime,
 		before: func(f *fleet) { f.store.SetFaults(objectstub.Faults{StallWatches: true}) },
 		after: func(f *fleet) {
 			f.store.SetFaults(objectstub.Faults{Down: true})
 			time.Sleep(4 * time.Second)
 			f.store.SetFaults(objectstub.Faults{})
 		}},
-	{name: "all daemons start anew", maxDelay: reconnectTime, pauseLoad: true, after: (*fleet).replaceAllDaemons},
-	{name: "daemons that watch lose their power", maxDelay: evacuationBound,
+	{name: "all daemons are replaced", maxDelay: reconnectTime, pauseLoad: true, after: (*fleet).replaceAllDaemons},
+	{name: "watchers are powered off", maxDelay: evacuationBound,
 		after: func(f *fleet) {
 			watching := 0
 			f.powerOff(func(member *daemon.Daemon, _ int) bool {
@@ -92,7 +92,7 @@
 		}},
 	{name: "a daemon joins", maxDelay: usualEvacuationTime,
 		after: func(f *fleet) { f.start(100, f.storeAddress) }},
-	{name: "configurations come in quick succession", maxDelay: evacuationBound,
+	{name: "the configuration changes in quick succession", maxDelay: evacuationBound,
 		before: func(f *fleet) {
 			for range 5 {
 				f.configure("/one/")
@@ -104,10 +104,10 @@
 		after:  func(f *fleet) { f.store.Remove("evacuations", "east") }},
 }
 
-// TestEvacuatedZoneGetsNothing evacuates a zone under load through every daemon and during
+// TestEvacuatedZoneGetsNoRequests evacuates a zone under load through every daemon and during
 // disruptions: no request reaches its workers after the bound, the other workers serve all
 // requests, and the zone is used again once it is restored.
-func TestEvacuatedZoneGetsNothing(t *testing.T) {
+func TestEvacuatedZoneGetsNoRequests(t *testing.T) {
 	for _, disruption := range evacuationDisruptions {
 		t.Run(disruption.name, func(t *testing.T) {
 			runFleet(t, 12, 6, func(f *fleet) { disruption.run(f) })
@@ -120,7 +120,7 @@
 	for _, worker := range f.workers {
 		worker.update(func() { worker.serviceTime = 30 * time.Millisecond })
 	}
-	stopLoad := f.sendPeriodically(requestGap)
+	stopLoad := f.sendPeriodically(requestInterval)
 	defer func() { stopLoad() }()
 	time.Sleep(time.Second)
 	if e.before != nil {
@@ -138,7 +138,7 @@
 		e.after(f)
 	}
 	if e.pauseLoad {
-		stopLoad = f.sendPeriodically(requestGap)
+		stopLoad = f.sendPeriodically(requestInterval)
 	}
 	time.Sleep(2 * evacuationBound)
 	took := lastArrival(evacuated).Sub(acknowledged)
@@ -149,18 +149,18 @@
 	require.Less(f.t, time.Since(lastArrival(evacuated)), time.Second, "the zone is in use again")
 }
 
-// TestAllZonesEvacuated checks that requests are refused immediately with Retry-After while all
+// TestRequestsAreRefusedWhileAllZonesAreEvacuated checks that requests are refused immediately with Retry-After while all
 // zones are evacuated, and served as soon as a zone is restored.
-func TestAllZonesEvacuated(t *testing.T) {
+func TestRequestsAreRefusedWhileAllZonesAreEvacuated(t *testing.T) {
 	run(t, 3, func(f *fleet) {
 		f.store.Set("evacuations", "zone", struct{}{})
 		time.Sleep(usualEvacuationTime)
 		ran := f.workers[0].total() + f.workers[1].total() + f.workers[2].total()
-		begun := time.Now()
+		start := time.Now()
 		got := f.send(1, "/one/unsafe/")
 		require.Equal(t, http.StatusServiceUnavailable, got.status)
 		require.NotEmpty(t, got.header.Get("Retry-After"))
-		require.Less(t, time.Since(begun), 50*time.Millisecond)
+		require.Less(t, time.Since(start), 50*time.Millisecond)
 		require.Equal(t, ran, f.workers[0].total()+f.workers[1].total()+f.workers[2].total())
 		f.store.Remove("evacuations", "zone")
 		time.Sleep(usualEvacuationTime)
@@ -168,8 +168,8 @@
 	})
 }
 
-// TestEvacuationLetsRequestsEnd checks that an evacuation does not interrupt a running request.
-func TestEvacuationLetsRequestsEnd(t *testing.T) {
+// TestEvacuationDoesNotInterruptRequests checks that an evacuation does not interrupt a running request.
+func TestEvacuationDoesNotInterruptRequests(t *testing.T) {
 	run(t, 1, func(f *fleet) {
 		f.workers[0].update(func() { f.workers[0].serviceTime = 800 * time.Millisecond })
 		got := make(chan answer)
@@ -180,9 +180,9 @@
 	})
 }
 
-// TestEvacuationCosts counts the calls to the store for evacuations: watching daemons renew
+// TestStoreCallsForEvacuations counts the calls to the store for evacuations: watching daemons renew
 // this watch half as often as the watch of the configuration.
-func TestEvacuationCosts(t *testing.T) {
+func TestStoreCallsForEvacuations(t *testing.T) {
 	runFleet(t, 12, 1, func(f *fleet) {
 		const span = 30 * time.Second
 		time.Sleep(10 * time.Second)
@@ -230,11 +230,11 @@
 	sending.Wait()
 }
 
-// TestColdZoneIsSpared restores a zone whose workers may be cold under peak load: each worker gets
+// TestColdRateAfterZoneIsRestored restores a zone whose workers may be cold under peak load: each worker gets
 // no more than its cold rate, and its full share once it is warm.
-func TestColdZoneIsSpared(t *testing.T) {
+func TestColdRateAfterZoneIsRestored(t *testing.T) {
 	run(t, 6, func(f *fleet) {
-		f.declareCold()
+		f.configureWarmUp()
 		cold := f.assignZones(3, "west")
 		f.sendAtRate(200, 2*time.Second)
 		f.store.Set("evacuations", "west", struct{}{})
@@ -250,8 +250,8 @@
 	})
 }
 
-// declareCold configures the rate that cold workers can serve.
-func (f *fleet) declareCold() {
+// configureWarmUp configures the rate that cold workers can serve.
+func (f *fleet) configureWarmUp() {
 	f.service["warmupS"], f.service["warmupPerS"] = coldPeriod.Seconds(), coldRate
 	f.configure("/one/")
 	time.Sleep(time.Second)
@@ -267,10 +267,10 @@
 	require.LessOrEqual(f.t, float64(peak), coldRate+1, "requests are evenly spaced at the cold rate")
 }
 
-// TestNewWorkersAreSpared doubles the workers with cold ones during a burst.
-func TestNewWorkersAreSpared(t *testing.T) {
+// TestColdRateOfNewWorkers doubles the workers with cold ones during a burst.
+func TestColdRateOfNewWorkers(t *testing.T) {
 	run(t, 6, func(f *fleet) {
-		f.declareCold()
+		f.configureWarmUp()
 		for _, worker := range f.workers[:3] {
 			f.store.Remove("servers", worker.id)
 		}
@@ -285,11 +285,11 @@
 	})
 }
 
-// TestColdWorkersWithoutDispatcher powers the dispatcher off while every worker is cold: the
+// TestColdRateWithoutDispatcher powers the dispatcher off while every worker is cold: the
 // daemons, which choose independently meanwhile, stay within the bound together.
-func TestColdWorkersWithoutDispatcher(t *testing.T) {
+func TestColdRateWithoutDispatcher(t *testing.T) {
 	runFleet(t, 20, 4, func(f *fleet) {
-		f.declareCold()
+		f.configureWarmUp()
 		for _, worker := range f.workers {
 			worker.warmUpLeft = coldPeriod
 			f.writeEntry(worker, "ready")
@@ -307,9 +307,9 @@
 	})
 }
 
-// TestSharesWhileOneIsShort checks that a split route keeps its shares while the workers of one
+// TestSplitSharesWhileOneServiceRejects checks that a split route keeps its shares while the workers of one
 // service reject all requests: these requests are refused, and not moved to the other service.
-func TestSharesWhileOneIsShort(t *testing.T) {
+func TestSplitSharesWhileOneServiceRejects(t *testing.T) {
 	run(t, 4, func(f *fleet) {
 		for _, worker := range f.workers[2:] {
 			worker.service = "second"
@@ -333,11 +333,11 @@
 // TestBusiestSecond checks the counting in the tests of cold workers.
 func TestBusiestSecond(t *testing.T) {
 	worker := &worker{}
-	begun := time.Now()
+	start := time.Now()
 	for _, after := range []time.Duration{0, 100, 200, 1300, 1400, 1500, 1600, 3000} {
-		worker.arrivals = append(worker.arrivals, begun.Add(after*time.Millisecond))
+		worker.arrivals = append(worker.arrivals, start.Add(after*time.Millisecond))
 	}
 	require.True(t, slices.IsSortedFunc(worker.arrivals, time.Time.Compare))
-	require.Equal(t, 4, worker.busiestSecond(begun))
-	require.Equal(t, 1, worker.busiestSecond(begun.Add(2*time.Second)))
+	require.Equal(t, 4, worker.busiestSecond(start))
+	require.Equal(t, 1, worker.busiestSecond(start.Add(2*time.Second)))
 }
--- a/lab/objectstub/fleet_test.go
+++ b/lab/objectstub/fleet_test.go
@@ -292,8 +292,8 @@
 	return answer{status: response.StatusCode, body: string(body), header: response.Header, err: err}
 }
 
-// TestServes checks that requests are forwarded unchanged, including escapes in the path.
-func TestServes(t *testing.T) {
+// TestRequestsAreForwardedUnchanged checks that requests are forwarded unchanged, including escapes in the path.
+func TestRequestsAreForwardedUnchanged(t *testing.T) {
 	run(t, 3, func(f *fleet) {
 		for number := range daemons {
 			for _, path := range []string{"/one/safe/a%2Fb?x=1&y", "/one/unsafe/%7e"} {
@@ -309,9 +309,9 @@
 	})
 }
 
-// TestLeaving checks that no requests are sent to a worker that is draining, nor to one
+// TestDrainingAndRemovedWorkersGetNoRequests checks that no requests are sent to a worker that is draining, nor to one
 // that was removed from the store.
-func TestLeaving(t *testing.T) {
+func TestDrainingAndRemovedWorkersGetNoRequests(t *testing.T) {
 	run(t, 3, func(f *fleet) {
 		f.writeEntry(f.workers[0], "draining")
 		f.store.Remove("servers", f.workers[1].id)
@@ -331,9 +331,9 @@
 	}
 }
 
-// TestReusedAddress reuses the address of a worker for another one: the worker gets no
+// TestReusedAddressIsRetriedElsewhere reuses the address of a worker for another one: the worker gets no
 // more requests, and each request that the address refused runs once elsewhere.
-func TestReusedAddress(t *testing.T) {
+func TestReusedAddressIsRetriedElsewhere(t *testing.T) {
 	run(t, 2, func(f *fleet) {
 		f.earnRetryBudget()
 		gone, before := f.workers[0], f.workers[1].total()
@@ -347,9 +347,9 @@
 	})
 }
 
-// TestRefused checks that callers get 503 with Retry-After when every worker refuses,
+// TestRetryAfterWhenAllWorkersReject checks that callers get 503 with Retry-After when every worker refuses,
 // and that no request ran.
-func TestRefused(t *testing.T) {
+func TestRetryAfterWhenAllWorkersReject(t *testing.T) {
 	run(t, 2, func(f *fleet) {
 		for _, worker := range f.workers {
 			worker.update(func() { worker.rejects = true })
@@ -363,8 +363,8 @@
 	})
 }
 
-// TestAnswerOfAnother checks that a response with the id of another request is not forwarded.
-func TestAnswerOfAnother(t *testing.T) {
+// TestResponseOfAnotherRequestIsNotForwarded checks that a response with the id of another request is not forwarded.
+func TestResponseOfAnotherRequestIsNotForwarded(t *testing.T) {
 	run(t, 1, func(f *fleet) {
 		f.workers[0].update(func() { f.workers[0].responseID = "request-of-another" })
 		for _, path := range []string{"/one/safe/", "/one/unsafe/"} {
@@ -382,9 +382,9 @@
 		slow.update(func() { slow.serviceTime = time.Second })
 		late := 0
 		for number := range 8 {
-			begun := time.Now()
+			start := time.Now()
 			require.Equal(t, http.StatusOK, f.send(number%daemons, "/one/safe/").status)
-			if time.Since(begun) > 400*time.Millisecond {
+			if time.Since(start) > 400*time.Millisecond {
 				late++
 			}
 		}
@@ -397,10 +397,10 @@
 	})
 }
 
-// TestDarkWorker sends requests that must not be repeated to a worker whose machine is
+// TestNonRepeatableRequestsToUnreachableWorker sends requests that must not be repeated to a worker whose machine is
 // powered off, so that connections to it are neither opened nor refused: as nothing was
 // sent, the requests soon go to another worker.
-func TestDarkWorker(t *testing.T) {
+func TestNonRepeatableRequestsToUnreachableWorker(t *testing.T) {
 	run(t, 2, func(f *fleet) {
 		f.earnRetryBudget()
 		dark, err := f.net.Network("dark").Listen(f.net.Address("dark")) // never accepts
@@ -411,14 +411,14 @@
 		before := f.workers[1].total()
 		const requests = 5 // more than the other worker runs concurrently
 		answers := make(chan answer, requests)
-		begun := time.Now()
+		start := time.Now()
 		for number := range requests {
 			go func() { answers <- f.send(number%daemons, "/one/unsafe/") }()
 		}
 		for range requests {
 			require.Equal(t, http.StatusOK, (<-answers).status)
 		}
-		require.Less(t, time.Since(begun), 500*time.Millisecond)
+		require.Less(t, time.Since(start), 500*time.Millisecond)
 		require.Equal(t, before+requests, f.workers[1].total())
 		time.Sleep(time.Second) // log lines are written in batches
 		tried := strings.Contains(f.logs.String(), fmt.Sprintf(`"code":%d`, resultcode.ConnectFailed))
--- a/lab/objectstub/limit_test.go
+++ b/lab/objectstub/limit_test.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// limitedLoad is the mean interval between requests: 10 per second for each of eight back ends.
-const limitedLoad = 12500 * time.Microsecond
+// loadInterval is the mean interval between requests: 10 per second for each of eight back ends.
+const loadInterval = 12500 * time.Microsecond
 
 // useLongServiceTime gives all workers the service time of the users' workers, so that all of them are used.
 func (f *fleet) useLongServiceTime() {
@@ -124,7 +124,7 @@
 // they do.
 func (f *fleet) limitTwoWorkers() (load *randomLoad, named time.Time) {
 	f.useLongServiceTime()
-	load = f.randomLoad(limitedLoad)
+	load = f.randomLoad(loadInterval)
 	time.Sleep(5 * time.Second)
 	named = time.Now()
 	for number, limit := range twoLimits {
@@ -133,7 +133,7 @@
 	return load, named
 }
 
-// TestLimitedBackendsGetNoMore guards against ignoring the limit of a back end. A back end reported with
+// TestBackendsGetNoMoreThanTheirLimits guards against ignoring the limit of a back end. A back end reported with
 // each response that it takes 2.5 requests per second from all daemons together, and still got ten per
 // second like the others, because no daemon read the limit. It also got fourteen probes per second from the
 // dispatcher, which probes most often the back ends that it would choose next.
@@ -147,7 +147,7 @@
 // The limit applies to the sum of all daemons. The dispatcher now paces all requests and probes to the back
 // end, and any daemon that gets the limit reports it to the dispatcher. With limits of 3.2 and 0.8 per second,
 // the maximum in 4 s was 94 and 88 requests and probes before, and is 13 and 4 now.
-func TestLimitedBackendsGetNoMore(t *testing.T) {
+func TestBackendsGetNoMoreThanTheirLimits(t *testing.T) {
 	run(t, 8, func(f *fleet) {
 		others, named := f.limitTwoWorkers()
 		time.Sleep(20 * time.Second)
@@ -166,21 +166,21 @@
 
 // requireLimit checks that a worker got no more than its limit, and not much less.
 func (f *fleet) requireLimit(worker *worker, limit float64, named, until time.Time) {
-	f.requireNoMore(worker, limit, named, until)
+	f.requireWithinLimit(worker, limit, named, until)
 	got := worker.maxWindowCount(named.Add(limitKnownBound), until)
 	require.GreaterOrEqual(f.t, got, int(0.7*limit*limitWindow.Seconds()), "the limit of %s is used", worker.id)
 }
 
-// requireNoMore checks that a worker got no more than its limit.
-func (f *fleet) requireNoMore(worker *worker, limit float64, named, until time.Time) {
+// requireWithinLimit checks that a worker got no more than its limit.
+func (f *fleet) requireWithinLimit(worker *worker, limit float64, named, until time.Time) {
 	got := worker.maxWindowCount(named.Add(limitKnownBound), until)
 	require.LessOrEqual(f.t, got, maxInWindow(limit), "%s has a limit of %.1f per second", worker.id, limit)
 }
 
-// TestLimitHoldsInTroubles checks that limited back ends get no more than their limits during disruptions. Each
+// TestLimitHoldsDuringDisruptions checks that limited back ends get no more than their limits during disruptions. Each
 // daemon that chooses independently may send one request more than its share of a window, as the window may start
 // with it.
-func TestLimitHoldsInTroubles(t *testing.T) {
+func TestLimitHoldsDuringDisruptions(t *testing.T) {
 	for _, test := range commonDisruptions {
 		t.Run(test.name, func(t *testing.T) {
 			run(t, 8, func(f *fleet) {
@@ -226,12 +226,12 @@
 	return member.Name
 }
 
-// TestAllLimited checks that requests above the limits of all back ends are refused with Retry-After, and that
+// TestLoadAboveAllLimitsIsRefused checks that requests above the limits of all back ends are refused with Retry-After, and that
 // requests within the limits are served.
-func TestAllLimited(t *testing.T) {
+func TestLoadAboveAllLimitsIsRefused(t *testing.T) {
 	run(t, 8, func(f *fleet) {
 		f.useLongServiceTime()
-		load := f.randomLoad(limitedLoad)
+		load := f.randomLoad(loadInterval)
 		time.Sleep(2 * time.Second)
 		setLimit("2", f.workers...)
 		time.Sleep(3 * time.Second)
@@ -243,9 +243,9 @@
 		from := time.Now()
 		for number := range perSecond * seconds {
 			running.Go(func() {
-				begun := time.Now()
+				start := time.Now()
 				got := f.send(number%daemons, "/one/safe/")
-				took := time.Since(begun)
+				took := time.Since(start)
 				mutex.Lock()
 				defer mutex.Unlock()
 				if got.status == http.StatusOK {
@@ -263,17 +263,17 @@
 		t.Logf("%d answered, %d refused, the slowest after %s", answered, unserved, slowest)
 		require.InDelta(t, takes*seconds, answered, 0.25*takes*seconds)
 		for _, worker := range f.workers {
-			f.requireNoMore(worker, 2, from, time.Now())
+			f.requireWithinLimit(worker, 2, from, time.Now())
 		}
 	})
 }
 
-// TestLimitLifted checks that a back end is soon fully used again after it stops reporting a limit, with a gradual
+// TestBackendIsFullyUsedAfterLimitIsLifted checks that a back end is soon fully used again after it stops reporting a limit, with a gradual
 // increase.
-func TestLimitLifted(t *testing.T) {
+func TestBackendIsFullyUsedAfterLimitIsLifted(t *testing.T) {
 	run(t, 8, func(f *fleet) {
 		f.useLongServiceTime()
-		load := f.randomLoad(limitedLoad)
+		load := f.randomLoad(loadInterval)
 		defer load.finish()
 		time.Sleep(2 * time.Second)
 		setLimit("0.8", f.workers[0])
@@ -294,12 +294,12 @@
 	})
 }
 
-// TestLimitOfARestartedBackend checks that the limit of a back end does not apply after it has restarted with the
+// TestLimitEndsWithRestart checks that the limit of a back end does not apply after it has restarted with the
 // same id.
-func TestLimitOfARestartedBackend(t *testing.T) {
+func TestLimitEndsWithRestart(t *testing.T) {
 	run(t, 8, func(f *fleet) {
 		f.useLongServiceTime()
-		load := f.randomLoad(limitedLoad)
+		load := f.randomLoad(loadInterval)
 		defer load.finish()
 		worker := f.workers[0]
 		worker.startedAt = 1
@@ -317,11 +317,11 @@
 	})
 }
 
-// TestLimitsThatCannotBeRead checks that an invalid limit is ignored, and that the last valid limit stays in force.
-func TestLimitsThatCannotBeRead(t *testing.T) {
+// TestInvalidLimitIsIgnored checks that an invalid limit is ignored, and that the last valid limit stays in force.
+func TestInvalidLimitIsIgnored(t *testing.T) {
 	run(t, 8, func(f *fleet) {
 		f.useLongServiceTime()
-		load := f.randomLoad(limitedLoad)
+		load := f.randomLoad(loadInterval)
 		defer load.finish()
 		setLimit("NaN", f.workers[0])
 		setLimit("1.5", f.workers[1])
@@ -330,12 +330,12 @@
 		setLimit("-1", f.workers[1])
 		time.Sleep(8 * time.Second)
 		require.Greater(t, f.workers[0].maxWindowCount(named, time.Now()), 20)
-		f.requireNoMore(f.workers[1], 1.5, named, time.Now())
+		f.requireWithinLimit(f.workers[1], 1.5, named, time.Now())
 	})
 }
 
 // limitSeeds is the number of random schedules: some seconds of tests in CI, more in manual runs.
-var limitSeeds = flag.Uint64("limit-seeds", 6, "schedules of troubles that are drawn beside limited back ends")
+var limitSeeds = flag.Uint64("limit-seeds", 6, "number of random disruption schedules for back ends with limits")
 
 // disruptionsPerSchedule is the number of disruptions in a random schedule.
 const disruptionsPerSchedule = 6
@@ -393,15 +393,15 @@
 	return ""
 }
 
-// TestLimitsInDrawnTroubles injects random disruptions with random limits, and checks that every back end stays
+// TestLimitHoldsDuringRandomDisruptions injects random disruptions with random limits, and checks that every back end stays
 // within what the users allow in every window from 3 s after it first reported a limit.
-func TestLimitsInDrawnTroubles(t *testing.T) {
+func TestLimitHoldsDuringRandomDisruptions(t *testing.T) {
 	for seed := range *limitSeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			runFleet(t, 6, 8, func(f *fleet) {
 				random := rand.New(rand.NewPCG(seed, 9))
 				f.useLongServiceTime()
-				load := f.randomLoad(limitedLoad)
+				load := f.randomLoad(loadInterval)
 				time.Sleep(3 * time.Second)
 				limits := []float64{0.5 + 6*random.Float64(), 0.5 + 6*random.Float64()}
 				named := time.Now()
--- a/lab/objectstub/pause_test.go
+++ b/lab/objectstub/pause_test.go
@@ -44,11 +44,11 @@
 	}
 }
 
-// TestBackendThatAsksForAPause guards against requests to a back end that rejected a request with a Retry-After of
+// TestBackendGetsNoRequestsDuringPause guards against requests to a back end that rejected a request with a Retry-After of
 // some seconds.
-func TestBackendThatAsksForAPause(t *testing.T) {
+func TestBackendGetsNoRequestsDuringPause(t *testing.T) {
 	run(t, 4, func(f *fleet) {
-		load := f.randomLoad(limitedLoad)
+		load := f.randomLoad(loadInterval)
 		time.Sleep(2 * time.Second)
 		f.workers[0].pauseEvery = 2
 		setRetryAfter("4", f.workers[0])
@@ -73,7 +73,7 @@
 				time.Sleep(500 * time.Millisecond)
 			}
 		}},
-		{name: "several ask for pauses", apply: func(f *fleet, _ *randomLoad) {
+		{name: "several back ends ask for pauses", apply: func(f *fleet, _ *randomLoad) {
 			for _, worker := range f.workers[1:3] {
 				worker.update(func() { worker.pauseEvery = 3 })
 			}
@@ -83,13 +83,13 @@
 	for _, test := range append(disruptions, commonDisruptions...) {
 		t.Run(test.name, func(t *testing.T) {
 			run(t, 6, func(f *fleet) {
-				load := f.randomLoad(limitedLoad)
+				load := f.randomLoad(loadInterval)
 				time.Sleep(2 * time.Second)
 				f.workers[0].update(func() { f.workers[0].pauseEvery = 2 })
 				setRetryAfter("4", f.workers[0])
-				begun := time.Now()
+				start := time.Now()
 				test.apply(f, load)
-				time.Sleep(15*time.Second - time.Since(begun))
+				time.Sleep(15*time.Second - time.Since(start))
 				peak := 0
 				for _, worker := range f.workers {
 					peak = max(peak, worker.peakRequestsInPause(4*time.Second))
@@ -102,8 +102,8 @@
 	}
 }
 
-// TestPauseBindsWhoWasAsked checks that only the daemon that a back end asked for a pause stops sending to it.
-func TestPauseBindsWhoWasAsked(t *testing.T) {
+// TestPauseAppliesOnlyToDaemonThatWasAsked checks that only the daemon that a back end asked for a pause stops sending to it.
+func TestPauseAppliesOnlyToDaemonThatWasAsked(t *testing.T) {
 	run(t, 2, func(f *fleet) {
 		f.earnRetryBudget()
 		worker := f.workers[0]
@@ -114,7 +114,7 @@
 		setRetryAfter("", worker)
 		asked, before := f.net.Address(hostOf(0)), worker.total()
 		bound := worker.requestsFrom(asked)
-		load := f.randomLoad(limitedLoad)
+		load := f.randomLoad(loadInterval)
 		time.Sleep(5 * time.Second)
 		require.Equal(t, bound, worker.requestsFrom(asked))
 		require.Greater(t, worker.total(), before+80, "the other daemons send 300 of 400 requests")
@@ -144,13 +144,13 @@
 	return count
 }
 
-// TestAllAskForAPause checks that a daemon refuses requests immediately, with the time until the first pause ends as
+// TestRequestsAreRefusedWhileAllBackendsArePaused checks that a daemon refuses requests immediately, with the time until the first pause ends as
 // Retry-After, while all back ends have asked it for a pause, and serves requests afterwards.
-func TestAllAskForAPause(t *testing.T) {
+func TestRequestsAreRefusedWhileAllBackendsArePaused(t *testing.T) {
 	run(t, 2, func(f *fleet) {
 		f.earnRetryBudget()
 		setRetryAfter("4", f.workers...)
-		begun := time.Now()
+		start := time.Now()
 		for range 3 {
 			require.Equal(t, http.StatusServiceUnavailable, f.send(0, "/one/safe/").status)
 		}
@@ -163,7 +163,7 @@
 			require.Equal(t, strconv.Itoa(int(resultcode.BackendsPaused)), got.header.Get(resultcode.HeaderCode))
 			seconds, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 			require.NoError(t, err)
-			require.InDelta(t, 4-time.Since(begun).Seconds(), seconds, 0.5)
+			require.InDelta(t, 4-time.Since(start).Seconds(), seconds, 0.5)
 		}
 		require.Equal(t, http.StatusOK, f.send(1, "/one/safe/").status, "the other daemons were not asked for a pause")
 		time.Sleep(5 * time.Second)
@@ -171,10 +171,10 @@
 	})
 }
 
-// TestPausesThatCannotBeRead checks that invalid Retry-After values are logged and start no pause.
-func TestPausesThatCannotBeRead(t *testing.T) {
+// TestInvalidRetryAfterStartsNoPause checks that invalid Retry-After values are logged and start no pause.
+func TestInvalidRetryAfterStartsNoPause(t *testing.T) {
 	run(t, 3, func(f *fleet) {
-		load := f.randomLoad(limitedLoad)
+		load := f.randomLoad(loadInterval)
 		time.Sleep(2 * time.Second)
 		for number, value := range []string{"soon", "-4", "0"} {
 			f.workers[number].update(func() { f.workers[number].pauseEvery = 10 })
--- a/lab/objectstub/probes_test.go
+++ b/lab/objectstub/probes_test.go
@@ -17,11 +17,11 @@
 	var running sync.WaitGroup
 	for number := range took {
 		running.Go(func() {
-			begun := time.Now()
+			start := time.Now()
 			got := f.send(number%len(f.daemons), path)
 			assert.NoError(f.t, got.err)
 			assert.Equal(f.t, http.StatusOK, got.status)
-			took[number] = time.Since(begun)
+			took[number] = time.Since(start)
 		})
 		time.Sleep(interval)
 	}
@@ -29,10 +29,10 @@
 	return took
 }
 
-// TestProbesFindTheUndisturbed slows down alternating halves of the workers, so that the load
+// TestProbesAvoidDisturbedWorkers slows down alternating halves of the workers, so that the load
 // reported with their last response is soon outdated. Without probes 400 of 1,000 requests
 // are sent to a disturbed worker; a few are at each change in any case.
-func TestProbesFindTheUndisturbed(t *testing.T) {
+func TestProbesAvoidDisturbedWorkers(t *testing.T) {
 	run(t, 4, func(f *fleet) {
 		for _, worker := range f.workers {
 			worker.update(func() { worker.disturbPeriod = 150 * time.Millisecond })
@@ -49,10 +49,10 @@
 	})
 }
 
-// TestProbesStayInTheBudget counts the probes that workers get from all daemons together,
+// TestProbesStayWithinBudget counts the probes that workers get from all daemons together,
 // while probing daemons are killed, others take over, and a worker does not respond to
 // probes.
-func TestProbesStayInTheBudget(t *testing.T) {
+func TestProbesStayWithinBudget(t *testing.T) {
 	run(t, 3, func(f *fleet) {
 		for _, worker := range f.workers { // otherwise probes have little benefit and are rare
 			worker.update(func() { worker.disturbPeriod = 150 * time.Millisecond })
--- a/lab/objectstub/crash_test.go
+++ b/lab/objectstub/quarantine_test.go
@@ -12,7 +12,7 @@
 	"github.com/tuliphall/tuliphall/lab/objectstub"
 )
 
-// TestCrashingRequestIsStopped guards against a request that crashes every back end that runs it. Its
+// TestCrashingRequestIsQuarantined guards against a request that crashes every back end that runs it. Its
 // caller retries it with a new id through other daemons; without quarantine it went from one back
 // end to the next and to each one that restarted: 73 back ends crashed in a run of 75 s, nine of ten
 // of a service within 1.5 s.
@@ -27,7 +27,7 @@
 //
 // Without quarantine, 81 back ends crashed in 20 s, 67 requests reached one later than 3 s after the
 // third crash, and 0.41 of the other requests were answered.
-func TestCrashingRequestIsStopped(t *testing.T) {
+func TestCrashingRequestIsQuarantined(t *testing.T) {
 	run(t, 10, func(f *fleet) {
 		record := f.useCrashingBackends(isCrashingRequest)
 		time.Sleep(time.Second)
@@ -38,11 +38,11 @@
 		for range 160 { // 20 s
 			time.Sleep(time.Duration(random.ExpFloat64() * float64(125*time.Millisecond)))
 			go func() {
-				begun := time.Now()
+				start := time.Now()
 				got := f.send(random.IntN(daemons), "/one/safe/deadly")
 				f.mutex.Lock()
 				defer f.mutex.Unlock()
-				last, lastTook = got, time.Since(begun)
+				last, lastTook = got, time.Since(start)
 			}()
 		}
 		time.Sleep(2 * time.Second)
@@ -57,9 +57,9 @@
 	})
 }
 
-// TestCrashingRequestStaysStopped repeats the request for 20 s during other disruptions: the
+// TestCrashingRequestStaysQuarantinedDuringDisruptions repeats the request for 20 s during other disruptions: the
 // request reaches back ends at most three times later than 3 s after the third crash.
-func TestCrashingRequestStaysStopped(t *testing.T) {
+func TestCrashingRequestStaysQuarantinedDuringDisruptions(t *testing.T) {
 	const path = "/one/safe/deadly"
 	for _, test := range []struct {
 		name        string
@@ -67,12 +67,12 @@
 		inject      func(f *fleet, r *crashRepeater)
 		maxBackends int // maximum number of crashes
 	}{
-		{"nothing else", path, func(*fleet, *crashRepeater) {}, 7},
-		{"it must not be repeated", "/one/unsafe/deadly", func(*fleet, *crashRepeater) {}, 7},
+		{"no disruption", path, func(*fleet, *crashRepeater) {}, 7},
+		{"the request is not repeatable", "/one/unsafe/deadly", func(*fleet, *crashRepeater) {}, 7},
 		{"the store is down", path, func(f *fleet, _ *crashRepeater) {
 			f.store.SetFaults(objectstub.Faults{Down: true})
 		}, 7},
-		{"answers of the store are lost", path, func(f *fleet, r *crashRepeater) {
+		{"store responses are dropped", path, func(f *fleet, r *crashRepeater) {
 			f.store.SetFaults(objectstub.Faults{DropResponses: 3})
 			time.Sleep(8 * time.Second)
 			r.pause()
@@ -80,7 +80,7 @@
 			time.Sleep(startTime)
 			r.resume()
 		}, 5},
-		{"all daemons are killed, and others start", path, func(f *fleet, r *crashRepeater) {
+		{"all daemons are replaced", path, func(f *fleet, r *crashRepeater) {
 			time.Sleep(6 * time.Second)
 			r.pause()
 			f.replaceAllDaemons()
@@ -100,7 +100,7 @@
 		// With the exact fingerprint alone (method, host, target, caller, body), retries from other
 		// addresses or with other queries counted as different requests: 92 back ends crashed, and 90
 		// requests arrived too late.
-		{"each comes from another address, with another query", path, func(_ *fleet, r *crashRepeater) {
+		{"each request has another source address and query", path, func(_ *fleet, r *crashRepeater) {
 			r.pause()
 			r.varied = true
 			r.resume()
@@ -112,7 +112,7 @@
 			time.Sleep(startTime)
 			r.resume()
 		}, 7},
-		{"requests wait for permits, and are pipelined", path, func(f *fleet, _ *crashRepeater) {
+		{"pipelined requests wait for permits", path, func(f *fleet, _ *crashRepeater) {
 			f.burst(200)
 			for number := range 20 {
 				go func() { f.pipeline(number%daemons, path, 4) }()
@@ -131,9 +131,9 @@
 				record := f.useCrashingBackends(func(r *http.Request) bool { return r.URL.Path == test.path })
 				time.Sleep(time.Second)
 				repeats := f.startCrashRepeater(test.path)
-				begun := time.Now()
+				start := time.Now()
 				test.inject(f, repeats)
-				time.Sleep(20*time.Second - time.Since(begun))
+				time.Sleep(20*time.Second - time.Since(start))
 				repeats.pause()
 				t.Logf("%d back ends crashed, %d requests arrived after the agreement time", record.total(), record.arrivalsAfterAgreement())
 				require.GreaterOrEqual(t, record.total(), maxCrashes)
@@ -147,9 +147,9 @@
 // startTime is the time that daemons are given to start; the load is paused meanwhile.
 const startTime = 3 * time.Second
 
-// TestBystandersAreServed injects faults that look like a crashing request while a caller repeats a
+// TestHarmlessRequestIsNotQuarantined injects faults that look like a crashing request while a caller repeats a
 // harmless request 50 times per second: the request must not be quarantined.
-func TestBystandersAreServed(t *testing.T) {
+func TestHarmlessRequestIsNotQuarantined(t *testing.T) {
 	const path = "/one/safe/popular"
 	for _, test := range []struct {
 		name        string
@@ -188,7 +188,7 @@
 			}
 			f.net.SetRefusalRule(nil)
 		}, 0.7},
-		{"back ends go dark", func(f *fleet, backends []*crashingBackend) {
+		{"back ends are frozen one after another", func(f *fleet, backends []*crashingBackend) {
 			for round := range 10 {
 				host := crashingHost(backends[round].name)
 				f.net.SetFrozen(host, true)
@@ -215,9 +215,9 @@
 	}
 }
 
-// TestHeldBackEverywhereSoon measures the time from the third crash until every daemon of a fleet
+// TestQuarantineReachesAllDaemons measures the time from the third crash until every daemon of a fleet
 // quarantines the request, with and without the store.
-func TestHeldBackEverywhereSoon(t *testing.T) {
+func TestQuarantineReachesAllDaemons(t *testing.T) {
 	for _, size := range []int{18, 60} {
 		for _, down := range []bool{false, true} {
 			runFleet(t, size, 10, func(f *fleet) {
@@ -227,12 +227,12 @@
 				for number := 0; record.total() < maxCrashes; number++ {
 					f.send(number%size, "/one/safe/deadly")
 				}
-				begun := time.Now()
-				for f.quarantiningDaemons() < size && time.Since(begun) < 2*agreementTime {
+				start := time.Now()
+				for f.quarantiningDaemons() < size && time.Since(start) < 2*agreementTime {
 					time.Sleep(10 * time.Millisecond)
 				}
-				t.Logf("%d daemons, store down %t: quarantined everywhere after %s", size, down, time.Since(begun))
-				require.Less(t, time.Since(begun), agreementTime)
+				t.Logf("%d daemons, store down %t: quarantined everywhere after %s", size, down, time.Since(start))
+				require.Less(t, time.Since(start), agreementTime)
 			})
 		}
 	}
--- a/lab/objectstub/restart_test.go
+++ b/lab/objectstub/restart_test.go
@@ -22,11 +22,11 @@
 	worker.startedAt = time.Now().UnixMilli()
 	before := worker.total()
 	f.writeEntry(worker, "ready")
-	begun := time.Now()
-	for worker.total() == before && time.Since(begun) < 10*time.Second {
+	start := time.Now()
+	for worker.total() == before && time.Since(start) < 10*time.Second {
 		time.Sleep(10 * time.Millisecond)
 	}
-	return time.Since(begun)
+	return time.Since(start)
 }
 
 // TestRestartUnderTheSameID guards against applying the state of a back end's earlier run after it
@@ -37,11 +37,11 @@
 		name    string
 		disrupt func(f *fleet, worker *worker)
 	}{
-		{"its address had another back end meanwhile", func(_ *fleet, worker *worker) {
+		{"another back end used its address", func(_ *fleet, worker *worker) {
 			worker.update(func() { worker.instance = "i-other" })
 		}},
-		{"it said that it leaves", func(f *fleet, worker *worker) { f.writeEntry(worker, "draining") }},
-		{"it refused everything", func(_ *fleet, worker *worker) { worker.update(func() { worker.rejects = true }) }},
+		{"it was draining", func(f *fleet, worker *worker) { f.writeEntry(worker, "draining") }},
+		{"it rejected all requests", func(_ *fleet, worker *worker) { worker.update(func() { worker.rejects = true }) }},
 		{"it was slow", func(_ *fleet, worker *worker) { worker.update(func() { worker.disturbed = true }) }},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/lab/objectstub/rollout_test.go
+++ b/lab/objectstub/rollout_test.go
@@ -83,14 +83,14 @@
 	runRollouts(t, func(f *fleet) {
 		stop := f.startSteadyLoad(100)
 		started := f.startNewVersion(nil)
-		begun := time.Now()
+		start := time.Now()
 		time.Sleep(time.Second)
 		require.Equal(t, "running", f.rolloutState())
-		for f.rolloutState() == "running" && time.Since(begun) < 2*rolloutDuration {
+		for f.rolloutState() == "running" && time.Since(start) < 2*rolloutDuration {
 			time.Sleep(10 * time.Millisecond)
 		}
 		require.Equal(t, "completed", f.rolloutState())
-		require.Less(t, time.Since(begun), rolloutDuration)
+		require.Less(t, time.Since(start), rolloutDuration)
 		old := f.totalOf(f.workers)
 		for _, worker := range f.workers {
 			f.store.Remove("servers", worker.id)
@@ -98,7 +98,7 @@
 		time.Sleep(2 * time.Second)
 		sent := stop()
 		require.Equal(t, old, f.totalOf(f.workers), "an old back end got a request after the rollout completed")
-		t.Logf("completed after %s, %d of %d requests at the new version", time.Since(begun)-2*time.Second, f.totalOf(started), sent)
+		t.Logf("completed after %s, %d of %d requests at the new version", time.Since(start)-2*time.Second, f.totalOf(started), sent)
 		f.requireAllServed()
 	})
 }
@@ -132,15 +132,15 @@
 		inject func(f *fleet)
 	}{
 		{"fails half", half, func(*fleet) {}},
-		{"fails what may not be repeated", func(r *http.Request) bool { return r.Method == http.MethodPost }, func(*fleet) {}},
+		{"fails non-repeatable requests", func(r *http.Request) bool { return r.Method == http.MethodPost }, func(*fleet) {}},
 		{"fails half with the store down", half, func(f *fleet) {
 			time.Sleep(500 * time.Millisecond)
 			f.store.SetFaults(objectstub.Faults{Down: true})
 			time.Sleep(6 * time.Second)
 			f.store.SetFaults(objectstub.Faults{})
 		}},
-		{"fails half, responses of the store dropped", half, func(f *fleet) { f.store.SetFaults(objectstub.Faults{DropResponses: 3}) }},
-		{"fails half, the dispatcher dies", half, func(f *fleet) {
+		{"fails half with store responses dropped", half, func(f *fleet) { f.store.SetFaults(objectstub.Faults{DropResponses: 3}) }},
+		{"fails half with the dispatcher killed", half, func(f *fleet) {
 			time.Sleep(700 * time.Millisecond)
 			for number, daemon := range f.daemons {
 				if _, other := daemon.DispatcherOf("board"); !other {
@@ -155,13 +155,13 @@
 				stop := f.startSteadyLoad(100)
 				time.Sleep(time.Second)
 				started := f.startNewVersion(test.fails)
-				begun := time.Now()
+				start := time.Now()
 				test.inject(f)
-				for f.rolloutState() != "rolled_back" && time.Since(begun) < 2*rolloutDuration {
+				for f.rolloutState() != "rolled_back" && time.Since(start) < 2*rolloutDuration {
 					time.Sleep(10 * time.Millisecond)
 				}
 				require.Equal(t, "rolled_back", f.rolloutState())
-				after := time.Since(begun)
+				after := time.Since(start)
 				time.Sleep(300 * time.Millisecond)
 				exposed := f.totalOf(started)
 				time.Sleep(rolloutDuration)
@@ -174,9 +174,9 @@
 	}
 }
 
-// TestVersionWithoutOrderYet checks that a version that daemons see before its rollout order gets no
+// TestVersionSeenBeforeItsRolloutOrder checks that a version that daemons see before its rollout order gets no
 // requests, and is used if no order arrives.
-func TestVersionWithoutOrderYet(t *testing.T) {
+func TestVersionSeenBeforeItsRolloutOrder(t *testing.T) {
 	runRollouts(t, func(f *fleet) {
 		stop := f.startSteadyLoad(100)
 		started := &worker{id: "n-0", zone: "zone", service: "board", version: "v2", runs: make(map[string]int), serviceTime: 20 * time.Millisecond, instance: "n-0"}
--- a/lab/objectstub/older_rollout_test.go
+++ b/lab/objectstub/store_rollback_rollout_test.go
@@ -11,9 +11,9 @@
 	"github.com/tuliphall/tuliphall/lab/objectstub"
 )
 
-// TestRolledBackVersionStaysBackWhenStoreComesBackOlder loses the rollback of a bad version, or the whole order for
+// TestVersionStaysRolledBackAfterStoreRollback loses the rollback of a bad version, or the whole order for
 // it, in a rollback of the store: the version gets no more requests, and the decision is recorded again.
-func TestRolledBackVersionStaysBackWhenStoreComesBackOlder(t *testing.T) {
+func TestVersionStaysRolledBackAfterStoreRollback(t *testing.T) {
 	var count atomic.Int64
 	half := func(*http.Request) bool { return count.Add(1)%2 == 0 }
 	for _, test := range []struct {
@@ -56,9 +56,9 @@
 
 // awaitState waits until the rollout has a state in the store.
 func (f *fleet) awaitState(state string) {
-	begun := time.Now()
+	start := time.Now()
 	for f.rolloutState() != state {
-		require.Less(f.t, time.Since(begun), 2*rolloutDuration)
+		require.Less(f.t, time.Since(start), 2*rolloutDuration)
 		time.Sleep(10 * time.Millisecond)
 	}
 }
--- a/lab/objectstub/older_test.go
+++ b/lab/objectstub/store_rollback_test.go
@@ -56,22 +56,22 @@
 
 // requireServed checks for a time that every daemon serves the routes of a version.
 func (f *fleet) requireServed(version uint64, lasts time.Duration) {
-	for begun := time.Now(); time.Since(begun) < lasts; time.Sleep(50 * time.Millisecond) {
+	for start := time.Now(); time.Since(start) < lasts; time.Sleep(50 * time.Millisecond) {
 		for number := range f.daemons {
-			require.Equal(f.t, http.StatusOK, f.send(number, versionRoute(version)+"safe/").status, "daemon %d, %v after", number, time.Since(begun))
+			require.Equal(f.t, http.StatusOK, f.send(number, versionRoute(version)+"safe/").status, "daemon %d, %v after", number, time.Since(start))
 		}
 	}
 }
 
-// TestConfigurationAfterStoreCameBackOlder writes versions of the configuration after a rollback of the store lost
+// TestConfigurationAfterStoreRollback writes versions of the configuration after a rollback of the store lost
 // some: each is in force everywhere in time, and no daemon returns to an earlier version.
-func TestConfigurationAfterStoreCameBackOlder(t *testing.T) {
+func TestConfigurationAfterStoreRollback(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		// afterRollback runs after the rollback; version is the lost version, which is in force.
 		afterRollback func(f *fleet, version uint64)
 	}{
-		{"the lost version is written again at once", func(f *fleet, version uint64) {
+		{"the lost version is written again immediately", func(f *fleet, version uint64) {
 			f.configureVersion(version, versionRoute(version))
 		}},
 		{"the lost version is written again later", func(f *fleet, version uint64) {
@@ -128,16 +128,16 @@
 	return []lostChange{
 		{name: "a back end joined", before: remove, change: join, rewrite: join, expectTraffic: true},
 		{name: "a back end reported draining", before: noChange, change: leave, rewrite: leave},
-		{name: "a back end left", before: noChange, change: remove, rewrite: remove},
-		{name: "a back end that was leaving started again", before: leave, change: restart, rewrite: again, expectTraffic: true},
+		{name: "a back end was removed", before: noChange, change: remove, rewrite: remove},
+		{name: "a draining back end restarted", before: leave, change: restart, rewrite: again, expectTraffic: true},
 		{name: "a zone was evacuated", before: noChange, change: evacuate, rewrite: evacuate},
 		{name: "a zone was restored", before: evacuate, change: restore, rewrite: restore, expectTraffic: true},
 	}
 }
 
-// TestLostChangesHoldWhenStoreComesBackOlder loses a change of back ends or zones in a rollback: every daemon keeps
+// TestLostChangesHoldAfterStoreRollback loses a change of back ends or zones in a rollback: every daemon keeps
 // it until it is written again, and afterwards.
-func TestLostChangesHoldWhenStoreComesBackOlder(t *testing.T) {
+func TestLostChangesHoldAfterStoreRollback(t *testing.T) {
 	for _, test := range lostChanges() {
 		t.Run(test.name, func(t *testing.T) {
 			run(t, 4, func(f *fleet) { test.run(f) })
@@ -150,7 +150,7 @@
 		worker.startedAt = time.Now().UnixMilli()
 	}
 	workers := f.assignZones(1, "west")
-	defer f.sendPeriodically(requestGap)()
+	defer f.sendPeriodically(requestInterval)()
 	c.before(f)
 	time.Sleep(2 * time.Second)
 	snapshot := f.store.Snapshot()
@@ -159,26 +159,26 @@
 	time.Sleep(evacuationBound)
 	f.restoreStore(snapshot)
 	for _, span := range []string{"before it is written again", "afterwards"} {
-		begun := workers[0].total()
+		start := workers[0].total()
 		time.Sleep(rewriteDelay)
 		if c.expectTraffic {
-			require.Greater(f.t, workers[0].total(), begun, span)
+			require.Greater(f.t, workers[0].total(), start, span)
 		} else {
-			require.Equal(f.t, begun, workers[0].total(), span)
+			require.Equal(f.t, start, workers[0].total(), span)
 		}
 		if span == "before it is written again" {
 			c.rewrite(f)
 		}
 	}
 	time.Sleep(20 * time.Second) // the maximum time for which daemons keep lost changes
-	begun := workers[0].total()
+	start := workers[0].total()
 	time.Sleep(rewriteDelay)
-	require.Equal(f.t, c.expectTraffic, workers[0].total() > begun, "at last")
+	require.Equal(f.t, c.expectTraffic, workers[0].total() > start, "at last")
 }
 
-// TestBackendThatIsNotWrittenAgainIsGone loses the entry of a back end that has stopped since: once the running back
+// TestBackendNotRewrittenAfterStoreRollbackIsRemoved loses the entry of a back end that has stopped since: once the running back
 // ends have rewritten their entries, it gets no more requests.
-func TestBackendThatIsNotWrittenAgainIsGone(t *testing.T) {
+func TestBackendNotRewrittenAfterStoreRollbackIsRemoved(t *testing.T) {
 	run(t, 3, func(f *fleet) {
 		f.store.Remove("servers", f.workers[0].id)
 		time.Sleep(2 * time.Second)
@@ -186,11 +186,11 @@
 		f.writeEntry(f.workers[0], "ready")
 		time.Sleep(2 * time.Second)
 		f.restoreStore(snapshot)
-		defer f.sendPeriodically(requestGap)()
+		defer f.sendPeriodically(requestInterval)()
 		time.Sleep(evacuationBound)
-		begun := f.workers[0].total()
+		start := f.workers[0].total()
 		time.Sleep(5 * time.Second)
-		require.Equal(t, begun, f.workers[0].total())
+		require.Equal(t, start, f.workers[0].total())
 	})
 }
 
@@ -200,8 +200,8 @@
 	// apply runs right after the rollback, and returns the time until all daemons are connected again.
 	apply func(f *fleet, snapshot objectstub.Snapshot) (inTouch time.Duration)
 }{
-	{"calm", func(*fleet, objectstub.Snapshot) time.Duration { return 0 }},
-	{"daemons start meanwhile", func(f *fleet, _ objectstub.Snapshot) time.Duration {
+	{"no disruption", func(*fleet, objectstub.Snapshot) time.Duration { return 0 }},
+	{"daemons are replaced", func(f *fleet, _ objectstub.Snapshot) time.Duration {
 		f.replaceDaemon(0)
 		f.replaceDaemon(0)
 		return reconnectTime
@@ -235,9 +235,9 @@
 	}},
 }
 
-// TestConfigurationInTroublesAfterStoreCameBackOlder injects other disruptions during a rollback of the store: once
+// TestConfigurationAfterStoreRollbackDuringDisruptions injects other disruptions during a rollback of the store: once
 // daemons are connected again, the last accepted version is in force, and all later versions are in force in time.
-func TestConfigurationInTroublesAfterStoreCameBackOlder(t *testing.T) {
+func TestConfigurationAfterStoreRollbackDuringDisruptions(t *testing.T) {
 	for _, test := range rollbackDisruptions {
 		t.Run(test.name, func(t *testing.T) {
 			run(t, 3, func(f *fleet) {
@@ -257,9 +257,9 @@
 	}
 }
 
-// TestDaemonThatStartsTakesNewestOfPeers starts daemons after the store has lost the newest configuration: no daemon
+// TestStartingDaemonTakesNewestConfigurationOfPeers starts daemons after the store has lost the newest configuration: no daemon
 // that reports ready serves by the older one.
-func TestDaemonThatStartsTakesNewestOfPeers(t *testing.T) {
+func TestStartingDaemonTakesNewestConfigurationOfPeers(t *testing.T) {
 	run(t, 3, func(f *fleet) {
 		f.configureNext()
 		time.Sleep(time.Second)
@@ -267,23 +267,23 @@
 		for range 4 {
 			f.replaceDaemon(0)
 			started := len(f.daemons) - 1
-			begun := time.Now()
+			start := time.Now()
 			for f.daemons[started].Ready() != nil {
 				time.Sleep(time.Millisecond)
 			}
-			t.Log("ready after", time.Since(begun))
-			require.Less(t, time.Since(begun), time.Second)
-			for time.Since(begun) < 3*time.Second {
-				require.Equal(t, http.StatusOK, f.send(started, versionRoute(lost)+"safe/").status, time.Since(begun))
+			t.Log("ready after", time.Since(start))
+			require.Less(t, time.Since(start), time.Second)
+			for time.Since(start) < 3*time.Second {
+				require.Equal(t, http.StatusOK, f.send(started, versionRoute(lost)+"safe/").status, time.Since(start))
 				time.Sleep(10 * time.Millisecond)
 			}
 		}
 	})
 }
 
-// TestReturnOfTheStoreCostsFewCalls rolls the store of a larger fleet back: only the daemons that watch it list its
+// TestStoreCallsAfterStoreRollback rolls the store of a larger fleet back: only the daemons that watch it list its
 // objects, once for each kind.
-func TestReturnOfTheStoreCostsFewCalls(t *testing.T) {
+func TestStoreCallsAfterStoreRollback(t *testing.T) {
 	const size = 60
 	runFleet(t, size, 3, func(f *fleet) {
 		f.configureNext()
--- a/lab/objectstub/tenants_test.go
+++ b/lab/objectstub/tenants_test.go
@@ -44,9 +44,9 @@
 	return heads
 }
 
-// TestKeysOfTenants checks that only requests with a tenant's key are served, that back ends get
+// TestTenantAuthentication checks that only requests with a tenant's key are served, that back ends get
 // the authenticated tenant whatever headers the caller sends, and that no key is logged.
-func TestKeysOfTenants(t *testing.T) {
+func TestTenantAuthentication(t *testing.T) {
 	run(t, 3, func(f *fleet) {
 		f.applyTenants(tenantResource("north", 0, 0, northKey, northNewKey), tenantResource("south", 0, 0, southKey))
 		for number := range daemons {
@@ -104,9 +104,9 @@
 	})
 }
 
-// TestWithdrawnKeyStops removes a key while callers use it on persistent connections, after a new
+// TestRemovedKeyIsRefused removes a key while callers use it on persistent connections, after a new
 // key was added: the old key is refused everywhere within a second, the new one always works.
-func TestWithdrawnKeyStops(t *testing.T) {
+func TestRemovedKeyIsRefused(t *testing.T) {
 	run(t, 3, func(f *fleet) {
 		f.applyTenants(tenantResource("north", 0, 0, northKey, northNewKey))
 		require.Equal(t, http.StatusOK, f.sendWithKey(0, "/one/safe/", northKey).status)
@@ -149,9 +149,9 @@
 	return answered, refused
 }
 
-// TestRateOverAllDaemons sends five times a tenant's rate through all daemons while another tenant
+// TestTenantRateAppliesAcrossDaemons sends five times a tenant's rate through all daemons while another tenant
 // stays within its rate: the first gets its rate in total, and the other is never refused.
-func TestRateOverAllDaemons(t *testing.T) {
+func TestTenantRateAppliesAcrossDaemons(t *testing.T) {
 	const rate, burst, lasts = 20, 20, 20 * time.Second
 	run(t, 10, func(f *fleet) {
 		f.applyTenants(tenantResource("north", rate, burst, northKey), tenantResource("south", rate, burst, southKey))
@@ -169,9 +169,9 @@
 	})
 }
 
-// TestDispatcherDiesUnderAFlood kills the dispatcher, which counts the requests, under overload: the
+// TestTenantRateWhenDispatcherIsKilled kills the dispatcher, which counts the requests, under overload: the
 // other daemons together admit no more than the rate.
-func TestDispatcherDiesUnderAFlood(t *testing.T) {
+func TestTenantRateWhenDispatcherIsKilled(t *testing.T) {
 	const rate, burst, lasts = 20, 20, 20 * time.Second
 	run(t, 10, func(f *fleet) {
 		f.applyTenants(tenantResource("north", rate, burst, northKey))
@@ -205,9 +205,9 @@
 	})
 }
 
-// TestUnknownResourceIsTold checks that a resource of an unknown kind is logged once as not in force,
+// TestUnknownResourceIsLogged checks that a resource of an unknown kind is logged once as not in force,
 // and that the other resources are in force.
-func TestUnknownResourceIsTold(t *testing.T) {
+func TestUnknownResourceIsLogged(t *testing.T) {
 	run(t, 1, func(f *fleet) {
 		f.applyTenants(resource{Kind: "mirrors", Metadata: map[string]any{"name": "shadow"}, Spec: map[string]any{}})
 		f.configure("/one/")
--- a/routing/outcome.go
+++ b/routing/outcome.go
@@ -55,7 +55,7 @@
 		state.slowStartResponses = 0 // restart with one request at a time, so that waiting requests do not all return at once
 	case ProcessExited:
 		// With ten back ends a service of which one exited every 300 ms, only 0.84 of the requests
-		// were answered while exited back ends continued to be tried (TestBystandersAreServed).
+		// were answered while exited back ends continued to be tried (TestHarmlessRequestIsNotQuarantined).
 		state.health.RecordExit(now)
 	case ConnectionRefused:
 		state.health.RecordConnectionRefused(now)
--- a/service/acquire.go
+++ b/service/acquire.go
@@ -38,7 +38,7 @@
 // dispatcherLimitShare is the dispatcher's share of the request limits of back ends. The rest is for
 // daemons that cannot reach it, the same fraction as of a tenant's rate, so that all daemons together
 // stay within the limit. With 0.9, 147 of the 160 requests that the limits allow were answered; with
-// 0.97, 157 (TestAllLimited).
+// 0.97, 157 (TestLoadAboveAllLimitsIsRefused).
 const dispatcherLimitShare = 0.97
 
 // budgetRetention is how long a daemon that receives no first attempts of a service keeps its retry
