--- a/lab/objectstub/crashing_backend_test.go
+++ b/lab/objectstub/crashing_backend_test.go
@@ -72,7 +72,8 @@
 	server    *http.Server
 }
 
-// useCrashingBackends replaces the fleet's back ends by as many that crash on certain requests.
+// useCrashingBackends replaces the fleet's back ends by as many that crash on certain requests, and returns the
+// record of their crashes.
 func (f *fleet) useCrashingBackends(crashesOn func(*http.Request) bool) *crashRecord {
 	_, record := f.startCrashingBackends(crashesOn)
 	return record
@@ -82,11 +83,11 @@
 	record := &crashRecord{}
 	var backends []*crashingBackend
 	for _, worker := range f.workers {
-		m := &crashingBackend{fleet: f, worker: worker, name: worker.id, crashesOn: crashesOn, record: record}
+		backend := &crashingBackend{fleet: f, worker: worker, name: worker.id, crashesOn: crashesOn, record: record}
 		f.store.Remove("servers", worker.id)
 		worker.address = f.net.Address(crashingHost(worker.id))
-		m.start()
-		backends = append(backends, m)
+		backend.start()
+		backends = append(backends, backend)
 	}
 	return backends, record
 }
@@ -96,57 +97,57 @@
 }
 
 // start starts the back end at its address with a new id.
-func (m *crashingBackend) start() {
-	if m.fleet.closed.Load() {
+func (b *crashingBackend) start() {
+	if b.fleet.closed.Load() {
 		return
 	}
-	m.starts++
-	listener, err := m.fleet.net.Network(crashingHost(m.name)).Listen(m.worker.address)
-	require.NoError(m.fleet.t, err)
-	m.worker.update(func() {
-		m.worker.address = listener.Addr().String()
-		m.worker.id = fmt.Sprintf("%s.%d", m.name, m.starts)
-		m.worker.instance = m.worker.id
+	b.starts++
+	listener, err := b.fleet.net.Network(crashingHost(b.name)).Listen(b.worker.address)
+	require.NoError(b.fleet.t, err)
+	b.worker.update(func() {
+		b.worker.address = listener.Addr().String()
+		b.worker.id = fmt.Sprintf("%s.%d", b.name, b.starts)
+		b.worker.instance = b.worker.id
 	})
-	server := &http.Server{Handler: m}
-	m.record.mutex.Lock()
-	m.server = server
-	m.record.mutex.Unlock()
-	m.fleet.mutex.Lock()
-	m.fleet.servers = append(m.fleet.servers, server)
-	m.fleet.mutex.Unlock()
+	server := &http.Server{Handler: b}
+	b.record.mutex.Lock()
+	b.server = server
+	b.record.mutex.Unlock()
+	b.fleet.mutex.Lock()
+	b.fleet.servers = append(b.fleet.servers, server)
+	b.fleet.mutex.Unlock()
 	go func() { _ = server.Serve(listener) }()
-	m.fleet.writeEntry(m.worker, "ready")
+	b.fleet.writeEntry(b.worker, "ready")
 }
 
 // ServeHTTP implements http.Handler.
-func (m *crashingBackend) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
-	if !m.crashesOn(r) {
-		m.worker.ServeHTTP(rw, r)
+func (b *crashingBackend) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
+	if !b.crashesOn(r) {
+		b.worker.ServeHTTP(rw, r)
 		return
 	}
-	m.record.mutex.Lock()
-	m.record.arrivals = append(m.record.arrivals, time.Now())
-	server := m.server
-	m.record.mutex.Unlock()
+	b.record.mutex.Lock()
+	b.record.arrivals = append(b.record.arrivals, time.Now())
+	server := b.server
+	b.record.mutex.Unlock()
 	time.Sleep(crashDelay)
-	m.crash(server)
+	b.crash(server)
 }
 
 // crash closes the back end without notice, and its running requests are lost. It has no effect if
-// this run has crashed already, under the same request sent twice.
-func (m *crashingBackend) crash(server *http.Server) {
-	m.record.mutex.Lock()
-	defer m.record.mutex.Unlock()
-	if server == nil || m.server != server {
+// this run has crashed already, as when the request was sent to it twice.
+func (b *crashingBackend) crash(server *http.Server) {
+	b.record.mutex.Lock()
+	defer b.record.mutex.Unlock()
+	if server == nil || b.server != server {
 		return
 	}
-	m.server = nil
-	m.record.crashes = append(m.record.crashes, time.Now())
+	b.server = nil
+	b.record.crashes = append(b.record.crashes, time.Now())
 	server.Close()
-	id := m.worker.id
-	time.AfterFunc(restartDelay, m.start)
-	time.AfterFunc(entryExpiry, func() { m.fleet.store.Remove("servers", id) })
+	id := b.worker.id
+	time.AfterFunc(restartDelay, b.start)
+	time.AfterFunc(entryExpiry, func() { b.fleet.store.Remove("servers", id) })
 }
 
 // backgroundLoad sends other requests until it is finished, and counts sent and answered
@@ -206,7 +207,7 @@
 type crashRepeater struct {
 	fleet   *fleet
 	path    string
-	varied  bool // each repeat has another source address and query
+	varied  bool // each request has another source address and query
 	random  *rand.Rand
 	stop    chan struct{}
 	running sync.WaitGroup
@@ -260,25 +261,25 @@
 	return host == hostOf(0) || host == hostOf(1)
 }
 
-// inSecondHalf reports whether the host belongs to the second half.
+// inSecondHalf reports whether the host belongs to the second half of the daemons.
 func inSecondHalf(host string) bool {
 	return host == hostOf(2) || host == hostOf(3)
 }
 
 // kill crashes the back end independently of requests.
-func (m *crashingBackend) kill() {
-	m.record.mutex.Lock()
-	server := m.server
-	m.record.mutex.Unlock()
-	m.crash(server)
+func (b *crashingBackend) kill() {
+	b.record.mutex.Lock()
+	server := b.server
+	b.record.mutex.Unlock()
+	b.crash(server)
 }
 
 // quarantiningDaemons returns the number of daemons that quarantine a request.
 func (f *fleet) quarantiningDaemons() int {
 	count := 0
-	for _, member := range f.daemons {
+	for _, d := range f.daemons {
 		isQuarantined := func(request admin.CrashingRequest) bool { return request.Quarantined }
-		if slices.ContainsFunc(member.CrashingRequests(), isQuarantined) {
+		if slices.ContainsFunc(d.CrashingRequests(), isQuarantined) {
 			count++
 		}
 	}
--- a/lab/objectstub/disruptions_test.go
+++ b/lab/objectstub/disruptions_test.go
@@ -8,7 +8,7 @@
 	"github.com/tuliphall/tuliphall/lab/objectstub"
 )
 
-// disruption is injected into a fleet while a guarantee is checked.
+// disruption is a fault or a load that is injected into a fleet while a guarantee is checked.
 type disruption struct {
 	name  string
 	apply func(f *fleet, load *randomLoad)
@@ -19,7 +19,7 @@
 }
 
 // commonDisruptions are disruptions of the store, of daemons, and of how requests reach back ends, for tests of any
-// guarantee. They leave the first two workers alone.
+// guarantee. They do not change the first two workers.
 var commonDisruptions = []disruption{
 	{name: "the store is down", apply: func(f *fleet, _ *randomLoad) { f.store.SetFaults(objectstub.Faults{Down: true}) }},
 	{name: "the dispatcher is powered off", apply: func(f *fleet, load *randomLoad) {
--- a/lab/objectstub/dissemination_test.go
+++ b/lab/objectstub/dissemination_test.go
@@ -29,8 +29,8 @@
 	return time.Since(start)
 }
 
-// TestConfigurationInForce checks that a new configuration is in force everywhere in time,
-// also when all watches stall and the store drops its history.
+// TestConfigurationInForce checks that a new configuration is in force at all daemons in time, also when all watches
+// stall and the store compacts its history.
 func TestConfigurationInForce(t *testing.T) {
 	run(t, 2, func(f *fleet) {
 		f.configure("/two/")
@@ -57,8 +57,8 @@
 	return time.Since(start)
 }
 
-// TestChangesReachAllDaemons changes the configuration and the directory in a fleet where only a
-// few daemons watch the store: all others get every change in time.
+// TestChangesReachAllDaemons changes the configuration and the directory in a fleet where only a few daemons watch
+// the store: all others get every change in time.
 func TestChangesReachAllDaemons(t *testing.T) {
 	runFleet(t, 60, 3, func(f *fleet) {
 		for number := range 30 {
@@ -72,8 +72,8 @@
 	})
 }
 
-// TestConcurrentChangesReachAllDaemons makes two changes at the same time, so that some of the daemons that watch the store
-// already pause when the second one is made: once one daemon has it, all get it in the usual time.
+// TestConcurrentChangesReachAllDaemons makes two changes at the same time, so that some watchers already pause when
+// the second one is made: once one daemon has it, all get it in the usual time.
 func TestConcurrentChangesReachAllDaemons(t *testing.T) {
 	runFleet(t, 20, 2, func(f *fleet) {
 		slowest := time.Duration(0)
@@ -95,29 +95,29 @@
 
 // countInForce returns the number of daemons that have a revision of the configuration or of the directory.
 func (f *fleet) countInForce(revision uint64) int {
-	heard := 0
-	for _, member := range f.daemons {
-		position := member.Document().Position()
+	count := 0
+	for _, d := range f.daemons {
+		position := d.Document().Position()
 		if uint64(max(position.StoreVersion, position.Directory)) >= revision {
-			heard++
+			count++
 		}
 	}
-	return heard
+	return count
 }
 
-// TestChangeWhileSomeWatchersAreDown changes the configuration while some of the daemons that watch the
-// store have been killed and are not yet known to be down: the others broadcast the change.
+// TestChangeWhileSomeWatchersAreDown changes the configuration after half of the watchers were killed, while they are
+// not yet known to be down: the others broadcast the change.
 func TestChangeWhileSomeWatchersAreDown(t *testing.T) {
 	runFleet(t, 40, 1, func(f *fleet) {
 		killed := 0
 		var remaining []*daemon.Daemon
-		for _, member := range f.daemons {
-			if killed < watchers/2 && member.Status(f.t.Context()).Watching {
-				member.Kill()
+		for _, d := range f.daemons {
+			if killed < watchers/2 && d.Status(f.t.Context()).Watching {
+				d.Kill()
 				killed++
 				continue
 			}
-			remaining = append(remaining, member)
+			remaining = append(remaining, d)
 		}
 		require.Equal(t, watchers/2, killed)
 		f.daemons = remaining
@@ -126,38 +126,38 @@
 	})
 }
 
-// TestChangeAfterAllWatchersArePoweredOff changes the configuration right after all daemons that watch the
-// store and most others were powered off: the remaining daemons watch the store instead.
+// TestChangeAfterAllWatchersArePoweredOff changes the configuration right after all watchers and most other daemons
+// were powered off: the remaining daemons watch the store instead.
 func TestChangeAfterAllWatchersArePoweredOff(t *testing.T) {
 	for _, size := range []int{13, 18, 60} {
-		for _, pause := range []time.Duration{0, 300 * time.Millisecond, time.Second} {
+		for _, delay := range []time.Duration{0, 300 * time.Millisecond, time.Second} {
 			runFleet(t, size, 1, func(f *fleet) {
-				f.powerOff(func(member *daemon.Daemon, number int) bool {
-					return member.Status(f.t.Context()).Watching || number%5 != 0
+				f.powerOff(func(d *daemon.Daemon, number int) bool {
+					return d.Status(f.t.Context()).Watching || number%5 != 0
 				})
 				defer f.sendPeriodically(20 * time.Millisecond)()
-				time.Sleep(pause)
+				time.Sleep(delay)
 				f.configure("/change/")
 				took := f.awaitInForce(f.store.Revision())
-				require.Less(t, took, 1500*time.Millisecond, "%d daemons, %v later", size, pause)
+				require.Less(t, took, 1500*time.Millisecond, "%d daemons, change %v after the power failure", size, delay)
 			})
 		}
 	}
 }
 
-// TestNewWatchersDoNotListBackends powers the watching daemons off: the daemons that watch instead
-// continue from the revision they got from peers, and do not list all back ends again.
+// TestNewWatchersDoNotListBackends powers the watchers off: the daemons that watch instead continue from the revision
+// that they got from peers, and do not list all back ends again.
 func TestNewWatchersDoNotListBackends(t *testing.T) {
 	runFleet(t, 18, 3, func(f *fleet) {
 		f.writeEntry(f.workers[0], "draining")
 		f.store.Compact() // the revision read at startup is too old to continue from
-		// Watching daemons pause after a change (watch_interval). With both changes at the same
-		// time, the scheduler decided whether they got the first one before the second.
+		// Watchers pause after a change (watch_interval). If both changes were made at the same time, the scheduler
+		// would decide whether they get the first one before the second.
 		time.Sleep(time.Second)
 		f.writeEntry(f.workers[1], "draining")
 		require.Less(t, f.awaitInForce(f.store.Revision()), 250*time.Millisecond)
 		listed := f.store.ListCalls("servers")
-		f.powerOff(func(member *daemon.Daemon, _ int) bool { return member.Status(f.t.Context()).Watching })
+		f.powerOff(func(d *daemon.Daemon, _ int) bool { return d.Status(f.t.Context()).Watching })
 		f.writeEntry(f.workers[0], "ready")
 		require.Less(t, f.awaitInForce(f.store.Revision()), 1500*time.Millisecond)
 		time.Sleep(time.Second)
@@ -165,20 +165,20 @@
 	})
 }
 
-// powerOff freezes the network of the selected daemons, like machines without power, and
-// removes them from the fleet's daemons.
-func (f *fleet) powerOff(selects func(member *daemon.Daemon, number int) bool) {
+// powerOff freezes the network of the selected daemons, as if their machines were powered off, and removes them from
+// the fleet's daemons.
+func (f *fleet) powerOff(selects func(d *daemon.Daemon, number int) bool) {
 	var remaining []*daemon.Daemon
-	for number, member := range f.daemons {
-		if selects(member, number) {
-			f.poweredOff = append(f.poweredOff, poweredOffDaemon{Daemon: member, host: hostOf(number)})
+	for number, d := range f.daemons {
+		if selects(d, number) {
+			f.poweredOff = append(f.poweredOff, poweredOffDaemon{Daemon: d, host: hostOf(number)})
 			continue
 		}
-		remaining = append(remaining, member)
+		remaining = append(remaining, d)
 	}
 	f.daemons = remaining
-	for _, member := range f.poweredOff {
-		f.net.SetFrozen(member.host, true)
+	for _, d := range f.poweredOff {
+		f.net.SetFrozen(d.host, true)
 	}
 }
 
@@ -215,8 +215,8 @@
 // replaceAllDaemons kills all daemons and starts as many new ones at the same time.
 func (f *fleet) replaceAllDaemons() {
 	size := len(f.daemons)
-	for _, member := range f.daemons {
-		member.Kill()
+	for _, d := range f.daemons {
+		d.Kill()
 	}
 	f.daemons = nil
 	var seeds []string
@@ -236,15 +236,15 @@
 // seedPort is the peer port of seeds whose addresses are known before they start.
 const seedPort = 7000
 
-// TestMembershipAfterAllDaemonsAreReplaced replaces all daemons at the same time: the new daemons soon
-// know each other, so that they agree on the dispatcher.
+// TestMembershipAfterAllDaemonsAreReplaced replaces all daemons at the same time: the new daemons know each other
+// within 1.2 s, so that they agree on the dispatcher.
 func TestMembershipAfterAllDaemonsAreReplaced(t *testing.T) {
 	const size = 60
 	runFleet(t, size, 1, func(f *fleet) {
 		f.replaceAllDaemons()
 		start := time.Now()
-		for _, member := range f.daemons {
-			for member.AliveCount() < size {
+		for _, d := range f.daemons {
+			for d.AliveCount() < size {
 				require.Less(f.t, time.Since(start), time.Minute)
 				time.Sleep(time.Millisecond)
 			}
@@ -256,16 +256,16 @@
 // dispatchersOf returns the daemons that the given daemons consider the dispatcher of the
 // workers' service, with the number that do.
 func dispatchersOf(daemons []*daemon.Daemon) map[string]int {
-	chosen := make(map[string]int)
-	for _, running := range daemons {
-		member, _ := running.DispatcherOf("board")
-		chosen[member.Name]++
+	counts := make(map[string]int)
+	for _, d := range daemons {
+		dispatcher, _ := d.DispatcherOf("board")
+		counts[dispatcher.Name]++
 	}
-	return chosen
+	return counts
 }
 
-// TestOneDispatcherAfterAllDaemonsAreReplaced replaces all daemons at the same time: the new daemons
-// agree on the dispatcher long before they all know each other, while callers return.
+// TestOneDispatcherAfterAllDaemonsAreReplaced replaces all daemons at the same time: the new daemons agree on the
+// dispatcher long before they all know each other, while callers return.
 func TestOneDispatcherAfterAllDaemonsAreReplaced(t *testing.T) {
 	const size = 60
 	runFleet(t, size, 1, func(f *fleet) {
@@ -279,9 +279,8 @@
 	})
 }
 
-// TestChangeAfterAllDaemonsAreReplaced replaces all daemons at the same time and changes the
-// configuration right after the new daemons have read it: the change is in force everywhere
-// as soon as they know each other.
+// TestChangeAfterAllDaemonsAreReplaced replaces all daemons at the same time and changes the configuration right
+// after the new daemons have read it: the change is in force at all of them as soon as they know each other.
 func TestChangeAfterAllDaemonsAreReplaced(t *testing.T) {
 	for _, size := range []int{13, 60} {
 		runFleet(t, size, 1, func(f *fleet) {
@@ -293,23 +292,23 @@
 	}
 }
 
-// TestStopWithUnresponsivePeers stops a daemon whose peers do not respond: announcing the stop
-// to them does not extend the notice of the platform.
+// TestStopWithUnresponsivePeers stops a daemon whose peers do not respond: announcing the stop to them does not take
+// longer than the notice that the platform gives.
 func TestStopWithUnresponsivePeers(t *testing.T) {
 	run(t, 1, func(f *fleet) {
 		stopped := f.daemons[0]
 		defer func() { f.daemons = nil }()
-		f.powerOff(func(member *daemon.Daemon, _ int) bool { return member != stopped })
+		f.powerOff(func(d *daemon.Daemon, _ int) bool { return d != stopped })
 		start := time.Now()
 		require.NoError(t, stopped.Stop(f.t.Context()))
 		require.Less(t, time.Since(start), time.Duration(settings.DefaultNotice)+100*time.Millisecond)
 	})
 }
 
-// TestSeedsThatStartLater starts daemons before their seeds, to which connections are
-// neither opened nor refused meanwhile: the daemons join as soon as the seeds have started.
+// TestSeedsThatStartLater starts daemons before their seeds, to which connections are neither opened nor refused
+// meanwhile: the daemons join as soon as the seeds have started.
 func TestSeedsThatStartLater(t *testing.T) {
-	const size, late = 30, 400 * time.Millisecond
+	const size, seedDelay = 30, 400 * time.Millisecond
 	runFleet(t, 1, 1, func(f *fleet) {
 		f.daemons[0].Kill()
 		f.daemons = nil
@@ -323,7 +322,7 @@
 		for number := range size {
 			f.startAt(200+number, f.storeAddress, f.net.Address(hostOf(200+number)), seeds)
 		}
-		time.Sleep(late)
+		time.Sleep(seedDelay)
 		for number, address := range seeds {
 			f.startAt(100+number, f.storeAddress, address, seeds)
 		}
@@ -332,8 +331,7 @@
 	})
 }
 
-// TestStoreDownAtStart starts a daemon while the store is down: it gets routes and back
-// ends from its peers.
+// TestStoreDownAtStart starts a daemon while the store is down: it gets routes and back ends from its peers.
 func TestStoreDownAtStart(t *testing.T) {
 	run(t, 2, func(f *fleet) {
 		f.store.SetFaults(objectstub.Faults{Down: true})
--- a/lab/objectstub/disturbed_backend_test.go
+++ b/lab/objectstub/disturbed_backend_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestEarlyHedgeForDisturbedBackend slows a worker down right before requests reach it, long after its last
-// load report: repeatable requests get a second attempt at the other worker within a few
-// milliseconds through any daemon, and not only once they are slow.
+// TestEarlyHedgeForDisturbedBackend slows a worker down right before requests reach it, long after its last load
+// report: through any daemon, repeatable requests are hedged at the other worker within a few milliseconds, not only
+// once they are slow.
 func TestEarlyHedgeForDisturbedBackend(t *testing.T) {
 	run(t, 2, func(f *fleet) {
 		f.service["healthPath"] = "/health"
@@ -36,6 +36,6 @@
 		}
 		require.Zero(t, late)
 		time.Sleep(time.Second)
-		require.True(t, strings.Contains(f.logs.String(), `"hedge":"disturbed"`), "no second attempt for a disturbed back end")
+		require.True(t, strings.Contains(f.logs.String(), `"hedge":"disturbed"`), "no hedge for a disturbed back end")
 	})
 }
--- a/lab/objectstub/draining_test.go
+++ b/lab/objectstub/draining_test.go
@@ -41,7 +41,7 @@
 	defer w.mutex.Unlock()
 	first, late := w.firstSignals(), 0
 	for number, at := range w.arrivals {
-		if told, known := first[ipOf(w.senders[number])]; known && at.Sub(told) > bound {
+		if signaledAt, known := first[ipOf(w.senders[number])]; known && at.Sub(signaledAt) > bound {
 			late++
 		}
 	}
@@ -74,10 +74,10 @@
 		time.Sleep(2 * time.Second)
 		f.store.SetFaults(objectstub.Faults{Down: true})
 		f.workers[0].startDraining()
-		said := time.Now()
+		drainingSince := time.Now()
 		time.Sleep(10 * time.Second)
 		answered := load.finish()
-		late, after := f.workers[0].lateArrivals(drainingBound), f.workers[0].arrivalsAfter(said.Add(drainingKnownBound))
+		late, after := f.workers[0].lateArrivals(drainingBound), f.workers[0].arrivalsAfter(drainingSince.Add(drainingKnownBound))
 		t.Logf("%d requests later than %s after a response to the same daemon, %d in total from %s on", late, drainingBound, after, drainingKnownBound)
 		require.Zero(t, late)
 		require.Zero(t, after)
@@ -86,8 +86,8 @@
 	})
 }
 
-// TestDrainingBackendDuringDisruptions guards against requests to a back end whose responses report that it is draining,
-// during disruptions and for every way by which requests reach back ends.
+// TestDrainingBackendDuringDisruptions guards against requests to a back end whose responses report that it is
+// draining, during disruptions and for every way by which requests reach back ends.
 func TestDrainingBackendDuringDisruptions(t *testing.T) {
 	disruptions := []disruption{
 		{name: "no disruption, and the store never lists it as draining", apply: func(*fleet, *randomLoad) {}},
@@ -138,12 +138,12 @@
 				load := f.randomLoad(loadInterval)
 				time.Sleep(2 * time.Second)
 				f.workers[0].startDraining()
-				said := time.Now()
+				drainingSince := time.Now()
 				time.Sleep(500 * time.Millisecond) // until a daemon has got the signal
 				test.apply(f, load)
-				time.Sleep(15*time.Second - time.Since(said))
+				time.Sleep(15*time.Second - time.Since(drainingSince))
 				t.Logf("%.3f answered", load.finish())
-				late, after := f.workers[0].lateArrivals(drainingBound), f.workers[0].arrivalsAfter(said.Add(drainingKnownBound))
+				late, after := f.workers[0].lateArrivals(drainingBound), f.workers[0].arrivalsAfter(drainingSince.Add(drainingKnownBound))
 				t.Logf("%d requests later than %s after a response to the same daemon, %d in total from %s on", late, drainingBound, after, drainingKnownBound)
 				require.Zero(t, late)
 				if !test.divergent {
@@ -154,8 +154,8 @@
 	}
 }
 
-// TestRequestsAreRefusedWhileAllBackendsDrain checks that requests are refused immediately with Retry-After while every back end is draining, and
-// served as soon as one has restarted.
+// TestRequestsAreRefusedWhileAllBackendsDrain checks that requests are refused immediately with Retry-After while
+// every back end is draining, and served as soon as one has restarted.
 func TestRequestsAreRefusedWhileAllBackendsDrain(t *testing.T) {
 	run(t, 3, func(f *fleet) {
 		f.earnRetryBudget()
@@ -166,7 +166,7 @@
 			f.send(number%daemons, "/one/safe/")
 		}
 		time.Sleep(drainingKnownBound)
-		ran := f.workers[0].total() + f.workers[1].total() + f.workers[2].total()
+		runsBefore := f.workers[0].total() + f.workers[1].total() + f.workers[2].total()
 		for number := range daemons {
 			for _, path := range []string{"/one/safe/", "/one/unsafe/"} {
 				start := time.Now()
@@ -176,7 +176,7 @@
 				require.Less(t, time.Since(start), 50*time.Millisecond)
 			}
 		}
-		require.Equal(t, ran, f.workers[0].total()+f.workers[1].total()+f.workers[2].total())
+		require.Equal(t, runsBefore, f.workers[0].total()+f.workers[1].total()+f.workers[2].total())
 		f.workers[0].update(func() { f.workers[0].draining = false })
 		f.workers[0].startedAt = time.Now().UnixMilli()
 		f.writeEntry(f.workers[0], "ready")
--- a/lab/objectstub/evacuation_test.go
+++ b/lab/objectstub/evacuation_test.go
@@ -17,8 +17,8 @@
 const (
 	// evacuationBound is the maximum allowed by the users' platform.
 	evacuationBound = 5 * time.Second
-	// usualEvacuationTime is the maximum without other faults. Daemons that watch the store get
-	// the change immediately unless they pause after a recent one, and broadcast it.
+	// usualEvacuationTime is the maximum without other faults. Watchers get the change immediately unless they
+	// pause after a recent one, and broadcast it.
 	usualEvacuationTime = time.Second
 	// reconnectTime is the time after a fault until daemons count as connected again.
 	reconnectTime = 3 * time.Second
@@ -57,7 +57,7 @@
 // evacuationDisruption is a disruption during an evacuation.
 type evacuationDisruption struct {
 	name string
-	// before runs right before the evacuation is written, after right after its acknowledgement.
+	// before runs right before the evacuation is written, and after right after its acknowledgement.
 	before, after func(f *fleet)
 	// pauseLoad: no requests are sent while after runs, because it kills daemons.
 	pauseLoad bool
@@ -82,12 +82,12 @@
 			f.store.SetFaults(objectstub.Faults{})
 		}},
 	{name: "all daemons are replaced", maxDelay: reconnectTime, pauseLoad: true, after: (*fleet).replaceAllDaemons},
-	{name: "watchers are powered off", maxDelay: evacuationBound,
+	{name: "some watchers are powered off", maxDelay: evacuationBound,
 		after: func(f *fleet) {
 			watching := 0
-			f.powerOff(func(member *daemon.Daemon, _ int) bool {
+			f.powerOff(func(d *daemon.Daemon, _ int) bool {
 				watching++
-				return member.Status(f.t.Context()).Watching && watching <= 2
+				return d.Status(f.t.Context()).Watching && watching <= 2
 			})
 		}},
 	{name: "a daemon joins", maxDelay: usualEvacuationTime,
@@ -104,9 +104,9 @@
 		after:  func(f *fleet) { f.store.Remove("evacuations", "east") }},
 }
 
-// TestEvacuatedZoneGetsNoRequests evacuates a zone under load through every daemon and during
-// disruptions: no request reaches its workers after the bound, the other workers serve all
-// requests, and the zone is used again once it is restored.
+// TestEvacuatedZoneGetsNoRequests evacuates a zone under load through every daemon and during disruptions: no request
+// reaches its workers after the bound, the other workers serve all requests, and the zone is used again once it is
+// restored.
 func TestEvacuatedZoneGetsNoRequests(t *testing.T) {
 	for _, disruption := range evacuationDisruptions {
 		t.Run(disruption.name, func(t *testing.T) {
@@ -149,19 +149,19 @@
 	require.Less(f.t, time.Since(lastArrival(evacuated)), time.Second, "the zone is in use again")
 }
 
-// TestRequestsAreRefusedWhileAllZonesAreEvacuated checks that requests are refused immediately with Retry-After while all
-// zones are evacuated, and served as soon as a zone is restored.
+// TestRequestsAreRefusedWhileAllZonesAreEvacuated checks that requests are refused immediately with Retry-After while
+// all zones are evacuated, and served as soon as a zone is restored.
 func TestRequestsAreRefusedWhileAllZonesAreEvacuated(t *testing.T) {
 	run(t, 3, func(f *fleet) {
 		f.store.Set("evacuations", "zone", struct{}{})
 		time.Sleep(usualEvacuationTime)
-		ran := f.workers[0].total() + f.workers[1].total() + f.workers[2].total()
+		runsBefore := f.workers[0].total() + f.workers[1].total() + f.workers[2].total()
 		start := time.Now()
 		got := f.send(1, "/one/unsafe/")
 		require.Equal(t, http.StatusServiceUnavailable, got.status)
 		require.NotEmpty(t, got.header.Get("Retry-After"))
 		require.Less(t, time.Since(start), 50*time.Millisecond)
-		require.Equal(t, ran, f.workers[0].total()+f.workers[1].total()+f.workers[2].total())
+		require.Equal(t, runsBefore, f.workers[0].total()+f.workers[1].total()+f.workers[2].total())
 		f.store.Remove("evacuations", "zone")
 		time.Sleep(usualEvacuationTime)
 		require.Equal(t, http.StatusOK, f.send(1, "/one/unsafe/").status)
@@ -180,17 +180,17 @@
 	})
 }
 
-// TestStoreCallsForEvacuations counts the calls to the store for evacuations: watching daemons renew
-// this watch half as often as the watch of the configuration.
+// TestStoreCallsForEvacuations counts the calls to the store for evacuations: only watchers list them, and they renew
+// this watch half as often as the watch of the configuration, with a bound of two thirds.
 func TestStoreCallsForEvacuations(t *testing.T) {
 	runFleet(t, 12, 1, func(f *fleet) {
-		const span = 30 * time.Second
+		const period = 30 * time.Second
 		time.Sleep(10 * time.Second)
-		require.Equal(t, watchers, f.store.ListCalls("evacuations"), "only watching daemons list them, once")
+		require.Equal(t, watchers, f.store.ListCalls("evacuations"), "only watchers list them, once each")
 		before, configBefore := f.store.WatchCalls("evacuations"), f.store.WatchCalls("config")
-		time.Sleep(span)
+		time.Sleep(period)
 		watches, configuration := f.store.WatchCalls("evacuations")-before, f.store.WatchCalls("config")-configBefore
-		t.Log("watches in", span, "evacuations", watches, "configuration", configuration)
+		t.Log("watches in", period, "evacuations", watches, "configuration", configuration)
 		require.LessOrEqual(t, 3*watches, 2*configuration)
 	})
 }
@@ -212,26 +212,27 @@
 	return peak
 }
 
-// Rate that a cold worker of these tests can serve, and how long it is cold.
+// Warm-up of the cold workers in these tests.
 const (
 	coldPeriod = 3 * time.Second
-	coldRate   = 2.5 // requests per second
-	// maxColdArrivals is the maximum number of requests within a second, as the users' platform counts.
+	coldRate   = 2.5 // requests per second that a cold worker can serve
+	// maxColdArrivals is the maximum number of requests within a second for a cold worker, as the users' platform
+	// counts them.
 	maxColdArrivals = 1.5*coldRate + 8
 )
 
 // sendAtRate sends requests through all daemons at a constant rate for a time.
-func (f *fleet) sendAtRate(perSecond int, lasts time.Duration) {
+func (f *fleet) sendAtRate(perSecond int, duration time.Duration) {
 	var sending sync.WaitGroup
-	for number := range int(lasts.Seconds() * float64(perSecond)) {
+	for number := range int(duration.Seconds() * float64(perSecond)) {
 		sending.Go(func() { f.send(number%len(f.daemons), "/one/safe/") })
 		time.Sleep(time.Second / time.Duration(perSecond))
 	}
 	sending.Wait()
 }
 
-// TestColdRateAfterZoneIsRestored restores a zone whose workers may be cold under peak load: each worker gets
-// no more than its cold rate, and its full share once it is warm.
+// TestColdRateAfterZoneIsRestored restores a zone under peak load, whose workers may be cold: each worker gets no
+// more than its cold rate, and its full share once it is warm.
 func TestColdRateAfterZoneIsRestored(t *testing.T) {
 	run(t, 6, func(f *fleet) {
 		f.configureWarmUp()
@@ -240,17 +241,17 @@
 		f.store.Set("evacuations", "west", struct{}{})
 		f.sendAtRate(200, 2*time.Second)
 		f.store.Remove("evacuations", "west")
-		back := time.Now()
+		restoredAt := time.Now()
 		f.sendAtRate(200, coldPeriod-500*time.Millisecond)
-		f.requireColdRate(cold, back)
+		f.requireColdRate(cold, restoredAt)
 		f.sendAtRate(400, 3*time.Second) // more than the other workers can run
 		for _, worker := range cold {
-			require.Greater(t, float64(worker.busiestSecond(time.Now().Add(-time.Second))), coldRate+1, "warm again")
+			require.Greater(t, float64(worker.busiestSecond(time.Now().Add(-time.Second))), coldRate+1, "a warm worker gets its full share")
 		}
 	})
 }
 
-// configureWarmUp configures the rate that cold workers can serve.
+// configureWarmUp configures the warm-up of cold workers.
 func (f *fleet) configureWarmUp() {
 	f.service["warmupS"], f.service["warmupPerS"] = coldPeriod.Seconds(), coldRate
 	f.configure("/one/")
@@ -267,7 +268,8 @@
 	require.LessOrEqual(f.t, float64(peak), coldRate+1, "requests are evenly spaced at the cold rate")
 }
 
-// TestColdRateOfNewWorkers doubles the workers with cold ones during a burst.
+// TestColdRateOfNewWorkers adds as many cold workers as there are warm ones under load: each gets no more than its
+// cold rate.
 func TestColdRateOfNewWorkers(t *testing.T) {
 	run(t, 6, func(f *fleet) {
 		f.configureWarmUp()
@@ -285,8 +287,8 @@
 	})
 }
 
-// TestColdRateWithoutDispatcher powers the dispatcher off while every worker is cold: the
-// daemons, which choose independently meanwhile, stay within the bound together.
+// TestColdRateWithoutDispatcher powers the dispatcher off while every worker is cold: the daemons, which choose
+// independently meanwhile, stay within the bound together.
 func TestColdRateWithoutDispatcher(t *testing.T) {
 	runFleet(t, 20, 4, func(f *fleet) {
 		f.configureWarmUp()
@@ -295,20 +297,20 @@
 			f.writeEntry(worker, "ready")
 		}
 		time.Sleep(300 * time.Millisecond)
-		turned := time.Now()
-		dispatcher, other := f.daemons[0].DispatcherOf("board")
-		f.powerOff(func(member *daemon.Daemon, number int) bool {
-			return other && hostOf(number) == dispatcher.Name || !other && number == 0
+		start := time.Now()
+		dispatcher, remote := f.daemons[0].DispatcherOf("board")
+		f.powerOff(func(d *daemon.Daemon, number int) bool {
+			return remote && hostOf(number) == dispatcher.Name || !remote && number == 0
 		})
 		f.sendAtRate(400, coldPeriod-500*time.Millisecond)
 		for _, worker := range f.workers {
-			require.LessOrEqual(t, float64(worker.busiestSecond(turned)), maxColdArrivals)
+			require.LessOrEqual(t, float64(worker.busiestSecond(start)), maxColdArrivals)
 		}
 	})
 }
 
-// TestSplitSharesWhileOneServiceRejects checks that a split route keeps its shares while the workers of one
-// service reject all requests: these requests are refused, and not moved to the other service.
+// TestSplitSharesWhileOneServiceRejects checks that a split route keeps its shares while the workers of one service
+// reject all requests: these requests are refused, and not sent to the other service.
 func TestSplitSharesWhileOneServiceRejects(t *testing.T) {
 	run(t, 4, func(f *fleet) {
 		for _, worker := range f.workers[2:] {
@@ -330,7 +332,7 @@
 	})
 }
 
-// TestBusiestSecond checks the counting in the tests of cold workers.
+// TestBusiestSecond checks busiestSecond, on which the tests of cold workers rely.
 func TestBusiestSecond(t *testing.T) {
 	worker := &worker{}
 	start := time.Now()
--- a/lab/objectstub/fleet_test.go
+++ b/lab/objectstub/fleet_test.go
@@ -117,7 +117,7 @@
 	return listener.Addr().String()
 }
 
-// Values of the users' platform.
+// Settings of the users' platform.
 const (
 	probesPerBackend = 60
 	watchers         = 8
@@ -125,12 +125,12 @@
 )
 
 // start starts a daemon with the first daemons as seeds.
-func (f *fleet) start(number int, store string) {
+func (f *fleet) start(number int, storeAddress string) {
 	var seeds []string
 	for _, other := range f.daemons[:min(len(f.daemons), maxSeeds)] {
 		seeds = append(seeds, other.Addresses().Peer)
 	}
-	f.startAt(number, store, f.net.Address(hostOf(number)), seeds)
+	f.startAt(number, storeAddress, f.net.Address(hostOf(number)), seeds)
 }
 
 // hostOf returns the name of a daemon, which is also the name of its host.
@@ -139,29 +139,29 @@
 }
 
 // startAt starts a daemon with this peer address and these seeds.
-func (f *fleet) startAt(number int, store, peer string, seeds []string) {
+func (f *fleet) startAt(number int, storeAddress, peer string, seeds []string) {
 	name := hostOf(number)
 	address := f.net.Address(name)
-	chosen := settings.Settings{
+	daemonSettings := settings.Settings{
 		Name: name, Region: f.regionOf(number), Zone: "zone", Peers: seeds,
 		Listen: settings.Listen{Caller: address, Peer: peer, Forward: address, Admin: address},
 		Platform: settings.Platform{
-			Address: "http://" + store, Protocol: settings.ProtocolObjects, Watchers: watchers,
+			Address: "http://" + storeAddress, Protocol: settings.ProtocolObjects, Watchers: watchers,
 			WatchInterval: config.Duration(500 * time.Millisecond), WatchGap: config.Duration(600 * time.Millisecond),
 			MaxBackoff: config.Duration(time.Second),
 		},
 		Log: settings.Log{Level: "info", Format: "json", Decisions: true},
 	}
-	chosen.SetDefaults()
-	require.NoError(f.t, chosen.Validate())
-	connected := platform.New(platform.Options{Network: f.net.Network(name), Address: "http://" + store, MaxConnections: 8, ProbesPerBackend: probesPerBackend, Direct: f.direct, Rollouts: f.rollouts})
+	daemonSettings.SetDefaults()
+	require.NoError(f.t, daemonSettings.Validate())
+	platformClient := platform.New(platform.Options{Network: f.net.Network(name), Address: "http://" + storeAddress, MaxConnections: 8, ProbesPerBackend: probesPerBackend, Direct: f.direct, Rollouts: f.rollouts})
 	dialect := platform.Dialect()
-	running, err := daemon.Start(daemon.Options{
-		Settings: chosen, Network: f.net.Network(name), LogOutput: &f.logs,
-		Store: connected, Machines: connected, Sources: connected.Sources, Dialect: &dialect, Rollouts: connected,
+	started, err := daemon.Start(daemon.Options{
+		Settings: daemonSettings, Network: f.net.Network(name), LogOutput: &f.logs,
+		Store: platformClient, Machines: platformClient, Sources: platformClient.Sources, Dialect: &dialect, Rollouts: platformClient,
 	})
 	require.NoError(f.t, err)
-	f.daemons = append(f.daemons, running)
+	f.daemons = append(f.daemons, started)
 }
 
 // regionOf returns the region of a daemon that starts.
@@ -175,14 +175,14 @@
 func (f *fleet) close() {
 	f.closed.Store(true)
 	f.client.CloseIdleConnections()
-	for _, member := range f.poweredOff {
-		f.net.SetFrozen(member.host, false)
+	for _, d := range f.poweredOff {
+		f.net.SetFrozen(d.host, false)
 	}
-	for _, member := range f.poweredOff {
-		member.Kill()
+	for _, d := range f.poweredOff {
+		d.Kill()
 	}
-	for _, member := range f.daemons {
-		member.Kill()
+	for _, d := range f.daemons {
+		d.Kill()
 	}
 	for _, server := range f.servers {
 		server.Close()
@@ -193,13 +193,13 @@
 	Address string         `json:"address"`
 	Info    map[string]any `json:"info"`
 	Status  map[string]any `json:"status"`
-	Born    int64          `json:"born,omitempty"`
+	Started int64          `json:"born,omitempty"`
 }
 
 func (f *fleet) writeEntry(worker *worker, state string) {
 	f.store.Set("servers", worker.id, serverSpec{
 		Address: worker.address, Info: map[string]any{"service": worker.service, "version": worker.versionOr("v1"), "zone": worker.zone, "slots": 3},
-		Status: map[string]any{"state": state, "seq": 1, "warmupLeftS": worker.warmUpLeft.Seconds()}, Born: worker.startedAt,
+		Status: map[string]any{"state": state, "seq": 1, "warmupLeftS": worker.warmUpLeft.Seconds()}, Started: worker.startedAt,
 	})
 }
 
@@ -309,8 +309,8 @@
 	})
 }
 
-// TestDrainingAndRemovedWorkersGetNoRequests checks that no requests are sent to a worker that is draining, nor to one
-// that was removed from the store.
+// TestDrainingAndRemovedWorkersGetNoRequests checks that no requests are sent to a worker that is draining, nor to
+// one that was removed from the store.
 func TestDrainingAndRemovedWorkersGetNoRequests(t *testing.T) {
 	run(t, 3, func(f *fleet) {
 		f.writeEntry(f.workers[0], "draining")
@@ -331,24 +331,24 @@
 	}
 }
 
-// TestReusedAddressIsRetriedElsewhere reuses the address of a worker for another one: the worker gets no
-// more requests, and each request that the address refused runs once elsewhere.
+// TestReusedAddressIsRetriedElsewhere reuses the address of a worker for another one: no more requests run there, and
+// each request that was refused as misdirected runs once at the other worker.
 func TestReusedAddressIsRetriedElsewhere(t *testing.T) {
 	run(t, 2, func(f *fleet) {
 		f.earnRetryBudget()
-		gone, before := f.workers[0], f.workers[1].total()
-		ran := gone.total()
-		gone.update(func() { gone.instance = "i-other" })
+		replaced, before := f.workers[0], f.workers[1].total()
+		runsBefore := replaced.total()
+		replaced.update(func() { replaced.instance = "i-other" })
 		for number := range 20 {
 			require.Equal(t, http.StatusOK, f.send(number%daemons, "/one/unsafe/").status)
 		}
-		require.Equal(t, ran, gone.total())
+		require.Equal(t, runsBefore, replaced.total())
 		require.Equal(t, before+20, f.workers[1].total())
 	})
 }
 
-// TestRetryAfterWhenAllWorkersReject checks that callers get 503 with Retry-After when every worker refuses,
-// and that no request ran.
+// TestRetryAfterWhenAllWorkersReject checks that callers get 503 with Retry-After when every worker rejects a
+// request, and that it has not run.
 func TestRetryAfterWhenAllWorkersReject(t *testing.T) {
 	run(t, 2, func(f *fleet) {
 		for _, worker := range f.workers {
@@ -373,8 +373,8 @@
 	})
 }
 
-// TestHedge checks that requests are answered in time although one of two workers has
-// become slow, and that requests that must not be repeated are not sent to both.
+// TestHedge checks that requests are answered in time although one of two workers has become slow, and that
+// non-repeatable requests are not sent to both.
 func TestHedge(t *testing.T) {
 	run(t, 2, func(f *fleet) {
 		f.earnRetryBudget()
@@ -397,15 +397,15 @@
 	})
 }
 
-// TestNonRepeatableRequestsToUnreachableWorker sends requests that must not be repeated to a worker whose machine is
-// powered off, so that connections to it are neither opened nor refused: as nothing was
-// sent, the requests soon go to another worker.
+// TestNonRepeatableRequestsToUnreachableWorker sends non-repeatable requests to a worker whose machine is powered
+// off, so that connections to it are neither opened nor refused: as nothing was sent, the requests are soon sent to
+// another worker.
 func TestNonRepeatableRequestsToUnreachableWorker(t *testing.T) {
 	run(t, 2, func(f *fleet) {
 		f.earnRetryBudget()
-		dark, err := f.net.Network("dark").Listen(f.net.Address("dark")) // never accepts
+		unreachable, err := f.net.Network("unreachable").Listen(f.net.Address("unreachable")) // never accepts
 		require.NoError(t, err)
-		f.workers[0].address = dark.Addr().String()
+		f.workers[0].address = unreachable.Addr().String()
 		f.writeEntry(f.workers[0], "ready")
 		time.Sleep(time.Second)
 		before := f.workers[1].total()
@@ -422,6 +422,6 @@
 		require.Equal(t, before+requests, f.workers[1].total())
 		time.Sleep(time.Second) // log lines are written in batches
 		tried := strings.Contains(f.logs.String(), fmt.Sprintf(`"code":%d`, resultcode.ConnectFailed))
-		require.True(t, tried, "no connection to the unreachable worker was tried")
+		require.True(t, tried, "no connection to the unreachable worker was attempted")
 	})
 }
--- a/lab/objectstub/limit_test.go
+++ b/lab/objectstub/limit_test.go
@@ -86,7 +86,7 @@
 	every         time.Duration
 	random        *rand.Rand
 	number        int
-	nonRepeatable atomic.Bool // requests must not be repeated
+	nonRepeatable atomic.Bool // requests are not repeatable
 }
 
 func (l *randomLoad) resume() {
@@ -103,95 +103,93 @@
 			if l.nonRepeatable.Load() {
 				kind = "unsafe"
 			}
-			through, path := l.random.IntN(len(l.fleet.daemons)), fmt.Sprintf("/one/%s/%d", kind, l.number)
-			l.running.Go(func() { l.count(l.fleet.send(through, path)) })
+			target, path := l.random.IntN(len(l.fleet.daemons)), fmt.Sprintf("/one/%s/%d", kind, l.number)
+			l.running.Go(func() { l.count(l.fleet.send(target, path)) })
 		}
 	})
 }
 
-// pausedWhile pauses the load while it calls done.
-func (l *randomLoad) pausedWhile(done func()) {
+// pausedWhile pauses the load while it calls action.
+func (l *randomLoad) pausedWhile(action func()) {
 	close(l.stop)
 	l.running.Wait()
-	done()
+	action()
 	l.resume()
 }
 
 // twoLimits are the limits of the first two workers.
 var twoLimits = []float64{3.2, 0.8}
 
-// limitTwoWorkers makes the first two workers report limits under a random load, and returns the time from which
-// they do.
-func (f *fleet) limitTwoWorkers() (load *randomLoad, named time.Time) {
+// limitTwoWorkers makes the first two workers report limits under a random load, and returns the load and the time
+// from which they do.
+func (f *fleet) limitTwoWorkers() (load *randomLoad, limitedSince time.Time) {
 	f.useLongServiceTime()
 	load = f.randomLoad(loadInterval)
 	time.Sleep(5 * time.Second)
-	named = time.Now()
+	limitedSince = time.Now()
 	for number, limit := range twoLimits {
 		setLimit(fmt.Sprint(limit), f.workers[number])
 	}
-	return load, named
+	return load, limitedSince
 }
 
-// TestBackendsGetNoMoreThanTheirLimits guards against ignoring the limit of a back end. A back end reported with
-// each response that it takes 2.5 requests per second from all daemons together, and still got ten per
-// second like the others, because no daemon read the limit. It also got fourteen probes per second from the
-// dispatcher, which probes most often the back ends that it would choose next.
-//
-// The rate did not change when the limit was reported, and the counts only matched requests and probes
-// together. With the signal logged, each of four daemons got the limit within 1.5 s and ignored it:
+// TestBackendsGetNoMoreThanTheirLimits guards against ignoring the limit of a back end. A back end that reported a
+// limit of 2.5 requests per second for all daemons together with each response still got ten per second like the
+// others, because no daemon read the limit, and fourteen probes per second from the dispatcher, which most often
+// probes the back ends that it would choose next. Only the sum of requests and probes matched the counts of the back
+// end. Each of four daemons received the limit within 1.5 s:
 //
 //	limits: back end takes fewer requests daemon=edge-1 backend=i-0 per_second=3.2 source="back end"
 //	limits: back end takes fewer requests daemon=edge-3 backend=i-0 per_second=3.2 source="back end"
 //
-// The limit applies to the sum of all daemons. The dispatcher now paces all requests and probes to the back
-// end, and any daemon that gets the limit reports it to the dispatcher. With limits of 3.2 and 0.8 per second,
-// the maximum in 4 s was 94 and 88 requests and probes before, and is 13 and 4 now.
+// The limit applies to the sum of all daemons: the dispatcher paces all requests and probes to the back end, and any
+// daemon that receives the limit reports it to the dispatcher. With limits of 3.2 and 0.8 per second, the maximum in
+// 4 s is 13 and 4 requests and probes; it was 94 and 88 while limits were ignored.
 func TestBackendsGetNoMoreThanTheirLimits(t *testing.T) {
 	run(t, 8, func(f *fleet) {
-		others, named := f.limitTwoWorkers()
+		load, limitedSince := f.limitTwoWorkers()
 		time.Sleep(20 * time.Second)
 		until := time.Now()
-		answered := others.finish()
+		answered := load.finish()
 		for number, limit := range twoLimits {
 			worker := f.workers[number]
 			t.Logf("limit %.1f per second, at most %d requests and probes in 4 s, %d probes in total",
-				limit, worker.maxWindowCount(named.Add(limitKnownBound), until), len(worker.probes))
+				limit, worker.maxWindowCount(limitedSince.Add(limitKnownBound), until), len(worker.probes))
 		}
-		f.requireLimit(f.workers[0], 3.2, named, until)
-		f.requireLimit(f.workers[1], 0.8, named, until)
+		f.requireLimit(f.workers[0], 3.2, limitedSince, until)
+		f.requireLimit(f.workers[1], 0.8, limitedSince, until)
 		require.Greater(t, answered, 0.99)
 	})
 }
 
 // requireLimit checks that a worker got no more than its limit, and not much less.
-func (f *fleet) requireLimit(worker *worker, limit float64, named, until time.Time) {
-	f.requireWithinLimit(worker, limit, named, until)
-	got := worker.maxWindowCount(named.Add(limitKnownBound), until)
+func (f *fleet) requireLimit(worker *worker, limit float64, limitedSince, until time.Time) {
+	f.requireWithinLimit(worker, limit, limitedSince, until)
+	got := worker.maxWindowCount(limitedSince.Add(limitKnownBound), until)
 	require.GreaterOrEqual(f.t, got, int(0.7*limit*limitWindow.Seconds()), "the limit of %s is used", worker.id)
 }
 
-// requireWithinLimit checks that a worker got no more than its limit.
-func (f *fleet) requireWithinLimit(worker *worker, limit float64, named, until time.Time) {
-	got := worker.maxWindowCount(named.Add(limitKnownBound), until)
-	require.LessOrEqual(f.t, got, maxInWindow(limit), "%s has a limit of %.1f per second", worker.id, limit)
+// requireWithinLimit checks that a worker got no more requests and probes than its limit allows.
+func (f *fleet) requireWithinLimit(worker *worker, limit float64, limitedSince, until time.Time) {
+	got := worker.maxWindowCount(limitedSince.Add(limitKnownBound), until)
+	require.LessOrEqual(f.t, got, maxInWindow(limit), "requests and probes at %s, with a limit of %.1f per second", worker.id, limit)
 }
 
-// TestLimitHoldsDuringDisruptions checks that limited back ends get no more than their limits during disruptions. Each
-// daemon that chooses independently may send one request more than its share of a window, as the window may start
-// with it.
+// TestLimitHoldsDuringDisruptions checks that limited back ends get no more than their limits during disruptions.
+// Each daemon that chooses independently may send one request more than its share of a window, as the window may
+// start with it.
 func TestLimitHoldsDuringDisruptions(t *testing.T) {
 	for _, test := range commonDisruptions {
 		t.Run(test.name, func(t *testing.T) {
 			run(t, 8, func(f *fleet) {
-				load, named := f.limitTwoWorkers()
+				load, limitedSince := f.limitTwoWorkers()
 				time.Sleep(3 * time.Second)
 				test.apply(f, load)
-				time.Sleep(20*time.Second - time.Since(named))
+				time.Sleep(20*time.Second - time.Since(limitedSince))
 				until := time.Now()
 				t.Logf("%.3f answered", load.finish())
 				for number, limit := range twoLimits {
-					got := f.workers[number].maxWindowCount(named.Add(limitKnownBound), until)
+					got := f.workers[number].maxWindowCount(limitedSince.Add(limitKnownBound), until)
 					t.Logf("limit %.1f per second, at most %d in 4 s", limit, got)
 					require.LessOrEqual(t, got, maxInWindow(limit)+max(test.independentDaemons-1, 0))
 				}
@@ -200,16 +198,16 @@
 	}
 }
 
-// TestRegionsShareALimit checks the limit of a back end that is used by daemons of two regions, each with its
-// own dispatcher.
+// TestRegionsShareALimit checks the limit of a back end that is used by daemons of two regions, each with its own
+// dispatcher.
 func TestRegionsShareALimit(t *testing.T) {
 	runFleetWith(t, 6, 8, func(f *fleet) { f.regionCount = 2 }, func(f *fleet) {
-		load, named := f.limitTwoWorkers()
+		load, limitedSince := f.limitTwoWorkers()
 		time.Sleep(20 * time.Second)
 		until := time.Now()
 		require.Greater(t, load.finish(), 0.99)
 		for number, limit := range twoLimits {
-			got := f.workers[number].maxWindowCount(named.Add(limitKnownBound), until)
+			got := f.workers[number].maxWindowCount(limitedSince.Add(limitKnownBound), until)
 			t.Logf("limit %.1f per second, at most %d in 4 s", limit, got)
 			require.LessOrEqual(t, got, maxInWindow(limit)+1, "each region's window may start with one")
 			require.GreaterOrEqual(t, got, int(0.6*limit*limitWindow.Seconds()))
@@ -219,15 +217,15 @@
 
 // dispatcher returns the host of the dispatcher of the workers' service.
 func (f *fleet) dispatcher() string {
-	member, other := f.daemons[0].DispatcherOf("board")
-	if !other {
+	member, remote := f.daemons[0].DispatcherOf("board")
+	if !remote {
 		return hostOf(0)
 	}
 	return member.Name
 }
 
-// TestLoadAboveAllLimitsIsRefused checks that requests above the limits of all back ends are refused with Retry-After, and that
-// requests within the limits are served.
+// TestLoadAboveAllLimitsIsRefused checks that requests above the limits of all back ends are refused with
+// Retry-After, and that requests within the limits are served.
 func TestLoadAboveAllLimitsIsRefused(t *testing.T) {
 	run(t, 8, func(f *fleet) {
 		f.useLongServiceTime()
@@ -236,10 +234,10 @@
 		setLimit("2", f.workers...)
 		time.Sleep(3 * time.Second)
 		load.finish()
-		const takes, perSecond, seconds = 8 * 2, 80, 10
+		const totalLimit, perSecond, seconds = 8 * 2, 80, 10
 		var mutex sync.Mutex
 		var running sync.WaitGroup
-		answered, slowest, unserved := 0, time.Duration(0), 0
+		answered, slowest, refused := 0, time.Duration(0), 0
 		from := time.Now()
 		for number := range perSecond * seconds {
 			running.Go(func() {
@@ -252,7 +250,7 @@
 					answered++
 					return
 				}
-				unserved++
+				refused++
 				slowest = max(slowest, took)
 				assert.Equal(t, http.StatusServiceUnavailable, got.status)
 				assert.NotEmpty(t, got.header.Get("Retry-After"))
@@ -260,16 +258,16 @@
 			time.Sleep(time.Second / perSecond)
 		}
 		running.Wait()
-		t.Logf("%d answered, %d refused, the slowest after %s", answered, unserved, slowest)
-		require.InDelta(t, takes*seconds, answered, 0.25*takes*seconds)
+		t.Logf("%d answered, %d refused, the slowest after %s", answered, refused, slowest)
+		require.InDelta(t, totalLimit*seconds, answered, 0.25*totalLimit*seconds)
 		for _, worker := range f.workers {
 			f.requireWithinLimit(worker, 2, from, time.Now())
 		}
 	})
 }
 
-// TestBackendIsFullyUsedAfterLimitIsLifted checks that a back end is soon fully used again after it stops reporting a limit, with a gradual
-// increase.
+// TestBackendIsFullyUsedAfterLimitIsLifted checks that a back end is soon fully used again after it stops reporting a
+// limit, with a gradual increase.
 func TestBackendIsFullyUsedAfterLimitIsLifted(t *testing.T) {
 	run(t, 8, func(f *fleet) {
 		f.useLongServiceTime()
@@ -294,8 +292,8 @@
 	})
 }
 
-// TestLimitEndsWithRestart checks that the limit of a back end does not apply after it has restarted with the
-// same id.
+// TestLimitEndsWithRestart checks that the limit of a back end does not apply after it has restarted with the same
+// id.
 func TestLimitEndsWithRestart(t *testing.T) {
 	run(t, 8, func(f *fleet) {
 		f.useLongServiceTime()
@@ -326,15 +324,15 @@
 		setLimit("NaN", f.workers[0])
 		setLimit("1.5", f.workers[1])
 		time.Sleep(4 * time.Second)
-		named := time.Now()
+		limitedSince := time.Now()
 		setLimit("-1", f.workers[1])
 		time.Sleep(8 * time.Second)
-		require.Greater(t, f.workers[0].maxWindowCount(named, time.Now()), 20)
-		f.requireWithinLimit(f.workers[1], 1.5, named, time.Now())
+		require.Greater(t, f.workers[0].maxWindowCount(limitedSince, time.Now()), 20)
+		f.requireWithinLimit(f.workers[1], 1.5, limitedSince, time.Now())
 	})
 }
 
-// limitSeeds is the number of random schedules: some seconds of tests in CI, more in manual runs.
+// limitSeeds is the number of random schedules. The default takes a few seconds in CI; manual runs use more.
 var limitSeeds = flag.Uint64("limit-seeds", 6, "number of random disruption schedules for back ends with limits")
 
 // disruptionsPerSchedule is the number of disruptions in a random schedule.
@@ -362,8 +360,8 @@
 			time.Sleep(time.Duration(500+random.IntN(4000)) * time.Millisecond)
 			f.store.SetFaults(objectstub.Faults{})
 		case 3:
-			alone := f.daemons[random.IntN(len(f.daemons))].Addresses().Peer
-			host := f.hostAt(alone)
+			isolated := f.daemons[random.IntN(len(f.daemons))].Addresses().Peer
+			host := f.hostAt(isolated)
 			f.net.SetPartitionRule(func(a, b string) bool {
 				return (a == host || b == host) && strings.HasPrefix(a, "edge-") && strings.HasPrefix(b, "edge-")
 			})
@@ -393,8 +391,8 @@
 	return ""
 }
 
-// TestLimitHoldsDuringRandomDisruptions injects random disruptions with random limits, and checks that every back end stays
-// within what the users allow in every window from 3 s after it first reported a limit.
+// TestLimitHoldsDuringRandomDisruptions injects random disruptions with random limits, and checks that every back end
+// stays within what the users allow in every window from 3 s after it first reported a limit.
 func TestLimitHoldsDuringRandomDisruptions(t *testing.T) {
 	for seed := range *limitSeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -404,7 +402,7 @@
 				load := f.randomLoad(loadInterval)
 				time.Sleep(3 * time.Second)
 				limits := []float64{0.5 + 6*random.Float64(), 0.5 + 6*random.Float64()}
-				named := time.Now()
+				limitedSince := time.Now()
 				for number, limit := range limits {
 					setLimit(fmt.Sprintf("%.2f", limit), f.workers[number])
 				}
@@ -413,7 +411,7 @@
 				until := time.Now()
 				t.Logf("%.3f answered", load.finish())
 				for number, limit := range limits {
-					got := f.workers[number].maxWindowCount(named.Add(3*time.Second), until)
+					got := f.workers[number].maxWindowCount(limitedSince.Add(3*time.Second), until)
 					t.Logf("limit %.2f per second, at most %d in 4 s, %d allowed, %d within the limit", limit, got, allowedInWindow(limit), maxInWindow(limit))
 					require.LessOrEqual(t, got, allowedInWindow(limit))
 				}
--- a/lab/objectstub/outcome_test.go
+++ b/lab/objectstub/outcome_test.go
@@ -36,11 +36,11 @@
 func (l *logs) outcomes(t *testing.T) map[string][]outcome {
 	found := make(map[string][]outcome)
 	for line := range strings.Lines(l.String()) {
-		var one outcome
-		require.NoError(t, json.Unmarshal([]byte(line), &one), line)
-		switch one.Message {
+		var entry outcome
+		require.NoError(t, json.Unmarshal([]byte(line), &entry), line)
+		switch entry.Message {
 		case "frontend: answered", "frontend: failed", "frontend: answer broken off":
-			found[one.Request] = append(found[one.Request], one)
+			found[entry.Request] = append(found[entry.Request], entry)
 		}
 	}
 	return found
@@ -59,11 +59,10 @@
 	}
 }
 
-// TestEachRequestHasAnOutcomeLine ends requests with every result code that these daemons
-// can give. Every test of this package checks at its end that each request has one outcome
-// line.
+// TestEachRequestHasAnOutcomeLine produces every result code that these daemons can return. Every test of this
+// package checks at its end that each request has one outcome line.
 func TestEachRequestHasAnOutcomeLine(t *testing.T) {
-	reached := make(map[int]bool)
+	seen := make(map[int]bool)
 	run(t, 2, func(f *fleet) {
 		both := func(change func(worker *worker)) {
 			for _, worker := range f.workers {
@@ -97,7 +96,7 @@
 		time.Sleep(time.Second)
 		for _, lines := range f.logs.outcomes(t) {
 			for _, line := range lines {
-				reached[line.Code] = true
+				seen[line.Code] = true
 			}
 		}
 		f.logs.checkCauses(t)
@@ -107,11 +106,11 @@
 		resultcode.BackendRefused, resultcode.AnswerUnverifiable, resultcode.DeadlineExceeded, resultcode.CallerGoneAfterSend,
 		resultcode.NotConfigured,
 	} {
-		require.True(t, reached[int(code)], "code %d %s", int(code), code.Info().Name)
+		require.True(t, seen[int(code)], "code %d %s", int(code), code.Info().Name)
 	}
 }
 
-// checkCauses checks that the failed requests have explained causes.
+// checkCauses checks that a cause is explained for each kind of failure in the logs.
 func (l *logs) checkCauses(t *testing.T) {
 	log := explain.NewLog()
 	require.NoError(t, explain.Read(strings.NewReader(l.String()), log))
@@ -144,7 +143,7 @@
 	sending.Wait()
 }
 
-// methodOf returns POST for paths of requests that must not be repeated.
+// methodOf returns POST for paths of non-repeatable requests, and otherwise GET.
 func methodOf(path string) string {
 	if strings.Contains(path, "unsafe") {
 		return http.MethodPost
--- a/lab/objectstub/pause_test.go
+++ b/lab/objectstub/pause_test.go
@@ -20,15 +20,15 @@
 )
 
 // peakRequestsInPause returns the maximum number of requests that the worker got from one daemon within one pause
-// of this length that it had asked that daemon for.
-func (w *worker) peakRequestsInPause(lasts time.Duration) int {
+// of this duration that it had asked that daemon for.
+func (w *worker) peakRequestsInPause(duration time.Duration) int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	peak := 0
 	for _, signal := range w.signals {
 		count := 0
 		for number, at := range w.arrivals {
-			if ipOf(w.senders[number]) == ipOf(signal.to) && at.Sub(signal.at) >= pauseKnownBound && at.Sub(signal.at) < lasts {
+			if ipOf(w.senders[number]) == ipOf(signal.to) && at.Sub(signal.at) >= pauseKnownBound && at.Sub(signal.at) < duration {
 				count++
 			}
 		}
@@ -44,8 +44,8 @@
 	}
 }
 
-// TestBackendGetsNoRequestsDuringPause guards against requests to a back end that rejected a request with a Retry-After of
-// some seconds.
+// TestBackendGetsNoRequestsDuringPause guards against requests to a back end that rejected a request with a
+// Retry-After of some seconds.
 func TestBackendGetsNoRequestsDuringPause(t *testing.T) {
 	run(t, 4, func(f *fleet) {
 		load := f.randomLoad(loadInterval)
@@ -102,7 +102,8 @@
 	}
 }
 
-// TestPauseAppliesOnlyToDaemonThatWasAsked checks that only the daemon that a back end asked for a pause stops sending to it.
+// TestPauseAppliesOnlyToDaemonThatWasAsked checks that only the daemon that a back end asked for a pause stops
+// sending requests to it.
 func TestPauseAppliesOnlyToDaemonThatWasAsked(t *testing.T) {
 	run(t, 2, func(f *fleet) {
 		f.earnRetryBudget()
@@ -112,14 +113,14 @@
 			f.send(0, "/one/safe/")
 		}
 		setRetryAfter("", worker)
-		asked, before := f.net.Address(hostOf(0)), worker.total()
-		bound := worker.requestsFrom(asked)
+		askedAddress, before := f.net.Address(hostOf(0)), worker.total()
+		requestsBefore := worker.requestsFrom(askedAddress)
 		load := f.randomLoad(loadInterval)
 		time.Sleep(5 * time.Second)
-		require.Equal(t, bound, worker.requestsFrom(asked))
+		require.Equal(t, requestsBefore, worker.requestsFrom(askedAddress))
 		require.Greater(t, worker.total(), before+80, "the other daemons send 300 of 400 requests")
 		time.Sleep(8 * time.Second)
-		require.Greater(t, worker.requestsFrom(asked), bound+20, "the daemon sends again after the pause")
+		require.Greater(t, worker.requestsFrom(askedAddress), requestsBefore+20, "the daemon sends requests again after the pause")
 		require.Greater(t, load.finish(), 0.99)
 	})
 }
@@ -144,8 +145,9 @@
 	return count
 }
 
-// TestRequestsAreRefusedWhileAllBackendsArePaused checks that a daemon refuses requests immediately, with the time until the first pause ends as
-// Retry-After, while all back ends have asked it for a pause, and serves requests afterwards.
+// TestRequestsAreRefusedWhileAllBackendsArePaused checks that a daemon refuses requests immediately while all back
+// ends have asked it for a pause, with the time until the first pause ends as Retry-After, and serves requests
+// afterwards.
 func TestRequestsAreRefusedWhileAllBackendsArePaused(t *testing.T) {
 	run(t, 2, func(f *fleet) {
 		f.earnRetryBudget()
--- a/lab/objectstub/probes_test.go
+++ b/lab/objectstub/probes_test.go
@@ -10,28 +10,28 @@
 	"github.com/stretchr/testify/require"
 )
 
-// sendLoad sends a request each interval for a time, through the daemons in turn, and
+// sendLoad sends a request each interval for a duration, through the daemons in turn, and
 // returns the latency of each.
-func (f *fleet) sendLoad(path string, interval, length time.Duration) []time.Duration {
-	took := make([]time.Duration, int(length/interval))
+func (f *fleet) sendLoad(path string, interval, duration time.Duration) []time.Duration {
+	latencies := make([]time.Duration, int(duration/interval))
 	var running sync.WaitGroup
-	for number := range took {
+	for number := range latencies {
 		running.Go(func() {
 			start := time.Now()
 			got := f.send(number%len(f.daemons), path)
 			assert.NoError(f.t, got.err)
 			assert.Equal(f.t, http.StatusOK, got.status)
-			took[number] = time.Since(start)
+			latencies[number] = time.Since(start)
 		})
 		time.Sleep(interval)
 	}
 	running.Wait()
-	return took
+	return latencies
 }
 
-// TestProbesAvoidDisturbedWorkers slows down alternating halves of the workers, so that the load
-// reported with their last response is soon outdated. Without probes 400 of 1,000 requests
-// are sent to a disturbed worker; a few are at each change in any case.
+// TestProbesAvoidDisturbedWorkers slows down alternating halves of the workers, so that the load reported with their
+// last response is soon outdated. Without probes, 400 of 1,000 requests are sent to a disturbed worker; a few at each
+// change are in any case.
 func TestProbesAvoidDisturbedWorkers(t *testing.T) {
 	run(t, 4, func(f *fleet) {
 		for _, worker := range f.workers {
@@ -49,12 +49,11 @@
 	})
 }
 
-// TestProbesStayWithinBudget counts the probes that workers get from all daemons together,
-// while probing daemons are killed, others take over, and a worker does not respond to
-// probes.
+// TestProbesStayWithinBudget counts the probes that workers get from all daemons together, while probing daemons are
+// killed, others take over, and a worker does not respond to probes.
 func TestProbesStayWithinBudget(t *testing.T) {
 	run(t, 3, func(f *fleet) {
-		for _, worker := range f.workers { // otherwise probes have little benefit and are rare
+		for _, worker := range f.workers { // otherwise probes are of little benefit and rare
 			worker.update(func() { worker.disturbPeriod = 150 * time.Millisecond })
 		}
 		f.sendLoad("/one/safe/", 30*time.Millisecond, 20*time.Second)
--- a/lab/objectstub/quarantine_test.go
+++ b/lab/objectstub/quarantine_test.go
@@ -12,21 +12,20 @@
 	"github.com/tuliphall/tuliphall/lab/objectstub"
 )
 
-// TestCrashingRequestIsQuarantined guards against a request that crashes every back end that runs it. Its
-// caller retries it with a new id through other daemons; without quarantine it went from one back
-// end to the next and to each one that restarted: 73 back ends crashed in a run of 75 s, nine of ten
-// of a service within 1.5 s.
+// TestCrashingRequestIsQuarantined guards against a request that crashes every back end that runs it. Its caller
+// retries it with a new id through other daemons; without quarantine it reached one back end after another, also
+// those that had restarted: 73 back ends crashed in a run of 75 s, nine of ten of a service within 1.5 s.
 //
-// Two or three requests fail with each back end, with different ids. The request is identified by
-// its fingerprint (method, host, target, caller, body), which is among them each time, and a crash
-// by the back ends refusing connections afterwards:
+// Two or three requests with different ids fail in each crash. The fingerprint (method, host, target, caller, body)
+// that is among them each time identifies the request, and a back end that refuses connections afterwards has
+// crashed:
 //
 //	connection broke backend=i-8.1 liveness=ended fingerprint=86cde54698289abc attempt_kind=first target=/one/safe/deadly
 //	connection broke backend=i-7.1 liveness=ended fingerprint=86cde54698289abc attempt_kind=first target=/one/safe/deadly
 //	connection broke backend=i-3.1 liveness=ended fingerprint=86cde54698289abc attempt_kind=retry target=/one/safe/deadly
 //
-// Without quarantine, 81 back ends crashed in 20 s, 67 requests reached one later than 3 s after the
-// third crash, and 0.41 of the other requests were answered.
+// Without quarantine, 81 back ends crashed in 20 s, 67 requests reached one later than 3 s after the third crash, and
+// 0.41 of the other requests were answered.
 func TestCrashingRequestIsQuarantined(t *testing.T) {
 	run(t, 10, func(f *fleet) {
 		record := f.useCrashingBackends(isCrashingRequest)
@@ -57,15 +56,15 @@
 	})
 }
 
-// TestCrashingRequestStaysQuarantinedDuringDisruptions repeats the request for 20 s during other disruptions: the
-// request reaches back ends at most three times later than 3 s after the third crash.
+// TestCrashingRequestStaysQuarantinedDuringDisruptions repeats the request for 20 s during other disruptions: it
+// reaches back ends at most three times later than 3 s after the third crash.
 func TestCrashingRequestStaysQuarantinedDuringDisruptions(t *testing.T) {
 	const path = "/one/safe/deadly"
 	for _, test := range []struct {
-		name        string
-		path        string
-		inject      func(f *fleet, r *crashRepeater)
-		maxBackends int // maximum number of crashes
+		name               string
+		path               string
+		inject             func(f *fleet, r *crashRepeater)
+		maxCrashedBackends int
 	}{
 		{"no disruption", path, func(*fleet, *crashRepeater) {}, 7},
 		{"the request is not repeatable", "/one/unsafe/deadly", func(*fleet, *crashRepeater) {}, 7},
@@ -137,7 +136,7 @@
 				repeats.pause()
 				t.Logf("%d back ends crashed, %d requests arrived after the agreement time", record.total(), record.arrivalsAfterAgreement())
 				require.GreaterOrEqual(t, record.total(), maxCrashes)
-				require.LessOrEqual(t, record.total(), test.maxBackends, "crashed back ends")
+				require.LessOrEqual(t, record.total(), test.maxCrashedBackends, "crashed back ends")
 				require.LessOrEqual(t, record.arrivalsAfterAgreement(), maxLateArrivals)
 			})
 		})
@@ -158,8 +157,8 @@
 	}{
 		{"half of the back ends crash at the same time, repeatedly", func(_ *fleet, backends []*crashingBackend) {
 			for range 5 {
-				for _, m := range backends[:len(backends)/2] {
-					m.kill()
+				for _, backend := range backends[:len(backends)/2] {
+					backend.kill()
 				}
 				time.Sleep(4 * time.Second)
 			}
@@ -215,8 +214,8 @@
 	}
 }
 
-// TestQuarantineReachesAllDaemons measures the time from the third crash until every daemon of a fleet
-// quarantines the request, with and without the store.
+// TestQuarantineReachesAllDaemons measures the time from the third crash until every daemon of a fleet quarantines
+// the request, with and without the store.
 func TestQuarantineReachesAllDaemons(t *testing.T) {
 	for _, size := range []int{18, 60} {
 		for _, down := range []bool{false, true} {
--- a/lab/objectstub/restart_test.go
+++ b/lab/objectstub/restart_test.go
@@ -29,9 +29,9 @@
 	return time.Since(start)
 }
 
-// TestRestartUnderTheSameID guards against applying the state of a back end's earlier run after it
-// restarted with the same id. A daemon that had once found another back end at its address never used
-// the id again, and a back end that had failed or been slow was still avoided.
+// TestRestartUnderTheSameID guards against applying the state of a back end's earlier run after a restart with the
+// same id. A daemon that had once found another back end at the address never used the id again, and a back end that
+// had failed or been slow was still avoided.
 func TestRestartUnderTheSameID(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -50,7 +50,7 @@
 					worker.startedAt = time.Now().UnixMilli()
 					f.writeEntry(worker, "ready")
 				}
-				others := f.startBackgroundLoad(10 * time.Millisecond)
+				load := f.startBackgroundLoad(10 * time.Millisecond)
 				time.Sleep(2 * time.Second)
 				restarted := f.workers[0]
 				test.disrupt(f, restarted)
@@ -59,11 +59,11 @@
 				time.Sleep(2 * time.Second)
 				before := []int{restarted.total(), f.workers[1].total(), f.workers[2].total()}
 				time.Sleep(3 * time.Second)
-				others.finish()
+				load.finish()
 				share := float64(restarted.total()-before[0]) / float64(restarted.total()-before[0]+f.workers[1].total()-before[1]+f.workers[2].total()-before[2])
 				t.Logf("first request after %s; share of %.2f from 2 s on", took, share)
 				require.Less(t, took, maxRestartDelay)
-				require.Greater(t, share, 0.2, "its equal share is a third")
+				require.Greater(t, share, 0.2, "an equal share is a third")
 				require.Equal(t, http.StatusOK, f.send(0, "/one/safe/").status)
 			})
 		})
--- a/lab/objectstub/rollout_test.go
+++ b/lab/objectstub/rollout_test.go
@@ -54,11 +54,11 @@
 
 // startSteadyLoad sends requests through all daemons until stop is called, which returns the number sent.
 func (f *fleet) startSteadyLoad(perSecond int) (stop func() int) {
-	var over atomic.Bool
+	var stopped atomic.Bool
 	var running sync.WaitGroup
 	var sent atomic.Int64
 	running.Go(func() {
-		for number := 0; !over.Load(); number++ {
+		for number := 0; !stopped.Load(); number++ {
 			time.Sleep(time.Second / time.Duration(perSecond))
 			path := []string{"/one/safe/", "/one/unsafe/"}[number%2]
 			sent.Add(1)
@@ -66,7 +66,7 @@
 		}
 	})
 	return func() int {
-		over.Store(true)
+		stopped.Store(true)
 		running.Wait()
 		return int(sent.Load())
 	}
@@ -77,7 +77,7 @@
 	runFleetWith(t, daemons, 20, func(f *fleet) { f.rollouts = true }, check)
 }
 
-// TestGoodVersionIsCompleted rolls out a good version: it completes in time and its state is written, no
+// TestGoodVersionIsCompleted rolls out a good version: the rollout completes in time and its state is written, no
 // request runs at an old back end after completion, and no request fails.
 func TestGoodVersionIsCompleted(t *testing.T) {
 	runRollouts(t, func(f *fleet) {
@@ -120,30 +120,30 @@
 	}
 }
 
-// TestBadVersionIsTakenBack rolls out versions that fail half of all requests, or all of one kind,
-// without other faults, while the store is down, while its responses are dropped, and while the
-// dispatcher is killed: each version gets at most a tenth of the requests plus 50, and is rolled back.
+// TestBadVersionIsTakenBack rolls out versions that fail half of all requests, or all non-repeatable ones, without
+// other faults, while the store is down, while its responses are dropped, and while the dispatcher is killed: each
+// version gets at most a tenth of the requests plus 50, and is rolled back.
 func TestBadVersionIsTakenBack(t *testing.T) {
 	var count atomic.Int64
-	half := func(*http.Request) bool { return count.Add(1)%2 == 0 }
+	failsHalf := func(*http.Request) bool { return count.Add(1)%2 == 0 }
 	for _, test := range []struct {
 		name   string
 		fails  func(r *http.Request) bool
 		inject func(f *fleet)
 	}{
-		{"fails half", half, func(*fleet) {}},
+		{"fails half", failsHalf, func(*fleet) {}},
 		{"fails non-repeatable requests", func(r *http.Request) bool { return r.Method == http.MethodPost }, func(*fleet) {}},
-		{"fails half with the store down", half, func(f *fleet) {
+		{"fails half with the store down", failsHalf, func(f *fleet) {
 			time.Sleep(500 * time.Millisecond)
 			f.store.SetFaults(objectstub.Faults{Down: true})
 			time.Sleep(6 * time.Second)
 			f.store.SetFaults(objectstub.Faults{})
 		}},
-		{"fails half with store responses dropped", half, func(f *fleet) { f.store.SetFaults(objectstub.Faults{DropResponses: 3}) }},
-		{"fails half with the dispatcher killed", half, func(f *fleet) {
+		{"fails half with store responses dropped", failsHalf, func(f *fleet) { f.store.SetFaults(objectstub.Faults{DropResponses: 3}) }},
+		{"fails half with the dispatcher killed", failsHalf, func(f *fleet) {
 			time.Sleep(700 * time.Millisecond)
-			for number, daemon := range f.daemons {
-				if _, other := daemon.DispatcherOf("board"); !other {
+			for number, d := range f.daemons {
+				if _, remote := d.DispatcherOf("board"); !remote {
 					f.replaceDaemon(number)
 					return
 				}
@@ -167,7 +167,7 @@
 				time.Sleep(rolloutDuration)
 				sent := stop()
 				t.Logf("rolled back after %s, %d of %d requests at the new version", after, exposed, sent)
-				require.Equal(t, exposed, f.totalOf(started), "it got a request after it was rolled back")
+				require.Equal(t, exposed, f.totalOf(started), "the version got a request after it was rolled back")
 				require.LessOrEqual(t, float64(exposed), 0.1*float64(100*rolloutDuration.Seconds())+50)
 			})
 		})
@@ -175,7 +175,7 @@
 }
 
 // TestVersionSeenBeforeItsRolloutOrder checks that a version that daemons see before its rollout order gets no
-// requests, and is used if no order arrives.
+// requests at first, and is used if no order arrives.
 func TestVersionSeenBeforeItsRolloutOrder(t *testing.T) {
 	runRollouts(t, func(f *fleet) {
 		stop := f.startSteadyLoad(100)
--- a/lab/objectstub/store_rollback_rollout_test.go
+++ b/lab/objectstub/store_rollback_rollout_test.go
@@ -11,21 +11,21 @@
 	"github.com/tuliphall/tuliphall/lab/objectstub"
 )
 
-// TestVersionStaysRolledBackAfterStoreRollback loses the rollback of a bad version, or the whole order for
-// it, in a rollback of the store: the version gets no more requests, and the decision is recorded again.
+// TestVersionStaysRolledBackAfterStoreRollback loses the decision to roll a bad version back, or the whole rollout
+// order, in a rollback of the store: the version gets no more requests, and the decision is recorded again.
 func TestVersionStaysRolledBackAfterStoreRollback(t *testing.T) {
 	var count atomic.Int64
-	half := func(*http.Request) bool { return count.Add(1)%2 == 0 }
+	failsHalf := func(*http.Request) bool { return count.Add(1)%2 == 0 }
 	for _, test := range []struct {
 		name string
 		// snapshotDelay is the time after the order at which the snapshot is taken; 0: right before the order.
 		snapshotDelay time.Duration
-		// writes: the operator writes the order again.
-		writes bool
+		// rewrites: the operator writes the order again.
+		rewrites bool
 	}{
-		{name: "the order was lost and is written again", writes: true},
+		{name: "the order was lost and is written again", rewrites: true},
 		{name: "the decision was lost", snapshotDelay: time.Second},
-		{name: "the decision was lost, and the order is written again", snapshotDelay: time.Second, writes: true},
+		{name: "the decision was lost, and the order is written again", snapshotDelay: time.Second, rewrites: true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			runRollouts(t, func(f *fleet) {
@@ -33,7 +33,7 @@
 				defer stop()
 				time.Sleep(time.Second)
 				snapshot := f.store.Snapshot()
-				started := f.startNewVersion(half)
+				started := f.startNewVersion(failsHalf)
 				if test.snapshotDelay > 0 {
 					time.Sleep(test.snapshotDelay)
 					snapshot = f.store.Snapshot()
@@ -42,13 +42,13 @@
 				time.Sleep(2 * time.Second)
 				exposed := f.totalOf(started)
 				f.restoreStoreAndEntries(snapshot, started)
-				if test.writes {
+				if test.rewrites {
 					time.Sleep(rewriteDelay)
 					f.startRollout()
 				}
 				f.awaitState("rolled_back")
 				time.Sleep(rolloutDuration)
-				require.Equal(t, exposed, f.totalOf(started), "it got requests again")
+				require.Equal(t, exposed, f.totalOf(started), "the version got requests again")
 			})
 		})
 	}
@@ -64,10 +64,10 @@
 }
 
 // restoreStoreAndEntries restores a snapshot of the store, after which back ends rewrite their entries.
-func (f *fleet) restoreStoreAndEntries(snapshot objectstub.Snapshot, again []*worker) {
+func (f *fleet) restoreStoreAndEntries(snapshot objectstub.Snapshot, rewritten []*worker) {
 	f.restoreStore(snapshot)
 	time.Sleep(time.Second)
-	for _, worker := range again {
+	for _, worker := range rewritten {
 		f.writeEntry(worker, "ready")
 	}
 }
--- a/lab/objectstub/store_rollback_test.go
+++ b/lab/objectstub/store_rollback_test.go
@@ -31,9 +31,9 @@
 	return f.configure(versionRoute(f.version + versionStep))
 }
 
-// rollBackStore writes this number of versions of the configuration, then makes the store unavailable and
-// restores a snapshot taken before them. It returns the last version, which was in force.
-func (f *fleet) rollBackStore(versions int, meanwhile func()) uint64 {
+// rollBackStore writes this number of versions of the configuration, then makes the store unavailable and restores a
+// snapshot taken before them. It calls afterRestore right afterwards, and returns the last version, which was in force.
+func (f *fleet) rollBackStore(versions int, afterRestore func()) uint64 {
 	snapshot := f.store.Snapshot()
 	for range versions {
 		f.configureNext()
@@ -42,29 +42,29 @@
 	lastVersion := f.version
 	require.Less(f.t, f.awaitRoute(versionRoute(lastVersion)+"safe/"), inForceBound)
 	f.restoreStore(snapshot)
-	meanwhile()
+	afterRestore()
 	return lastVersion
 }
 
 // restoreStore makes the store unavailable for storeDowntime and restores a snapshot.
-func (f *fleet) restoreStore(from objectstub.Snapshot) {
+func (f *fleet) restoreStore(snapshot objectstub.Snapshot) {
 	f.store.SetFaults(objectstub.Faults{Down: true})
 	time.Sleep(storeDowntime)
-	f.store.RollBack(from)
+	f.store.RollBack(snapshot)
 	f.store.SetFaults(objectstub.Faults{})
 }
 
-// requireServed checks for a time that every daemon serves the routes of a version.
-func (f *fleet) requireServed(version uint64, lasts time.Duration) {
-	for start := time.Now(); time.Since(start) < lasts; time.Sleep(50 * time.Millisecond) {
+// requireServed checks for a duration that every daemon serves the routes of a version.
+func (f *fleet) requireServed(version uint64, duration time.Duration) {
+	for start := time.Now(); time.Since(start) < duration; time.Sleep(50 * time.Millisecond) {
 		for number := range f.daemons {
-			require.Equal(f.t, http.StatusOK, f.send(number, versionRoute(version)+"safe/").status, "daemon %d, %v after", number, time.Since(start))
+			require.Equal(f.t, http.StatusOK, f.send(number, versionRoute(version)+"safe/").status, "daemon %d, after %v", number, time.Since(start))
 		}
 	}
 }
 
-// TestConfigurationAfterStoreRollback writes versions of the configuration after a rollback of the store lost
-// some: each is in force everywhere in time, and no daemon returns to an earlier version.
+// TestConfigurationAfterStoreRollback writes versions of the configuration after a rollback of the store has lost
+// some: each is in force at all daemons in time, and no daemon returns to an earlier version.
 func TestConfigurationAfterStoreRollback(t *testing.T) {
 	for _, test := range []struct {
 		name string
@@ -117,26 +117,26 @@
 	writeFirst := func(f *fleet, state string) { f.writeEntry(f.workers[0], state) }
 	remove := func(f *fleet) { f.store.Remove("servers", f.workers[0].id) }
 	join := func(f *fleet) { writeFirst(f, "ready") }
-	leave := func(f *fleet) { writeFirst(f, "draining") }
+	drain := func(f *fleet) { writeFirst(f, "draining") }
 	evacuate := func(f *fleet) { f.store.Set("evacuations", "west", struct{}{}) }
 	restore := func(f *fleet) { f.store.Remove("evacuations", "west") }
 	restart := func(f *fleet) {
 		f.workers[0].startedAt = time.Now().UnixMilli()
 		writeFirst(f, "ready")
 	}
-	again := func(f *fleet) { writeFirst(f, "ready") }
+	rewriteReady := func(f *fleet) { writeFirst(f, "ready") }
 	return []lostChange{
 		{name: "a back end joined", before: remove, change: join, rewrite: join, expectTraffic: true},
-		{name: "a back end reported draining", before: noChange, change: leave, rewrite: leave},
+		{name: "a back end reported draining", before: noChange, change: drain, rewrite: drain},
 		{name: "a back end was removed", before: noChange, change: remove, rewrite: remove},
-		{name: "a draining back end restarted", before: leave, change: restart, rewrite: again, expectTraffic: true},
+		{name: "a draining back end restarted", before: drain, change: restart, rewrite: rewriteReady, expectTraffic: true},
 		{name: "a zone was evacuated", before: noChange, change: evacuate, rewrite: evacuate},
 		{name: "a zone was restored", before: evacuate, change: restore, rewrite: restore, expectTraffic: true},
 	}
 }
 
-// TestLostChangesHoldAfterStoreRollback loses a change of back ends or zones in a rollback: every daemon keeps
-// it until it is written again, and afterwards.
+// TestLostChangesHoldAfterStoreRollback loses a change of back ends or zones in a rollback: every daemon keeps it
+// until it is written again, and afterwards.
 func TestLostChangesHoldAfterStoreRollback(t *testing.T) {
 	for _, test := range lostChanges() {
 		t.Run(test.name, func(t *testing.T) {
@@ -158,26 +158,26 @@
 	c.change(f)
 	time.Sleep(evacuationBound)
 	f.restoreStore(snapshot)
-	for _, span := range []string{"before it is written again", "afterwards"} {
-		start := workers[0].total()
+	for _, period := range []string{"before it is written again", "afterwards"} {
+		before := workers[0].total()
 		time.Sleep(rewriteDelay)
 		if c.expectTraffic {
-			require.Greater(f.t, workers[0].total(), start, span)
+			require.Greater(f.t, workers[0].total(), before, period)
 		} else {
-			require.Equal(f.t, start, workers[0].total(), span)
+			require.Equal(f.t, before, workers[0].total(), period)
 		}
-		if span == "before it is written again" {
+		if period == "before it is written again" {
 			c.rewrite(f)
 		}
 	}
 	time.Sleep(20 * time.Second) // the maximum time for which daemons keep lost changes
-	start := workers[0].total()
+	before := workers[0].total()
 	time.Sleep(rewriteDelay)
-	require.Equal(f.t, c.expectTraffic, workers[0].total() > start, "at last")
+	require.Equal(f.t, c.expectTraffic, workers[0].total() > before, "after daemons stopped keeping lost changes")
 }
 
-// TestBackendNotRewrittenAfterStoreRollbackIsRemoved loses the entry of a back end that has stopped since: once the running back
-// ends have rewritten their entries, it gets no more requests.
+// TestBackendNotRewrittenAfterStoreRollbackIsRemoved loses the entry of a back end that has stopped since: once the
+// running back ends have rewritten their entries, it gets no more requests.
 func TestBackendNotRewrittenAfterStoreRollbackIsRemoved(t *testing.T) {
 	run(t, 3, func(f *fleet) {
 		f.store.Remove("servers", f.workers[0].id)
@@ -188,9 +188,9 @@
 		f.restoreStore(snapshot)
 		defer f.sendPeriodically(requestInterval)()
 		time.Sleep(evacuationBound)
-		start := f.workers[0].total()
+		before := f.workers[0].total()
 		time.Sleep(5 * time.Second)
-		require.Equal(t, start, f.workers[0].total())
+		require.Equal(t, before, f.workers[0].total())
 	})
 }
 
@@ -198,7 +198,7 @@
 var rollbackDisruptions = []struct {
 	name string
 	// apply runs right after the rollback, and returns the time until all daemons are connected again.
-	apply func(f *fleet, snapshot objectstub.Snapshot) (inTouch time.Duration)
+	apply func(f *fleet, snapshot objectstub.Snapshot) (reconnectDelay time.Duration)
 }{
 	{"no disruption", func(*fleet, objectstub.Snapshot) time.Duration { return 0 }},
 	{"daemons are replaced", func(f *fleet, _ objectstub.Snapshot) time.Duration {
@@ -257,8 +257,8 @@
 	}
 }
 
-// TestStartingDaemonTakesNewestConfigurationOfPeers starts daemons after the store has lost the newest configuration: no daemon
-// that reports ready serves by the older one.
+// TestStartingDaemonTakesNewestConfigurationOfPeers starts daemons after the store has lost the newest configuration:
+// each is ready within a second, and from then on serves by the newest one, which it got from its peers.
 func TestStartingDaemonTakesNewestConfigurationOfPeers(t *testing.T) {
 	run(t, 3, func(f *fleet) {
 		f.configureNext()
@@ -281,8 +281,8 @@
 	})
 }
 
-// TestStoreCallsAfterStoreRollback rolls the store of a larger fleet back: only the daemons that watch it list its
-// objects, once for each kind.
+// TestStoreCallsAfterStoreRollback rolls the store of a larger fleet back: only its watchers list objects, once for
+// each kind.
 func TestStoreCallsAfterStoreRollback(t *testing.T) {
 	const size = 60
 	runFleet(t, size, 3, func(f *fleet) {
--- a/lab/objectstub/tenants_test.go
+++ b/lab/objectstub/tenants_test.go
@@ -37,15 +37,15 @@
 
 // receivedHeaders returns the headers of all requests that workers received.
 func (f *fleet) receivedHeaders() []http.Header {
-	var heads []http.Header
+	var headers []http.Header
 	for _, worker := range f.workers {
-		worker.update(func() { heads = append(heads, worker.headers...) })
+		worker.update(func() { headers = append(headers, worker.headers...) })
 	}
-	return heads
+	return headers
 }
 
-// TestTenantAuthentication checks that only requests with a tenant's key are served, that back ends get
-// the authenticated tenant whatever headers the caller sends, and that no key is logged.
+// TestTenantAuthentication checks that only requests with a tenant's key are served, that back ends get the
+// authenticated tenant whatever headers the caller sends, and that no key is logged.
 func TestTenantAuthentication(t *testing.T) {
 	run(t, 3, func(f *fleet) {
 		f.applyTenants(tenantResource("north", 0, 0, northKey, northNewKey), tenantResource("south", 0, 0, southKey))
@@ -59,11 +59,11 @@
 						r.Header.Set("Tuliphall-Caller", "somebody")
 					})
 					require.Equal(t, http.StatusOK, got.status)
-					heads := f.receivedHeaders()
-					require.Equal(t, []string{name}, heads[len(heads)-1].Values("Tenant"), "all heads: %v", heads[len(heads)-1])
+					headers := f.receivedHeaders()
+					require.Equal(t, []string{name}, headers[len(headers)-1].Values("Tenant"), "all headers: %v", headers[len(headers)-1])
 				}
 			}
-			ran := len(f.receivedHeaders())
+			runsBefore := len(f.receivedHeaders())
 			for _, key := range []string{"", "unknown-secret"} {
 				got := f.sendWith(number, "/one/safe/", func(r *http.Request) {
 					r.Header.Set("Tenant", "north")
@@ -75,11 +75,11 @@
 				require.Equal(t, "Bearer", got.header.Get("WWW-Authenticate"))
 				require.Contains(t, got.body, `"run":"not-run"`)
 			}
-			require.Len(t, f.receivedHeaders(), ran, "requests without a valid key are not sent")
+			require.Len(t, f.receivedHeaders(), runsBefore, "requests without a valid key are not forwarded")
 		}
-		for _, head := range f.receivedHeaders() {
-			require.Empty(t, head.Values("Authorization"))
-			require.Empty(t, head.Values("Tuliphall-Caller"))
+		for _, header := range f.receivedHeaders() {
+			require.Empty(t, header.Values("Authorization"))
+			require.Empty(t, header.Values("Tuliphall-Caller"))
 		}
 		for _, secret := range []string{northKey, northNewKey, southKey, "unknown-secret"} {
 			require.NotContains(t, f.logs.String(), secret)
@@ -94,29 +94,29 @@
 		f.applyTenants(tenantResource("north", 0, 0, northKey))
 		require.Equal(t, http.StatusOK, f.sendWith(0, "/one/safe/", func(r *http.Request) { r.Header.Set("Tenant", "north") }).status)
 		require.Equal(t, http.StatusOK, f.sendWithKey(1, "/one/safe/", "unknown-secret").status)
-		for _, head := range f.receivedHeaders() {
-			require.Empty(t, head.Values("Tenant"))
-			require.Empty(t, head.Values("Authorization"))
+		for _, header := range f.receivedHeaders() {
+			require.Empty(t, header.Values("Tenant"))
+			require.Empty(t, header.Values("Authorization"))
 		}
 		require.Equal(t, http.StatusOK, f.sendWithKey(1, "/one/safe/", northKey).status)
-		heads := f.receivedHeaders()
-		require.Equal(t, "north", heads[len(heads)-1].Get("Tenant"))
+		headers := f.receivedHeaders()
+		require.Equal(t, "north", headers[len(headers)-1].Get("Tenant"))
 	})
 }
 
-// TestRemovedKeyIsRefused removes a key while callers use it on persistent connections, after a new
-// key was added: the old key is refused everywhere within a second, the new one always works.
+// TestRemovedKeyIsRefused removes a key while callers use it on persistent connections, after a new key was added:
+// the old key is refused everywhere within a second, the new one always works.
 func TestRemovedKeyIsRefused(t *testing.T) {
 	run(t, 3, func(f *fleet) {
 		f.applyTenants(tenantResource("north", 0, 0, northKey, northNewKey))
 		require.Equal(t, http.StatusOK, f.sendWithKey(0, "/one/safe/", northKey).status)
 		f.tenants = []resource{tenantResource("north", 0, 0, northNewKey)}
 		f.configure("/one/")
-		withdrawn := time.Now()
-		for time.Since(withdrawn) < 3*time.Second {
+		removedAt := time.Now()
+		for time.Since(removedAt) < 3*time.Second {
 			for number := range daemons {
 				old := f.sendWithKey(number, "/one/unsafe/", northKey).status
-				require.True(t, old == http.StatusUnauthorized || time.Since(withdrawn) < time.Second, "%s after it was withdrawn", time.Since(withdrawn))
+				require.True(t, old == http.StatusUnauthorized || time.Since(removedAt) < time.Second, "%s after it was removed", time.Since(removedAt))
 				require.Equal(t, http.StatusOK, f.sendWithKey(number, "/one/safe/", northNewKey).status)
 			}
 		}
@@ -125,10 +125,10 @@
 
 // sendAtRateWithKey sends requests with a key through all daemons at a constant rate, and returns
 // the numbers of answered and refused requests.
-func (f *fleet) sendAtRateWithKey(key string, perSecond int, lasts time.Duration) (answered, refused int) {
+func (f *fleet) sendAtRateWithKey(key string, perSecond int, duration time.Duration) (answered, refused int) {
 	var running sync.WaitGroup
 	var mutex sync.Mutex
-	for number := range int(lasts.Seconds() * float64(perSecond)) {
+	for number := range int(duration.Seconds() * float64(perSecond)) {
 		time.Sleep(time.Second / time.Duration(perSecond))
 		running.Go(func() {
 			got := f.sendWithKey(number%daemons, "/one/safe/", key)
@@ -149,45 +149,45 @@
 	return answered, refused
 }
 
-// TestTenantRateAppliesAcrossDaemons sends five times a tenant's rate through all daemons while another tenant
-// stays within its rate: the first gets its rate in total, and the other is never refused.
+// TestTenantRateAppliesAcrossDaemons sends five times a tenant's rate through all daemons while another tenant stays
+// within its rate: the first gets its rate in total, and the other is never refused.
 func TestTenantRateAppliesAcrossDaemons(t *testing.T) {
-	const rate, burst, lasts = 20, 20, 20 * time.Second
+	const rate, burst, duration = 20, 20, 20 * time.Second
 	run(t, 10, func(f *fleet) {
 		f.applyTenants(tenantResource("north", rate, burst, northKey), tenantResource("south", rate, burst, southKey))
 		time.Sleep(5 * time.Second)
 		var running sync.WaitGroup
 		var southRefused int
-		running.Go(func() { _, southRefused = f.sendAtRateWithKey(southKey, rate/2, lasts) })
-		answered, refused := f.sendAtRateWithKey(northKey, 5*rate, lasts)
+		running.Go(func() { _, southRefused = f.sendAtRateWithKey(southKey, rate/2, duration) })
+		answered, refused := f.sendAtRateWithKey(northKey, 5*rate, duration)
 		running.Wait()
-		allowed := rate*lasts.Seconds() + burst
+		allowed := rate*duration.Seconds() + burst
 		t.Logf("answered %d of %.0f allowed, refused %d; the other tenant was refused %d", answered, allowed, refused, southRefused)
-		require.GreaterOrEqual(t, float64(answered), 0.97*rate*lasts.Seconds())
+		require.GreaterOrEqual(t, float64(answered), 0.97*rate*duration.Seconds())
 		require.LessOrEqual(t, float64(answered), 1.1*allowed+20)
 		require.Zero(t, southRefused)
 	})
 }
 
-// TestTenantRateWhenDispatcherIsKilled kills the dispatcher, which counts the requests, under overload: the
-// other daemons together admit no more than the rate.
+// TestTenantRateWhenDispatcherIsKilled kills the dispatcher, which counts the requests, under overload: the other
+// daemons together admit no more than the rate.
 func TestTenantRateWhenDispatcherIsKilled(t *testing.T) {
-	const rate, burst, lasts = 20, 20, 20 * time.Second
+	const rate, burst, duration = 20, 20, 20 * time.Second
 	run(t, 10, func(f *fleet) {
 		f.applyTenants(tenantResource("north", rate, burst, northKey))
 		time.Sleep(5 * time.Second)
 		var running sync.WaitGroup
 		running.Go(func() {
-			time.Sleep(lasts / 2)
-			for number, member := range f.daemons {
-				if _, other := member.DispatcherOf("board"); !other && number != 0 {
-					member.Kill()
+			time.Sleep(duration / 2)
+			for number, d := range f.daemons {
+				if _, remote := d.DispatcherOf("board"); !remote && number != 0 {
+					d.Kill()
 				}
 			}
 		})
 		answered := 0
 		var mutex sync.Mutex
-		for range int(lasts.Seconds() * 5 * rate) {
+		for range int(duration.Seconds() * 5 * rate) {
 			time.Sleep(time.Second / (5 * rate))
 			running.Go(func() {
 				if got := f.sendWithKey(0, "/one/safe/", northKey); got.status == http.StatusOK {
@@ -198,24 +198,24 @@
 			})
 		}
 		running.Wait()
-		allowed := rate*lasts.Seconds() + burst
+		allowed := rate*duration.Seconds() + burst
 		t.Logf("answered %d of %.0f allowed", answered, allowed)
 		require.LessOrEqual(t, float64(answered), 1.1*allowed+20)
-		require.GreaterOrEqual(t, float64(answered), 0.7*rate*lasts.Seconds())
+		require.GreaterOrEqual(t, float64(answered), 0.7*rate*duration.Seconds())
 	})
 }
 
-// TestUnknownResourceIsLogged checks that a resource of an unknown kind is logged once as not in force,
-// and that the other resources are in force.
+// TestUnknownResourceIsLogged checks that each daemon that reads the store logs a resource of an unknown kind at most
+// once as not in force, and that the other resources are in force.
 func TestUnknownResourceIsLogged(t *testing.T) {
 	run(t, 1, func(f *fleet) {
 		f.applyTenants(resource{Kind: "mirrors", Metadata: map[string]any{"name": "shadow"}, Spec: map[string]any{}})
 		f.configure("/one/")
 		time.Sleep(time.Second)
 		require.Equal(t, http.StatusOK, f.send(0, "/one/safe/").status)
-		told := strings.Count(f.logs.String(), "resource not in force")
-		require.Positive(t, told)
-		require.LessOrEqual(t, told, daemons, "once per daemon that reads the store")
+		logged := strings.Count(f.logs.String(), "resource not in force")
+		require.Positive(t, logged)
+		require.LessOrEqual(t, logged, daemons, "once per daemon that reads the store")
 		require.Contains(t, f.logs.String(), "shadow")
 	})
 }
--- a/lab/objectstub/worker_test.go
+++ b/lab/objectstub/worker_test.go
@@ -54,7 +54,7 @@
 	at time.Time
 }
 
-// disturbedFactor is the factor by which requests that start while a worker is disturbed are slower.
+// disturbedFactor is the factor by which requests that start at a disturbed worker are slower.
 const disturbedFactor = 5
 
 // slowdown returns the current service time factor. The caller holds the mutex.
@@ -85,14 +85,14 @@
 	rw.Header().Set("Server-Load", fmt.Sprintf("0,0,3,%d", 100*slowdown))
 }
 
-// setSignals sets the header for draining, and with a rejection the Retry-After header, if configured.
-func (w *worker) setSignals(rw http.ResponseWriter, r *http.Request, refuses bool) {
+// setSignals sets the draining header, and the Retry-After header of a rejection, if configured, and records the signal.
+func (w *worker) setSignals(rw http.ResponseWriter, r *http.Request, rejects bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.draining {
 		rw.Header().Set("Server-Leaving", "1")
 	}
-	pauses := refuses && w.retryAfter != ""
+	pauses := rejects && w.retryAfter != ""
 	if pauses {
 		rw.Header().Set("Retry-After", w.retryAfter)
 	}
@@ -128,32 +128,32 @@
 	w.headers = append(w.headers, r.Header.Clone())
 	slowdown := w.slowdown()
 	paused := w.retryAfter != "" && len(w.arrivals)%max(w.pauseEvery, 1) == 0
-	work, refuse, echo := w.serviceTime*time.Duration(slowdown), w.rejects || paused, w.responseID
+	serviceTime, reject, responseID := w.serviceTime*time.Duration(slowdown), w.rejects || paused, w.responseID
 	misdirected := r.Header.Get("Expected-Instance") != w.instance
-	if !refuse && !misdirected {
+	if !reject && !misdirected {
 		w.runs[id]++
 	}
 	w.mutex.Unlock()
-	if echo == "" {
-		echo = id
+	if responseID == "" {
+		responseID = id
 	}
-	rw.Header().Set("Request-Id", echo)
+	rw.Header().Set("Request-Id", responseID)
 	rw.Header().Set("Server-Load", fmt.Sprintf("1,0,3,%d", 100*slowdown))
 	switch {
 	case misdirected:
 		rw.WriteHeader(http.StatusMisdirectedRequest)
-	case refuse:
+	case reject:
 		w.setSignals(rw, r, true)
 		rw.Header().Set("Not-Executed", "1")
 		rw.WriteHeader(http.StatusServiceUnavailable)
 	case w.fails != nil && w.fails(r):
-		time.Sleep(work)
+		time.Sleep(serviceTime)
 		w.setSignals(rw, r, false)
 		w.setLimitHeader(rw)
 		rw.Header().Set("Server-Stamp", w.id)
 		rw.WriteHeader(http.StatusInternalServerError)
 	default:
-		time.Sleep(work)
+		time.Sleep(serviceTime)
 		w.setSignals(rw, r, false)
 		w.setLimitHeader(rw)
 		rw.Header().Set("Server-Stamp", w.id)
