--- a/lab/objectstub/leaving_test.go
+++ b/lab/objectstub/draining_test.go
@@ -41,7 +41,7 @@
 	defer w.mutex.Unlock()
 	first, late := w.firstSignals(), 0
 	for number, at := range w.arrivals {
-		if told, known := first[ipOf(w.senders[number])]; known && at.Sub(told) > bound {
+		if signaledAt, known := first[ipOf(w.senders[number])]; known && at.Sub(signaledAt) > bound {
 			late++
 		}
 	}
@@ -66,18 +66,18 @@
 	w.update(func() { w.draining = true })
 }
 
-// TestLeavingBackendThatStoreDoesNotKnow guards against requests to a back end whose responses report that it is
+// TestDrainingBackendWhileStoreIsDown guards against requests to a back end whose responses report that it is
 // draining while the store, which is down, still lists it as ready.
-func TestLeavingBackendThatStoreDoesNotKnow(t *testing.T) {
+func TestDrainingBackendWhileStoreIsDown(t *testing.T) {
 	run(t, 4, func(f *fleet) {
-		load := f.randomLoad(limitedLoad)
+		load := f.randomLoad(loadInterval)
 		time.Sleep(2 * time.Second)
 		f.store.SetFaults(objectstub.Faults{Down: true})
 		f.workers[0].startDraining()
-		said := time.Now()
+		drainingSince := time.Now()
 		time.Sleep(10 * time.Second)
 		answered := load.finish()
-		late, after := f.workers[0].lateArrivals(drainingBound), f.workers[0].arrivalsAfter(said.Add(drainingKnownBound))
+		late, after := f.workers[0].lateArrivals(drainingBound), f.workers[0].arrivalsAfter(drainingSince.Add(drainingKnownBound))
 		t.Logf("%d requests later than %s after a response to the same daemon, %d in total from %s on", late, drainingBound, after, drainingKnownBound)
 		require.Zero(t, late)
 		require.Zero(t, after)
@@ -86,24 +86,24 @@
 	})
 }
 
-// TestLeavingBackendInTroubles guards against requests to a back end whose responses report that it is draining,
-// during disruptions and for every way by which requests reach back ends.
-func TestLeavingBackendInTroubles(t *testing.T) {
+// TestDrainingBackendDuringDisruptions guards against requests to a back end whose responses report that it is
+// draining, during disruptions and for every way by which requests reach back ends.
+func TestDrainingBackendDuringDisruptions(t *testing.T) {
 	disruptions := []disruption{
-		{name: "none, and the store never lists it as draining", apply: func(*fleet, *randomLoad) {}},
-		{name: "the store is down, and back", apply: func(f *fleet, _ *randomLoad) {
+		{name: "no disruption, and the store never lists it as draining", apply: func(*fleet, *randomLoad) {}},
+		{name: "the store is down and recovers", apply: func(f *fleet, _ *randomLoad) {
 			f.store.SetFaults(objectstub.Faults{Down: true})
 			time.Sleep(5 * time.Second)
 			f.store.SetFaults(objectstub.Faults{})
 		}},
-		{name: "watches of the store stall", apply: func(f *fleet, _ *randomLoad) { f.store.SetFaults(objectstub.Faults{StallWatches: true}) }},
+		{name: "watches stall", apply: func(f *fleet, _ *randomLoad) { f.store.SetFaults(objectstub.Faults{StallWatches: true}) }},
 		{name: "the store lists it as ready again", apply: func(f *fleet, _ *randomLoad) {
 			for range 3 {
 				f.writeEntry(f.workers[0], "ready")
 				time.Sleep(time.Second)
 			}
 		}},
-		{name: "its entry lapses and comes back", apply: func(f *fleet, _ *randomLoad) {
+		{name: "its entry is removed and written again", apply: func(f *fleet, _ *randomLoad) {
 			for range 3 {
 				f.store.Remove("servers", f.workers[0].id)
 				time.Sleep(1500 * time.Millisecond)
@@ -111,17 +111,17 @@
 				time.Sleep(1500 * time.Millisecond)
 			}
 		}},
-		{name: "the store compacts its history", apply: func(f *fleet, _ *randomLoad) {
+		{name: "history is compacted", apply: func(f *fleet, _ *randomLoad) {
 			f.writeEntry(f.workers[1], "ready")
 			f.store.Compact()
 		}},
-		{name: "configurations come", apply: func(f *fleet, _ *randomLoad) {
+		{name: "the configuration changes", apply: func(f *fleet, _ *randomLoad) {
 			for range 5 {
 				f.configure("/one/")
 				time.Sleep(500 * time.Millisecond)
 			}
 		}},
-		{name: "the service is taken out of the configuration, and put back", apply: func(f *fleet, load *randomLoad) {
+		{name: "the service is removed from the configuration and added again", apply: func(f *fleet, load *randomLoad) {
 			load.pausedWhile(func() {
 				f.split = map[string]int{"other": 1}
 				f.configure("/one/")
@@ -135,15 +135,15 @@
 	for _, test := range append(disruptions, commonDisruptions...) {
 		t.Run(test.name, func(t *testing.T) {
 			run(t, 6, func(f *fleet) {
-				load := f.randomLoad(limitedLoad)
+				load := f.randomLoad(loadInterval)
 				time.Sleep(2 * time.Second)
 				f.workers[0].startDraining()
-				said := time.Now()
+				drainingSince := time.Now()
 				time.Sleep(500 * time.Millisecond) // until a daemon has got the signal
 				test.apply(f, load)
-				time.Sleep(15*time.Second - time.Since(said))
+				time.Sleep(15*time.Second - time.Since(drainingSince))
 				t.Logf("%.3f answered", load.finish())
-				late, after := f.workers[0].lateArrivals(drainingBound), f.workers[0].arrivalsAfter(said.Add(drainingKnownBound))
+				late, after := f.workers[0].lateArrivals(drainingBound), f.workers[0].arrivalsAfter(drainingSince.Add(drainingKnownBound))
 				t.Logf("%d requests later than %s after a response to the same daemon, %d in total from %s on", late, drainingBound, after, drainingKnownBound)
 				require.Zero(t, late)
 				if !test.divergent {
@@ -154,9 +154,9 @@
 	}
 }
 
-// TestAllLeave checks that requests are refused immediately with Retry-After while every back end is draining, and
-// served as soon as one has restarted.
-func TestAllLeave(t *testing.T) {
+// TestRequestsAreRefusedWhileAllBackendsDrain checks that requests are refused immediately with Retry-After while
+// every back end is draining, and served as soon as one has restarted.
+func TestRequestsAreRefusedWhileAllBackendsDrain(t *testing.T) {
 	run(t, 3, func(f *fleet) {
 		f.earnRetryBudget()
 		for _, worker := range f.workers {
@@ -166,17 +166,17 @@
 			f.send(number%daemons, "/one/safe/")
 		}
 		time.Sleep(drainingKnownBound)
-		ran := f.workers[0].total() + f.workers[1].total() + f.workers[2].total()
+		runsBefore := f.workers[0].total() + f.workers[1].total() + f.workers[2].total()
 		for number := range daemons {
 			for _, path := range []string{"/one/safe/", "/one/unsafe/"} {
-				begun := time.Now()
+				start := time.Now()
 				got := f.send(number, path)
 				require.Equal(t, http.StatusServiceUnavailable, got.status)
 				require.NotEmpty(t, got.header.Get("Retry-After"))
-				require.Less(t, time.Since(begun), 50*time.Millisecond)
+				require.Less(t, time.Since(start), 50*time.Millisecond)
 			}
 		}
-		require.Equal(t, ran, f.workers[0].total()+f.workers[1].total()+f.workers[2].total())
+		require.Equal(t, runsBefore, f.workers[0].total()+f.workers[1].total()+f.workers[2].total())
 		f.workers[0].update(func() { f.workers[0].draining = false })
 		f.workers[0].startedAt = time.Now().UnixMilli()
 		f.writeEntry(f.workers[0], "ready")
