--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -231,7 +231,7 @@
 
 // scheduleRecheck schedules recheck unless it is scheduled already. All waiting requests share
 // one timer: with one timer each, 500 waiting requests caused 25,000 searches for a permit per
-// second (TestManyWaitAtLittleCost). The caller must hold the mutex.
+// second (TestWaitingRequestsShareRecheckTimer). The caller must hold the mutex.
 func (d *Dispatcher) scheduleRecheck() {
 	if d.recheckScheduled {
 		return
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -271,9 +271,10 @@
 	})
 }
 
-// TestManyWaitAtLittleCost guards against one recheck timer per waiting request: for 500 requests
-// that wait for a second, the back ends must be scanned about as often as for a single one.
-func TestManyWaitAtLittleCost(t *testing.T) {
+// TestWaitingRequestsShareRecheckTimer guards against one recheck timer per waiting request: for
+// 500 requests that wait for a second, the back ends must be scanned about as often as for a single
+// one.
+func TestWaitingRequestsShareRecheckTimer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDispatcher(1, 1000)
 		acquireColdPermit(t, d)
--- a/drain/table_test.go
+++ b/drain/table_test.go
@@ -117,9 +117,9 @@
 	require.Empty(t, table.Records(10))
 }
 
-// TestTablesAgree guards against daemons disagreeing permanently: daemons with different clocks observe and exchange
+// TestTablesConverge guards against daemons disagreeing permanently: daemons with different clocks observe and exchange
 // signals in random order, and all reach the same state in the end.
-func TestTablesAgree(t *testing.T) {
+func TestTablesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const daemons = 4
 		tables, skew := make([]*drain.Table, daemons), make([]float64, daemons)
--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -89,8 +89,8 @@
 	}
 }
 
-// BenchmarkStaleTarget measures the cost of LoadProbeTarget with requests from every zone.
-func BenchmarkStaleTarget(b *testing.B) {
+// BenchmarkLoadProbeTarget measures the cost of LoadProbeTarget with requests from every zone.
+func BenchmarkLoadProbeTarget(b *testing.B) {
 	for _, count := range benchSizes {
 		b.Run(fmt.Sprintf("%d back ends", count), func(b *testing.B) {
 			group, now, probes := newBenchGroup(count), start, 0
--- a/routing/scan.go
+++ b/routing/scan.go
@@ -149,7 +149,7 @@
 // scanBestTargets finds, in one scan, the back ends that requests from any zone would be sent to
 // now. Back ends with a request limit or in a pause are left out: a probe would take the place of a
 // request there. One scan per zone and kind of request took 148 µs for 415 back ends in 6 zones,
-// 150 times a second; a single one takes 21 µs (BenchmarkStaleTarget, on a busy machine).
+// 150 times a second; a single one takes 21 µs (BenchmarkLoadProbeTarget, on a busy machine).
 func (g *Group) scanBestTargets(now time.Time) {
 	g.bestTargets = bestTargets{byZone: g.bestTargets.byZone[:0], anyZone: noBackend}
 	for range g.zones {
