--- a/frontend/attempt_test.go
+++ b/frontend/attempt_test.go
@@ -8,9 +8,9 @@
 	"github.com/tuliphall/tuliphall/resultcode"
 )
 
-// TestFailureThatMayHaveRunIsReported guards against a response that states "not run" although an earlier
+// TestFailureOfAttemptThatMayHaveRunIsReported guards against a response that states "not run" although an earlier
 // attempt may have run the request.
-func TestFailureThatMayHaveRunIsReported(t *testing.T) {
+func TestFailureOfAttemptThatMayHaveRunIsReported(t *testing.T) {
 	failure := func(code resultcode.Code) *resultcode.Failure { return &resultcode.Failure{Code: code} }
 	for _, test := range []struct {
 		name           string
--- a/lab/objectstub/evacuation_test.go
+++ b/lab/objectstub/evacuation_test.go
@@ -215,10 +215,10 @@
 // Warm-up of the cold workers in these tests.
 const (
 	coldPeriod = 3 * time.Second
-	coldRate   = 2.5 // requests per second that a cold worker can serve
+	warmUpRate = 2.5 // requests per second that a cold worker can serve
 	// maxColdArrivals is the maximum number of requests within a second for a cold worker, as the users' platform
 	// counts them.
-	maxColdArrivals = 1.5*coldRate + 8
+	maxColdArrivals = 1.5*warmUpRate + 8
 )
 
 // sendAtRate sends requests through all daemons at a constant rate for a time.
@@ -231,9 +231,9 @@
 	sending.Wait()
 }
 
-// TestColdRateAfterZoneIsRestored restores a zone under peak load, whose workers may be cold: each worker gets no
-// more than its cold rate, and its full share once it is warm.
-func TestColdRateAfterZoneIsRestored(t *testing.T) {
+// TestWarmUpRateAfterZoneIsRestored restores a zone under peak load, whose workers may be cold: each worker gets
+// no more than its warm-up rate, and its full share once it is warm.
+func TestWarmUpRateAfterZoneIsRestored(t *testing.T) {
 	run(t, 6, func(f *fleet) {
 		f.configureWarmUp()
 		cold := f.assignZones(3, "west")
@@ -243,34 +243,34 @@
 		f.store.Remove("evacuations", "west")
 		restoredAt := time.Now()
 		f.sendAtRate(200, coldPeriod-500*time.Millisecond)
-		f.requireColdRate(cold, restoredAt)
+		f.requireWarmUpRate(cold, restoredAt)
 		f.sendAtRate(400, 3*time.Second) // more than the other workers can run
 		for _, worker := range cold {
-			require.Greater(t, float64(worker.busiestSecond(time.Now().Add(-time.Second))), coldRate+1, "a warm worker gets its full share")
+			require.Greater(t, float64(worker.busiestSecond(time.Now().Add(-time.Second))), warmUpRate+1, "a warm worker gets its full share")
 		}
 	})
 }
 
 // configureWarmUp configures the warm-up of cold workers.
 func (f *fleet) configureWarmUp() {
-	f.service["warmupS"], f.service["warmupPerS"] = coldPeriod.Seconds(), coldRate
+	f.service["warmupS"], f.service["warmupPerS"] = coldPeriod.Seconds(), warmUpRate
 	f.configure("/one/")
 	time.Sleep(time.Second)
 }
 
-// requireColdRate checks that no worker got more than the cold rate, with one dispatcher.
-func (f *fleet) requireColdRate(cold []*worker, from time.Time) {
+// requireWarmUpRate checks that no worker got more than the warm-up rate, with one dispatcher.
+func (f *fleet) requireWarmUpRate(cold []*worker, from time.Time) {
 	peak := 0
 	for _, worker := range cold {
 		peak = max(peak, worker.busiestSecond(from))
 	}
-	f.t.Logf("busiest second of a cold worker: %d requests, cold rate %.1f", peak, coldRate)
-	require.LessOrEqual(f.t, float64(peak), coldRate+1, "requests are evenly spaced at the cold rate")
+	f.t.Logf("busiest second of a cold worker: %d requests, warm-up rate %.1f", peak, warmUpRate)
+	require.LessOrEqual(f.t, float64(peak), warmUpRate+1, "requests are evenly spaced at the warm-up rate")
 }
 
-// TestColdRateOfNewWorkers adds as many cold workers as there are warm ones under load: each gets no more than its
-// cold rate.
-func TestColdRateOfNewWorkers(t *testing.T) {
+// TestWarmUpRateOfNewWorkers adds as many cold workers as there are warm ones under load: each gets no more than
+// its warm-up rate.
+func TestWarmUpRateOfNewWorkers(t *testing.T) {
 	run(t, 6, func(f *fleet) {
 		f.configureWarmUp()
 		for _, worker := range f.workers[:3] {
@@ -283,13 +283,13 @@
 		}
 		joined := time.Now()
 		f.sendAtRate(300, coldPeriod-500*time.Millisecond)
-		f.requireColdRate(f.workers[:3], joined)
+		f.requireWarmUpRate(f.workers[:3], joined)
 	})
 }
 
-// TestColdRateWithoutDispatcher powers the dispatcher off while every worker is cold: the daemons, which choose
+// TestWarmUpRateWithoutDispatcher powers the dispatcher off while every worker is cold: the daemons, which choose
 // independently meanwhile, stay within the bound together.
-func TestColdRateWithoutDispatcher(t *testing.T) {
+func TestWarmUpRateWithoutDispatcher(t *testing.T) {
 	runFleet(t, 20, 4, func(f *fleet) {
 		f.configureWarmUp()
 		for _, worker := range f.workers {
--- a/lab/objectstub/tenants_test.go
+++ b/lab/objectstub/tenants_test.go
@@ -104,19 +104,19 @@
 	})
 }
 
-// TestRemovedKeyIsRefused removes a key while callers use it on persistent connections, after a new key was added:
+// TestRevokedKeyIsRefused revokes a key while callers use it on persistent connections, after a new key was added:
 // the old key is refused everywhere within a second, the new one always works.
-func TestRemovedKeyIsRefused(t *testing.T) {
+func TestRevokedKeyIsRefused(t *testing.T) {
 	run(t, 3, func(f *fleet) {
 		f.applyTenants(tenantResource("north", 0, 0, northKey, northNewKey))
 		require.Equal(t, http.StatusOK, f.sendWithKey(0, "/one/safe/", northKey).status)
 		f.tenants = []resource{tenantResource("north", 0, 0, northNewKey)}
 		f.configure("/one/")
-		removedAt := time.Now()
-		for time.Since(removedAt) < 3*time.Second {
+		revokedAt := time.Now()
+		for time.Since(revokedAt) < 3*time.Second {
 			for number := range daemons {
 				old := f.sendWithKey(number, "/one/unsafe/", northKey).status
-				require.True(t, old == http.StatusUnauthorized || time.Since(removedAt) < time.Second, "%s after it was removed", time.Since(removedAt))
+				require.True(t, old == http.StatusUnauthorized || time.Since(revokedAt) < time.Second, "%s after it was revoked", time.Since(revokedAt))
 				require.Equal(t, http.StatusOK, f.sendWithKey(number, "/one/safe/", northNewKey).status)
 			}
 		}
--- a/lab/simulation/pattern.go
+++ b/lab/simulation/pattern.go
@@ -35,10 +35,10 @@
 	Knee       int     `toml:"knee"`
 	KneeFactor float64 `toml:"knee_factor"`
 	// WarmUp is how long a back end is cold after its start or its evacuation; 0: never.
-	// ColdRate is how many requests a second the dispatcher may send it meanwhile. More
+	// WarmUpRate is how many requests a second the dispatcher may send it meanwhile. More
 	// than ColdFailureThreshold within a second make it fail for WarmUp.
 	WarmUp               config.Duration `toml:"warm_up"`
-	ColdRate             float64         `toml:"bears"`
+	WarmUpRate           float64         `toml:"bears"`
 	ColdFailureThreshold int             `toml:"falls_over"`
 	// Slowdown, Noisy and Quiet describe the noisy neighbours; see Noise.
 	Slowdown float64         `toml:"slowdown"`
--- a/lab/simulation/replay.go
+++ b/lab/simulation/replay.go
@@ -130,7 +130,7 @@
 	for _, backend := range r.workers {
 		backends = append(backends, routing.Backend{
 			ID: backend.id, Slots: backend.slots, Window: backend.slots, Warm: r.clock.now >= backend.coldUntil,
-			WarmUp: routing.WarmUp{Duration: time.Duration(r.pattern.Backends.WarmUp), PerSecond: r.pattern.Backends.ColdRate},
+			WarmUp: routing.WarmUp{Duration: time.Duration(r.pattern.Backends.WarmUp), PerSecond: r.pattern.Backends.WarmUpRate},
 		})
 	}
 	r.core.Group.SetBackends(r.time(), backends)
--- a/lab/simulation/replay_test.go
+++ b/lab/simulation/replay_test.go
@@ -67,9 +67,9 @@
 	}
 }
 
-// TestColdRateAndEvacuationAreRespected checks that no cold back end fails or gets more requests than
-// evenly spaced ones at its rate, and that no evacuated one gets any.
-func TestColdRateAndEvacuationAreRespected(t *testing.T) {
+// TestWarmUpRateAndEvacuationAreRespected checks that no cold back end fails or gets more requests than
+// evenly spaced ones at its warm-up rate, and that no evacuated one gets any.
+func TestWarmUpRateAndEvacuationAreRespected(t *testing.T) {
 	for _, name := range []string{"cold", "evacuated"} {
 		outcome := replayAll(t, name)
 		require.Zero(t, outcome.ColdFailures, name)
--- a/lab/site/schedule_test.go
+++ b/lab/site/schedule_test.go
@@ -257,7 +257,7 @@
 		return []string{err.Error()}
 	}
 	r := &faultRun{ctx: ctx, net: net, site: running, stopped: make(map[string]bool)}
-	watch := recordRevisionRegressions(r)
+	monitor := recordRevisionRegressions(r)
 	startedAt := time.Now()
 	for _, injected := range faults {
 		r.injections.Go(func() {
@@ -268,7 +268,7 @@
 	result := r.sendLoad(1, scheduleLength)
 	r.injections.Wait()
 	time.Sleep(max(scheduleLength-time.Since(startedAt), 0) + 30*time.Second)
-	watch.stop()
+	monitor.stop()
 	r.checkResult(result)
 	r.checkProbes()
 	r.checkRecovery()
--- a/lab/soak/doc.go
+++ b/lab/soak/doc.go
@@ -1,5 +1,5 @@
 // Package soak runs real daemon processes on one machine, injects faults into them and
-// their dependencies from outside, and meanwhile checks the promised behavior by what
+// their dependencies from outside, and meanwhile checks the guaranteed behavior by what
 // callers and back ends observe.
 //
 // The platform's store and the back ends are stubs in this process; each daemon is a
--- a/lab/soak/report.go
+++ b/lab/soak/report.go
@@ -10,20 +10,20 @@
 	"github.com/tuliphall/tuliphall/resultcode"
 )
 
-// Bounds of the promises to users.
+// Bounds of the guarantees to users.
 const (
 	drainBound  = 2*time.Second + time.Second // after the store lists it as draining; includes one second of propagation
 	configBound = 2 * time.Second
 	// evacuationBound is how long after its evacuation a zone may still get requests.
 	evacuationBound = 5 * time.Second
-	// settleTime is the time after the last fault from which on bounded promises hold again.
+	// settleTime is the time after the last fault from which on bounded guarantees hold again.
 	settleTime = 6 * time.Second
 )
 
 // maxViolations is the maximum number of violations that are kept.
 const maxViolations = 20
 
-// report collects what callers and back ends observe, and checks the promises against it.
+// report collects what callers and back ends observe, and checks the guarantees against it.
 // It is safe for concurrent use.
 type report struct {
 	progress  io.Writer
@@ -56,7 +56,7 @@
 	fmt.Fprintf(r.progress, "%8.3f %s\n", time.Since(r.startedAt).Seconds(), fmt.Sprintf(format, arguments...))
 }
 
-// addViolation records and logs a broken promise. The caller must hold the mutex.
+// addViolation records and logs the violation of a guarantee. The caller must hold the mutex.
 func (r *report) addViolation(format string, arguments ...any) {
 	text := fmt.Sprintf(format, arguments...)
 	if len(r.violations) < maxViolations {
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -67,7 +67,7 @@
 }
 
 // Run performs one run with the faults of one seed. An error means that the run could not be performed;
-// broken promises are in the result.
+// violated guarantees are in the result.
 func Run(ctx context.Context, options Options, progress io.Writer) (Result, error) {
 	f := &fleet{options: options, report: newReport(progress), store: objectstub.New()}
 	defer f.close()
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -17,7 +17,7 @@
 	_ "github.com/tuliphall/tuliphall/launch"
 )
 
-// TestCheckersDetectViolations breaks each promise that the report checks, and expects exactly the
+// TestCheckersDetectViolations violates each guarantee that the report checks, and expects exactly the
 // violation that belongs to it. It guards against checks that can never fail.
 func TestCheckersDetectViolations(t *testing.T) {
 	response := func(status int, id string) *http.Response {
@@ -76,8 +76,8 @@
 	}
 }
 
-// TestBoundsAreNotCheckedDuringFaults checks that promises with a bound are not checked during a fault and for some time
-// after it.
+// TestBoundsAreNotCheckedDuringFaults checks that guarantees with a bound are not checked during a fault and for some
+// time after it.
 func TestBoundsAreNotCheckedDuringFaults(t *testing.T) {
 	r := newReport(io.Discard)
 	r.lastFaultEnd = time.Now().Add(-time.Minute)
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -53,7 +53,7 @@
 	return !c.down[a] && !c.down[b] && (c.partitioned == nil || !c.partitioned(a, b))
 }
 
-// runPeriod has every running daemon perform its exchange of one runPeriod.
+// runPeriod has every running daemon perform its exchange of one period.
 func (c *cluster) runPeriod() {
 	c.now = c.now.Add(membership.Period)
 	for number, state := range c.states {
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -10,7 +10,7 @@
 const (
 	// DefaultCrashThreshold is how many back ends a request may crash. When a back end crashes,
 	// the other requests in flight there record a crash too, but seldom three without a response
-	// in between (TestBystandersAreSeldomQuarantined).
+	// in between (TestHarmlessRequestsAreSeldomQuarantined).
 	DefaultCrashThreshold = 3
 	// MaxCrashThreshold is the highest threshold that a Policy may have: half of the crashes that
 	// are kept, as some of those may be coincident and count as one.
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -191,18 +191,18 @@
 	require.Zero(t, benchmark.AllocsPerOp())
 }
 
-// countQuarantinedBystanders simulates a service whose back ends are crashed by one request, one after the other, until
-// it is quarantined. It returns how many other requests are quarantined then, and the number of crashes.
-func countQuarantinedBystanders(random *rand.Rand, requests int, successRate float64) (quarantined, crashes int) {
+// countQuarantinedHarmlessRequests simulates a service whose back ends are crashed by one request, one after the other,
+// until it is quarantined. It returns how many harmless requests are quarantined then, and the number of crashes.
+func countQuarantinedHarmlessRequests(random *rand.Rand, requests int, successRate float64) (quarantined, crashes int) {
 	table := NewTable(Policy{})
-	const culprit = Fingerprint(1)
+	const crashingRequest = Fingerprint(1)
 	for run := BackendRun(1); ; run++ {
 		offset := time.Duration(run) * 125 * time.Millisecond
-		if _, stopped := table.QuarantinedUntil(at(offset), culprit); stopped {
+		if _, stopped := table.QuarantinedUntil(at(offset), crashingRequest); stopped {
 			break
 		}
 		crashes++
-		table.Merge(at(offset), crashRecord(culprit, run, offset))
+		table.Merge(at(offset), crashRecord(crashingRequest, run, offset))
 		for range 2 { // requests in the other slots
 			table.Merge(at(offset), crashRecord(Fingerprint(2+random.IntN(requests)), run, offset))
 		}
@@ -215,11 +215,11 @@
 	return len(table.Quarantined(at(time.Minute))) - 1, crashes
 }
 
-// TestBystandersAreSeldomQuarantined counts how often requests are quarantined that were only in flight
-// when another request crashed the back ends. With 5 distinct requests and no responses in between,
+// TestHarmlessRequestsAreSeldomQuarantined counts how often requests are quarantined that were only in
+// flight when another request crashed the back ends. With 5 distinct requests and no responses in between,
 // this happens in one case of four; with 50, in three of a thousand; with responses in between, in
 // one of a thousand or none.
-func TestBystandersAreSeldomQuarantined(t *testing.T) {
+func TestHarmlessRequestsAreSeldomQuarantined(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for _, test := range []struct {
 		requests    int
@@ -229,11 +229,11 @@
 		const runs = 1000
 		total := 0
 		for range runs {
-			quarantined, crashes := countQuarantinedBystanders(random, test.requests, test.successRate)
+			quarantined, crashes := countQuarantinedHarmlessRequests(random, test.requests, test.successRate)
 			require.Equal(t, DefaultCrashThreshold, crashes)
 			total += quarantined
 		}
-		t.Logf("%d distinct requests, response between two crashes with probability %.1f: %.4f bystanders quarantined per culprit", test.requests, test.successRate, float64(total)/runs)
+		t.Logf("%d distinct requests, response between two crashes with probability %.1f: %.4f harmless requests quarantined per crashing request", test.requests, test.successRate, float64(total)/runs)
 		require.LessOrEqual(t, float64(total)/runs, test.limit)
 	}
 }
--- a/ratelimit/limiter.go
+++ b/ratelimit/limiter.go
@@ -15,7 +15,7 @@
 const (
 	// silenceTimeout is how long after its last report a grantor's use counts as unknown: four exchanges
 	// while tenants near their limits are served. The two sides of a network partition both use the whole
-	// of a rate until then; a tenth of five seconds' rate is the most that is promised.
+	// of a rate until then; the guaranteed bound permits an excess of at most a tenth of five seconds' rate.
 	silenceTimeout = 400 * time.Millisecond
 	// maxReportAge is the maximum age of a report while the network is healthy: half of the time
 	// between two exchanges while tenants near their limits are served.
--- a/routing/pacing.go
+++ b/routing/pacing.go
@@ -32,7 +32,7 @@
 // due reports whether something may be sent now to a back end with a given rate for all daemons, of
 // which this one has a share. Daemons that pick independently each send at a phase of their own: 20
 // daemons without a dispatcher sent a cold back end 15 requests in one second when each decided at
-// random, and 3 with phases (TestColdRateWithoutDispatcher).
+// random, and 3 with phases (TestWarmUpRateWithoutDispatcher).
 func (p *pacing) due(now time.Time, perSecond float64, share Share, random *rand.Rand) bool {
 	if lastKnown := clock.Later(p.lastSent, share.Since); !lastKnown.IsZero() && now.Sub(lastKnown) < sendInterval(perSecond) {
 		return false
