--- a/lab/objectstub/dissemination_test.go
+++ b/lab/objectstub/dissemination_test.go
@@ -265,8 +265,8 @@
 }
 
 // TestOneDispatcherAfterAllDaemonsAreReplaced replaces all daemons at the same time: the new daemons agree on the
-// dispatcher long before they all know each other. Callers, which the test leaves out, reconnect together at that time,
-// and their requests are refused if the dispatcher changes (docs/incidents/inc-3742.md).
+// dispatcher long before they all know each other. This matters because callers, which the test leaves out, all
+// reconnect at that time, and their requests are refused if the dispatcher changes.
 func TestOneDispatcherAfterAllDaemonsAreReplaced(t *testing.T) {
 	const size = 60
 	runFleet(t, size, 1, func(f *fleet) {
--- a/lab/objectstub/evacuation_test.go
+++ b/lab/objectstub/evacuation_test.go
@@ -214,8 +214,8 @@
 
 // Warm-up of the cold workers in these tests.
 const (
-	coldPeriod = 3 * time.Second
-	warmUpRate = 2.5 // requests per second that a cold worker can serve
+	warmUpDuration = 3 * time.Second
+	warmUpRate     = 2.5 // requests per second that a cold worker can serve
 	// maxColdArrivals is the maximum number of requests within a second for a cold worker, as the users' platform
 	// counts them.
 	maxColdArrivals = 1.5*warmUpRate + 8
@@ -242,7 +242,7 @@
 		f.sendAtRate(200, 2*time.Second)
 		f.store.Remove("evacuations", "west")
 		restoredAt := time.Now()
-		f.sendAtRate(200, coldPeriod-500*time.Millisecond)
+		f.sendAtRate(200, warmUpDuration-500*time.Millisecond)
 		f.requireWarmUpRate(cold, restoredAt)
 		f.sendAtRate(400, 3*time.Second) // more than the other workers can run
 		for _, worker := range cold {
@@ -253,7 +253,7 @@
 
 // configureWarmUp configures the warm-up of cold workers.
 func (f *fleet) configureWarmUp() {
-	f.service["warmupS"], f.service["warmupPerS"] = coldPeriod.Seconds(), warmUpRate
+	f.service["warmupS"], f.service["warmupPerS"] = warmUpDuration.Seconds(), warmUpRate
 	f.configure("/one/")
 	time.Sleep(time.Second)
 }
@@ -278,11 +278,11 @@
 		}
 		time.Sleep(time.Second)
 		for _, worker := range f.workers[:3] {
-			worker.warmUpLeft = coldPeriod
+			worker.warmUpLeft = warmUpDuration
 			f.writeEntry(worker, "ready")
 		}
 		joined := time.Now()
-		f.sendAtRate(300, coldPeriod-500*time.Millisecond)
+		f.sendAtRate(300, warmUpDuration-500*time.Millisecond)
 		f.requireWarmUpRate(f.workers[:3], joined)
 	})
 }
@@ -293,7 +293,7 @@
 	runFleet(t, 20, 4, func(f *fleet) {
 		f.configureWarmUp()
 		for _, worker := range f.workers {
-			worker.warmUpLeft = coldPeriod
+			worker.warmUpLeft = warmUpDuration
 			f.writeEntry(worker, "ready")
 		}
 		time.Sleep(300 * time.Millisecond)
@@ -302,7 +302,7 @@
 		f.powerOff(func(d *daemon.Daemon, number int) bool {
 			return remote && hostOf(number) == dispatcher.Name || !remote && number == 0
 		})
-		f.sendAtRate(400, coldPeriod-500*time.Millisecond)
+		f.sendAtRate(400, warmUpDuration-500*time.Millisecond)
 		for _, worker := range f.workers {
 			require.LessOrEqual(t, float64(worker.busiestSecond(start)), maxColdArrivals)
 		}
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -172,7 +172,7 @@
 }
 
 // maxCrashes is the number of back end crashes up to which a request is sent again. After one crash the
-// request may have been a bystander, which another attempt serves. After the second it is usually the
+// request may be a harmless one, which another attempt serves. After the second it is usually the
 // cause, and a third back end is only risked if the caller repeats the request.
 const maxCrashes = 1
 
